--- a/packages/bench/src/__tests__/daemon-signals.test.ts
+++ b/packages/bench/src/__tests__/daemon-signals.test.ts
@@ -45,7 +45,7 @@
   });
   beforeEach(() => {
     target.faults.clear();
-    target.ran.length = 0;
+    target.executedRequests.length = 0;
   });
 
   async function startDaemon() {
@@ -86,7 +86,7 @@
         body: 'crest',
       });
       const cut = assert.rejects(answer);
-      await until(() => target.ran.length === 1);
+      await until(() => target.executedRequests.length === 1);
       child.kill('SIGTERM');
       await untilStatus(adminAddress, 503);
       child.kill('SIGTERM');
--- a/packages/bench/src/__tests__/once-only-path.test.ts
+++ b/packages/bench/src/__tests__/once-only-path.test.ts
@@ -24,7 +24,7 @@
         vms: 'hall-a-r1-[1-2]',
       }),
     );
-    await deployment.until(() =>
+    await deployment.waitUntil(() =>
       deployment.daemons.every(
         ({daemon}) =>
           daemon.resolve<PeerLinks>('peerLinks').connected().length > 0,
@@ -50,7 +50,9 @@
     const second = await send(1);
     assert.equal(first.status, 200);
     assert.deepEqual(second, first);
-    const ran = [...deployment.targets.values()].flatMap(target => target.ran);
+    const ran = [...deployment.targets.values()].flatMap(
+      target => target.executedRequests,
+    );
     assert.equal(ran.filter(({body}) => body === 'a billing entry').length, 1);
   });
 });
--- a/packages/bench/src/__tests__/whole-path.test.ts
+++ b/packages/bench/src/__tests__/whole-path.test.ts
@@ -65,7 +65,7 @@
       assert.equal(answer.statusCode, 200);
       await answer.body.dump();
       const ran = [...deployment.targets.values()].flatMap(
-        target => target.ran,
+        target => target.executedRequests,
       );
       assert.equal(ran.filter(item => item.body === 'a crest').length, 1);
     });
--- a/packages/bench/src/caller.ts
+++ b/packages/bench/src/caller.ts
@@ -1,6 +1,6 @@
 import {Agent, type Dispatcher} from 'undici';
 import {toError} from '@gentiandoor/kernel';
-import type {CallerOutcome} from './promise-ledger.js';
+import type {CallerOutcome} from './guarantee-checker.js';
 
 /** A request that a caller sends. */
 export interface CallerRequest {
@@ -17,12 +17,12 @@
 const CONNECTIONS = 64;
 const CUT: Pick<
   CallerOutcome,
-  'status' | 'reason' | 'run' | 'whole' | 'mixed'
+  'status' | 'reason' | 'run' | 'isComplete' | 'mixed'
 > = {
   status: 0,
   reason: 'cut',
   run: '',
-  whole: false,
+  isComplete: false,
   mixed: false,
 };
 
@@ -63,7 +63,7 @@
     status: answer.statusCode,
     reason,
     run,
-    whole: own,
+    isComplete: own,
     mixed: path !== undefined && !own,
   };
 }
--- a/packages/bench/src/capacity/capacity-page.ts
+++ b/packages/bench/src/capacity/capacity-page.ts
@@ -5,7 +5,7 @@
   type ReferencePart,
 } from '@gentiandoor/documentation';
 import type {MeasuredSlope, MeasuredSlopes} from './all-measurements.js';
-import {ENTRY_COUNTS} from './deployment-to-come.js';
+import {ENTRY_COUNTS} from './planned-deployment.js';
 import {
   claimLines,
   entryFlowLines,
--- a/packages/bench/src/capacity/entry-daemon-flow.ts
+++ b/packages/bench/src/capacity/entry-daemon-flow.ts
@@ -4,13 +4,13 @@
   MAINTAINED_A_DAY,
   NODE_BOUNDS,
   SECONDS_A_DAY,
-  TO_COME,
-} from './deployment-to-come.js';
+  PLANNED_DEPLOYMENT,
+} from './planned-deployment.js';
 import {figure, quantity, type Estimates} from './estimates.js';
 import {DRAINS_A_DAY, flowOf} from './fleet-stream.js';
 import {MeasuredLine} from './measured-line.js';
 import {Unit} from './measurement.js';
-import {Standing, standingOf, type RoleLine} from './role-line.js';
+import {BoundStatus, compareWithBound, type RoleLine} from './role-line.js';
 
 /** Bytes a second that summaries of targets may take in all (load-summaries.ts). */
 const TARGET_SUMMARY_BYTES = 4000;
@@ -23,7 +23,7 @@
 
 /** Changes of the platform's list a second: each VM that goes also comes back. */
 function listChangesPerSecond(): number {
-  const {restartsADay, failuresADay} = TO_COME;
+  const {restartsADay, failuresADay} = PLANNED_DEPLOYMENT;
   return (2 * (restartsADay + failuresADay + MAINTAINED_A_DAY)) / SECONDS_A_DAY;
 }
 
@@ -51,10 +51,10 @@
     recordsPerSecond - (DRAINS_A_DAY * daemons) / SECONDS_A_DAY;
   const changeMilliseconds = estimates.at(
     MeasuredLine.BundleChangeFolded,
-    TO_COME.vms,
+    PLANNED_DEPLOYMENT.vms,
   ).value;
   // Only records that change a VM's owner or drain, and bundles, make the router refresh.
-  const refreshingRecords = 2 * DRAINS_A_DAY + TO_COME.changesADay;
+  const refreshingRecords = 2 * DRAINS_A_DAY + PLANNED_DEPLOYMENT.changesADay;
   const refreshes = Math.min(
     refreshingRecords / SECONDS_A_DAY + listChangesPerSecond(),
     REFRESHES_A_SECOND,
@@ -63,18 +63,19 @@
     links: estimates.at(MeasuredLine.LinkProcessor, links).value,
     records:
       (plainRecords *
-        estimates.at(MeasuredLine.RecordFolded, TO_COME.vms).value) /
+        estimates.at(MeasuredLine.RecordFolded, PLANNED_DEPLOYMENT.vms).value) /
       MICROSECONDS,
     acknowledgements:
       (DRAINS_A_DAY * acknowledgementMicroseconds(estimates, daemons)) /
       SECONDS_A_DAY /
       MICROSECONDS,
     changes:
-      ((TO_COME.changesADay / SECONDS_A_DAY) * changeMilliseconds) /
+      ((PLANNED_DEPLOYMENT.changesADay / SECONDS_A_DAY) * changeMilliseconds) /
       MILLISECONDS,
     router:
       (refreshes *
-        estimates.at(MeasuredLine.RouterChange, TO_COME.pools).value) /
+        estimates.at(MeasuredLine.RouterChange, PLANNED_DEPLOYMENT.pools)
+          .value) /
       MILLISECONDS,
   };
 }
@@ -108,7 +109,10 @@
         what: `bytes a second, ${label}`,
         arithmetic: textOf(bytes, Unit.BytesPerSecond),
         result: quantity(sumOf(bytes), Unit.BytesPerSecond),
-        standing: standingOf(sumOf(bytes), NODE_BOUNDS.bytesPerSecond),
+        boundComparison: compareWithBound(
+          sumOf(bytes),
+          NODE_BOUNDS.bytesPerSecond,
+        ),
         mechanism:
           'long polls, deltas, fixed number of links; every daemon reads the whole stream',
       },
@@ -116,7 +120,7 @@
         what: `processor time, ${label}`,
         arithmetic: textOf(core, Unit.CoreShare),
         result: quantity(sumOf(core), Unit.CoreShare),
-        standing: standingOf(sumOf(core), NODE_BOUNDS.coreShare),
+        boundComparison: compareWithBound(sumOf(core), NODE_BOUNDS.coreShare),
         mechanism:
           'incremental hash and delta fold; router rebuilt after a change of a VM, the bundle or the list, at most 50 times a second',
       },
@@ -126,8 +130,10 @@
 
 /** What summaries of targets take, and how old they get. */
 export function targetSummaryLines(estimates: Estimates): RoleLine[] {
-  const perDataCentre = Math.round(TO_COME.vms / TO_COME.dataCentres);
-  return [160, perDataCentre, TO_COME.vms].map(targets => {
+  const perDataCentre = Math.round(
+    PLANNED_DEPLOYMENT.vms / PLANNED_DEPLOYMENT.dataCentres,
+  );
+  return [160, perDataCentre, PLANNED_DEPLOYMENT.vms].map(targets => {
     const line = MeasuredLine.TargetSummaryExpiry;
     const expiry = estimates.at(line, targets);
     const milliseconds = Math.min(expiry.value, LONGEST_EXPIRY_MILLISECONDS);
@@ -135,7 +141,10 @@
       what: `target summaries, ${figure(targets)} targets in use, 32 links: good for`,
       arithmetic: `least of ${expiry.text} and 60 s`,
       result: `${figure(milliseconds / MILLISECONDS)} s`,
-      standing: standingOf(milliseconds, LONGEST_EXPIRY_MILLISECONDS),
+      boundComparison: compareWithBound(
+        milliseconds,
+        LONGEST_EXPIRY_MILLISECONDS,
+      ),
       mechanism: `the pace falls so that all summaries take ${TARGET_SUMMARY_BYTES} bytes a second; of more targets than that allows within 60 s the busiest are told`,
     };
   });
@@ -150,14 +159,14 @@
       what: 'keyed requests a second in all at which claims alone take the bound',
       arithmetic: `7,000 / ${figure(bytes)} bytes a claim, without heads of reads and outcomes`,
       result: `${figure(NODE_BOUNDS.bytesPerSecond / bytes)} a second`,
-      standing: Standing.NoBound,
+      boundComparison: BoundStatus.NoBound,
       mechanism: 'every daemon reads every claim (ClaimsFollower)',
     },
     {
       what: 'time for which 200,000 remembered claims last at that pace',
       arithmetic: `200,000 / ${figure(NODE_BOUNDS.bytesPerSecond / bytes)}`,
       result: `${figure(memory / (NODE_BOUNDS.bytesPerSecond / bytes))} s`,
-      standing: Standing.NoBound,
+      boundComparison: BoundStatus.NoBound,
       mechanism: 'setting keys of [once-only]',
     },
   ];
--- a/packages/bench/src/capacity/entry-daemon-memory.ts
+++ b/packages/bench/src/capacity/entry-daemon-memory.ts
@@ -1,8 +1,8 @@
-import {NODE_BOUNDS, TO_COME} from './deployment-to-come.js';
+import {NODE_BOUNDS, PLANNED_DEPLOYMENT} from './planned-deployment.js';
 import {quantity, type Estimate, type Estimates} from './estimates.js';
 import {MeasuredLine} from './measured-line.js';
 import {Unit} from './measurement.js';
-import {Standing, standingOf, type RoleLine} from './role-line.js';
+import {BoundStatus, compareWithBound, type RoleLine} from './role-line.js';
 
 /** Defaults of the settings of once only. */
 const CLAIMS_KEPT = 200_000;
@@ -18,7 +18,7 @@
   daemons: number,
   processBytes: number,
 ): MemoryPart[] {
-  const {vms, pools} = TO_COME;
+  const {vms, pools} = PLANNED_DEPLOYMENT;
   const at = (line: MeasuredLine, size: number) => estimates.at(line, size);
   return [
     {
@@ -74,21 +74,21 @@
       what: `memory: ${what}`,
       arithmetic: text,
       result: quantity(value, Unit.Bytes),
-      standing: Standing.NoBound,
+      boundComparison: BoundStatus.NoBound,
       mechanism,
     })),
     {
       what: `memory: sum without the process, ${daemons} daemons`,
       arithmetic: 'sum of the lines above but for the first',
       result: quantity(sum - processBytes, Unit.Bytes),
-      standing: standingOf(sum - processBytes, NODE_BOUNDS.bytes),
+      boundComparison: compareWithBound(sum - processBytes, NODE_BOUNDS.bytes),
       mechanism: 'bounds of claims and answers are settings',
     },
     {
       what: `memory: sum, ${daemons} daemons`,
       arithmetic: 'sum of the lines above',
       result: quantity(sum, Unit.Bytes),
-      standing: standingOf(sum, NODE_BOUNDS.bytes),
+      boundComparison: compareWithBound(sum, NODE_BOUNDS.bytes),
       mechanism: 'no pool or VM is left out of the fold: see open work',
     },
   ];
--- a/packages/bench/src/capacity/fleet-stream.ts
+++ b/packages/bench/src/capacity/fleet-stream.ts
@@ -1,8 +1,8 @@
 import {
   MAINTAINED_A_DAY,
   SECONDS_A_DAY,
-  TO_COME,
-} from './deployment-to-come.js';
+  PLANNED_DEPLOYMENT,
+} from './planned-deployment.js';
 import type {Estimates} from './estimates.js';
 import {MeasuredLine} from './measured-line.js';
 
@@ -25,16 +25,20 @@
 }
 
 /** Drains that every member acknowledges, a day: maintenance and repairs. */
-export const DRAINS_A_DAY = MAINTAINED_A_DAY + TO_COME.failuresADay;
+export const DRAINS_A_DAY = MAINTAINED_A_DAY + PLANNED_DEPLOYMENT.failuresADay;
 
 /** What an ordinary day writes to the fleet stream when that many daemons are members. */
 export function dailyRecords(
   estimates: Estimates,
   daemons: number,
 ): DailyRecords[] {
-  const events = TO_COME.restartsADay + TO_COME.failuresADay + MAINTAINED_A_DAY;
+  const events =
+    PLANNED_DEPLOYMENT.restartsADay +
+    PLANNED_DEPLOYMENT.failuresADay +
+    MAINTAINED_A_DAY;
   const reports = REPORTS_OF_AN_EVENT * events;
-  const joins = (daemons * TO_COME.restartsADay) / TO_COME.vms;
+  const joins =
+    (daemons * PLANNED_DEPLOYMENT.restartsADay) / PLANNED_DEPLOYMENT.vms;
   const renewals = SECONDS_A_DAY / RENEWAL_SECONDS;
   const bytesOf = (line: MeasuredLine, size: number) =>
     estimates.at(line, size).value;
@@ -42,10 +46,10 @@
     {
       what: 'bundle changes and sign-offs',
       arithmetic: '10,000 x 2',
-      records: TO_COME.changesADay * RECORDS_OF_A_CHANGE,
+      records: PLANNED_DEPLOYMENT.changesADay * RECORDS_OF_A_CHANGE,
       bytes:
-        TO_COME.changesADay *
-        bytesOf(MeasuredLine.BundleChangeBytes, TO_COME.vms),
+        PLANNED_DEPLOYMENT.changesADay *
+        bytesOf(MeasuredLine.BundleChangeBytes, PLANNED_DEPLOYMENT.vms),
     },
     {
       what: 'conditions of VMs, each its own record',
--- a/packages/bench/src/capacity/list-measurements.ts
+++ b/packages/bench/src/capacity/list-measurements.ts
@@ -2,7 +2,7 @@
 import {ListedState, type ListedVm} from '@gentiandoor/shared-state';
 import {MemoryLog, MemoryVmList, PlatformServer} from '@gentiandoor/stand-ins';
 import {Pool} from 'undici';
-import {TrafficCount} from '../scenarios/traffic-count.js';
+import {TcpByteCounter} from '../scenarios/tcp-byte-counter.js';
 import {MeasuredLine} from './measured-line.js';
 import {Unit, type Measurement} from './measurement.js';
 
@@ -24,7 +24,7 @@
   const list = new MemoryVmList(clock);
   const server = new PlatformServer(new MemoryLog(clock), list);
   const address = await server.start('127.0.0.1:0');
-  const traffic = new TrafficCount();
+  const traffic = new TcpByteCounter();
   traffic.start();
   const pool = new Pool(`http://${address}`, {connections: 1, pipelining: 1});
   const poll = async (path: string) => {
--- a/packages/bench/src/capacity/measurement.ts
+++ b/packages/bench/src/capacity/measurement.ts
@@ -49,7 +49,7 @@
 }
 
 /** Keeps what was measured at a size, for several lines from one run. */
-export function onceASize<Result>(
+export function memoizeBySize<Result>(
   make: (size: number) => Result,
 ): (size: number) => Result {
   const made = new Map<number, Result>();
@@ -60,7 +60,7 @@
 }
 
 /** Bytes of heap that `make`'s result holds; needs `--expose-gc`. */
-export function heldBytes<Result>(make: () => Result): number {
+export function retainedHeapBytes<Result>(make: () => Result): number {
   collect();
   const before = process.memoryUsage().heapUsed;
   const held = make();
--- a/packages/bench/src/capacity/member-measurements.ts
+++ b/packages/bench/src/capacity/member-measurements.ts
@@ -5,9 +5,19 @@
   type FleetRecord,
   type FleetState,
 } from '@gentiandoor/shared-state';
-import {KINGSTON, exampleState, fold, joinRecord} from '@gentiandoor/stand-ins';
+import {
+  KINGSTON,
+  exampleState,
+  foldRecord,
+  joinRecord,
+} from '@gentiandoor/stand-ins';
 import {MeasuredLine} from './measured-line.js';
-import {Unit, heldBytes, onceASize, type Measurement} from './measurement.js';
+import {
+  Unit,
+  retainedHeapBytes,
+  memoizeBySize,
+  type Measurement,
+} from './measurement.js';
 
 const MEMBERS = [8, 64, 512, 2048];
 const MICROSECONDS = 1000;
@@ -22,7 +32,7 @@
 }
 
 function apply(state: FleetState, record: FleetRecord): void {
-  const {rejection} = fold(state, record);
+  const {rejection} = foldRecord(state, record);
   if (rejection) throw new Error(`${rejection.reason}: ${rejection.detail}`);
 }
 
@@ -54,7 +64,7 @@
 }
 
 /** Bytes and microseconds of one drain that every member acknowledges by a record of its own. */
-const drainBy = onceASize((members: number) => {
+const drainBy = memoizeBySize((members: number) => {
   const state = withMembers(joins(members - KINGSTON.dataCentres.length));
   const [vm] = state.vms.keys();
   const wave = 'wave-1';
@@ -137,7 +147,7 @@
     unit: Unit.Bytes,
     per: PER_MEMBER,
     sizes: MEMBERS,
-    measure: members => heldBytes(() => withMembers(joins(members))),
+    measure: members => retainedHeapBytes(() => withMembers(joins(members))),
   },
   {
     name: MeasuredLine.JoinTime,
--- a/packages/bench/src/capacity/peer-measurements.ts
+++ b/packages/bench/src/capacity/peer-measurements.ts
@@ -1,22 +1,22 @@
 import {randomBytes} from 'node:crypto';
 import {
   FrameKind,
-  FrameSeal,
+  FrameAuthenticator,
   LinkSide,
   decodeFrame,
   encodeFrame,
 } from '@gentiandoor/plugin-peers';
 import {
   PeerTopic,
-  digestOf,
+  sha256Hex,
   type Peer,
   type PeerLinks,
 } from '@gentiandoor/shared-state';
 import {sleep} from '@gentiandoor/kernel';
 import {buildRouter} from '../scenarios/decisions-cost.js';
-import {LINKS_OF_A_DAEMON} from './deployment-to-come.js';
+import {LINKS_OF_A_DAEMON} from './planned-deployment.js';
 import {MeasuredLine} from './measured-line.js';
-import {Unit, fastest, onceASize, type Measurement} from './measurement.js';
+import {Unit, fastest, memoizeBySize, type Measurement} from './measurement.js';
 
 const LINKS = [2, 8, 16, 32];
 const TARGETS = [10, 40, 160, 640];
@@ -44,7 +44,7 @@
     return Promise.reject(new Error('not in this run'));
   }
 
-  handle(): void {}
+  setHandler(): void {}
 }
 
 const STATE_SUMMARY = {
@@ -52,17 +52,21 @@
   hash: randomBytes(8).toString('hex'),
   readsFormat: 1,
   version: 10_000,
-  digest: digestOf('bundle'),
+  digest: sha256Hex('bundle'),
   isLogReachable: true,
   isServing: true,
 };
 
-function sealedFrame(topic: PeerTopic, body: unknown, seal: FrameSeal): Buffer {
-  return seal.seal(encodeFrame({kind: FrameKind.Message, topic, body}));
+function sealedFrame(
+  topic: PeerTopic,
+  body: unknown,
+  seal: FrameAuthenticator,
+): Buffer {
+  return seal.prependTag(encodeFrame({kind: FrameKind.Message, topic, body}));
 }
 
-function freshSeal(): FrameSeal {
-  return new FrameSeal(KEY, LinkSide.Dialer, new Uint8Array(8));
+function freshSeal(): FrameAuthenticator {
+  return new FrameAuthenticator(KEY, LinkSide.Dialer, new Uint8Array(8));
 }
 
 function sealedBytes(topic: PeerTopic, body: unknown): number {
@@ -73,7 +77,9 @@
 function frameMicroseconds(topic: PeerTopic, body: unknown, links: number) {
   const milliseconds = fastest(() => {
     for (let link = 0; link < links; link++) {
-      const opened = freshSeal().open(sealedFrame(topic, body, freshSeal()));
+      const opened = freshSeal().verifyAndStripTag(
+        sealedFrame(topic, body, freshSeal()),
+      );
       if (!opened) throw new Error('the seal does not fit');
       decodeFrame(opened);
     }
@@ -95,7 +101,7 @@
   return links.last as {readonly expiryMilliseconds: number};
 }
 
-const targetSummary = onceASize((targets: number) =>
+const targetSummary = memoizeBySize((targets: number) =>
   summaryTo(new RecordingLinks(1), targets),
 );
 
--- a/packages/bench/src/capacity/deployment-to-come.ts
+++ b/packages/bench/src/capacity/planned-deployment.ts
@@ -1,5 +1,5 @@
 /** The size to design for. */
-export const TO_COME = {
+export const PLANNED_DEPLOYMENT = {
   vms: 31_000,
   pools: 239,
   teams: 210,
@@ -29,7 +29,8 @@
 export const LOG_APPENDS_A_SECOND = 300;
 
 /** VMs maintained on a day. */
-export const MAINTAINED_A_DAY = TO_COME.vms / TO_COME.maintenanceDays;
+export const MAINTAINED_A_DAY =
+  PLANNED_DEPLOYMENT.vms / PLANNED_DEPLOYMENT.maintenanceDays;
 
 /** A number of entry VMs and where it comes from. */
 export interface EntryCount {
@@ -40,19 +41,19 @@
 /** Numbers of entry VMs that the size may imply. */
 export const ENTRY_COUNTS: readonly EntryCount[] = [
   {
-    daemons: 2 * TO_COME.dataCentres,
+    daemons: 2 * PLANNED_DEPLOYMENT.dataCentres,
     why: '2 in each of 12 data centres, so that one may be away (Kingston today: 6 in 3)',
   },
   {
-    daemons: 20 * TO_COME.dataCentres,
+    daemons: 20 * PLANNED_DEPLOYMENT.dataCentres,
     why: '20 in each data centre, one for about 129 workers or one pool',
   },
   {
-    daemons: Math.round((TO_COME.vms * 6) / 40),
+    daemons: Math.round((PLANNED_DEPLOYMENT.vms * 6) / 40),
     why: 'as many a worker as today at the least: 31,000 x 6 / 40',
   },
   {
-    daemons: Math.round((TO_COME.vms * 7) / 35),
+    daemons: Math.round((PLANNED_DEPLOYMENT.vms * 7) / 35),
     why: 'as many a worker as today at the most: 31,000 x 7 / 35',
   },
 ];
--- a/packages/bench/src/capacity/planner-measurements.ts
+++ b/packages/bench/src/capacity/planner-measurements.ts
@@ -1,8 +1,13 @@
 import {RecordKind} from '@gentiandoor/shared-state';
 import {largeDeployment} from '@gentiandoor/stand-ins';
-import {FleetDriver} from '../scenarios/fleet-driver.js';
+import {FleetSimulator} from '../scenarios/fleet-simulator.js';
 import {MeasuredLine} from './measured-line.js';
-import {Unit, heldBytes, onceASize, type Measurement} from './measurement.js';
+import {
+  Unit,
+  retainedHeapBytes,
+  memoizeBySize,
+  type Measurement,
+} from './measurement.js';
 import {PER_VM, VM_SIZES} from './state-measurements.js';
 import {proportionalSize} from './synthetic-bundle.js';
 
@@ -10,9 +15,9 @@
 const WAVE_ROUNDS = 300;
 const ROUND_MILLISECONDS = 1000;
 
-const plannerAt = onceASize((vms: number) => {
+const plannerAt = memoizeBySize((vms: number) => {
   const {pools} = proportionalSize(vms);
-  const driver = new FleetDriver(largeDeployment(vms, pools));
+  const driver = new FleetSimulator(largeDeployment(vms, pools));
   roundsOf(driver, 1);
   const resting = roundsOf(driver, ROUNDS);
   driver.write({
@@ -26,7 +31,7 @@
 });
 
 /** Mean milliseconds of planning in a round, records and fold included. */
-function roundsOf(driver: FleetDriver, rounds: number): number {
+function roundsOf(driver: FleetSimulator, rounds: number): number {
   const before = driver.totals.planningMilliseconds;
   for (let round = 0; round < rounds; round++) driver.step(ROUND_MILLISECONDS);
   return (driver.totals.planningMilliseconds - before) / rounds;
@@ -34,8 +39,8 @@
 
 function memoryOf(vms: number): number {
   const {pools} = proportionalSize(vms);
-  return heldBytes(() => {
-    const driver = new FleetDriver(largeDeployment(vms, pools));
+  return retainedHeapBytes(() => {
+    const driver = new FleetSimulator(largeDeployment(vms, pools));
     roundsOf(driver, 2);
     return driver;
   });
--- a/packages/bench/src/capacity/platform-lines.ts
+++ b/packages/bench/src/capacity/platform-lines.ts
@@ -4,13 +4,13 @@
   NODE_BOUNDS,
   SECONDS_AN_HOUR,
   SECONDS_A_DAY,
-  TO_COME,
-} from './deployment-to-come.js';
+  PLANNED_DEPLOYMENT,
+} from './planned-deployment.js';
 import {figure, quantity, type Estimates} from './estimates.js';
 import {flowOf} from './fleet-stream.js';
 import {MeasuredLine} from './measured-line.js';
 import {Unit} from './measurement.js';
-import {Standing, standingOf, type RoleLine} from './role-line.js';
+import {BoundStatus, compareWithBound, type RoleLine} from './role-line.js';
 
 /** Defaults of the settings. */
 const SNAPSHOT_RECORDS = 5000;
@@ -29,14 +29,14 @@
       what: `appends a second to the fleet stream, ${label}`,
       arithmetic: `${figure(recordsPerSecond)} records a second, each its own append at worst`,
       result: `${figure(recordsPerSecond)} a second`,
-      standing: standingOf(recordsPerSecond, LOG_APPENDS_A_SECOND),
+      boundComparison: compareWithBound(recordsPerSecond, LOG_APPENDS_A_SECOND),
       mechanism: 'group commit, 20 appends a second a daemon at most',
     },
     {
       what: `appends a second to the claims stream at most, ${label}`,
       arithmetic: `${figure(daemons)} x 1,000 ms / 25 ms`,
       result: `${figure(claims)} a second`,
-      standing: standingOf(claims, LOG_APPENDS_A_SECOND),
+      boundComparison: compareWithBound(claims, LOG_APPENDS_A_SECOND),
       mechanism:
         'group commit, setting append_interval_milliseconds of [once-only]',
     },
@@ -44,14 +44,14 @@
       what: `reads a second of the fleet stream, ${label}`,
       arithmetic: `${figure(daemons)} x (1 / ${READ_WAIT_SECONDS} s + ${figure(Math.min(recordsPerSecond, 20))})`,
       result: `${figure(daemons * (1 / READ_WAIT_SECONDS + Math.min(recordsPerSecond, 20)))} a second`,
-      standing: Standing.NoBound,
+      boundComparison: BoundStatus.NoBound,
       mechanism: 'one long poll a daemon',
     },
     {
       what: `bytes a second out of the log, ${label}`,
       arithmetic: `${figure(daemons)} x ${quantity(wirePerSecond, Unit.BytesPerSecond)}`,
       result: quantity(out, Unit.BytesPerSecond),
-      standing: Standing.NoBound,
+      boundComparison: BoundStatus.NoBound,
       mechanism: 'each daemon reads all records itself',
     },
   ];
@@ -59,7 +59,7 @@
 
 function snapshotLines(estimates: Estimates, daemons: number): RoleLine[] {
   const {recordsPerSecond} = flowOf(estimates, daemons);
-  const size = estimates.at(MeasuredLine.SnapshotBytes, TO_COME.vms);
+  const size = estimates.at(MeasuredLine.SnapshotBytes, PLANNED_DEPLOYMENT.vms);
   const byRecords = SNAPSHOT_RECORDS / recordsPerSecond / SECONDS_AN_HOUR;
   const hours = Math.min(byRecords, SNAPSHOT_HOURS);
   const perDay = (24 / hours) * size.value;
@@ -68,7 +68,7 @@
       what: `hours between snapshots, ${figure(daemons)} daemons`,
       arithmetic: `least of 5,000 / ${figure(recordsPerSecond)} a second and 6 h`,
       result: `${figure(hours)} h`,
-      standing: `the log must keep more than ${figure(2 * hours)} h`,
+      boundComparison: `the log must keep more than ${figure(2 * hours)} h`,
       mechanism:
         'snapshot duty; also once the last one is in the older half of what is kept',
     },
@@ -76,7 +76,7 @@
       what: `bytes of snapshots a day, ${figure(daemons)} daemons`,
       arithmetic: `24 h / ${figure(hours)} h x ${quantity(size.value, Unit.Bytes)}`,
       result: quantity(perDay, Unit.Bytes),
-      standing: quantity(perDay / SECONDS_A_DAY, Unit.BytesPerSecond),
+      boundComparison: quantity(perDay / SECONDS_A_DAY, Unit.BytesPerSecond),
       mechanism: 'one member in turn writes, in records of 128,000 bytes',
     },
   ];
@@ -84,7 +84,7 @@
 
 /** Lines of the platform's log and list as the daemons use them. */
 export function platformLines(estimates: Estimates): RoleLine[] {
-  const whole = estimates.at(MeasuredLine.ListAnswer, TO_COME.vms);
+  const whole = estimates.at(MeasuredLine.ListAnswer, PLANNED_DEPLOYMENT.vms);
   return [
     ...ENTRY_COUNTS.flatMap(({daemons}) => [
       ...logLines(estimates, daemons),
@@ -94,7 +94,7 @@
       what: 'whole list, once a start of a daemon',
       arithmetic: whole.text,
       result: quantity(whole.value, Unit.Bytes),
-      standing: `${figure(whole.value / NODE_BOUNDS.bytesPerSecond)} s of a node's bytes`,
+      boundComparison: `${figure(whole.value / NODE_BOUNDS.bytesPerSecond)} s of a node's bytes`,
       mechanism: 'later answers carry changes only',
     },
   ];
@@ -102,12 +102,16 @@
 
 /** A daemon whose region was cut off for an hour. */
 export function returnLines(estimates: Estimates): RoleLine[] {
-  const fold = estimates.at(MeasuredLine.RecordFolded, TO_COME.vms).value;
+  const fold = estimates.at(
+    MeasuredLine.RecordFolded,
+    PLANNED_DEPLOYMENT.vms,
+  ).value;
   const change = estimates.at(
     MeasuredLine.BundleChangeFolded,
-    TO_COME.vms,
+    PLANNED_DEPLOYMENT.vms,
   ).value;
-  const changes = (TO_COME.changesADay * SECONDS_AN_HOUR) / SECONDS_A_DAY;
+  const changes =
+    (PLANNED_DEPLOYMENT.changesADay * SECONDS_AN_HOUR) / SECONDS_A_DAY;
   return ENTRY_COUNTS.map(({daemons}) => {
     const {recordsPerSecond, payloadPerSecond} = flowOf(estimates, daemons);
     const records = recordsPerSecond * SECONDS_AN_HOUR;
@@ -118,7 +122,7 @@
       what: `return after an hour, ${figure(daemons)} daemons`,
       arithmetic: `${figure(records)} records x ${figure(fold)} us + ${figure(changes)} changes x ${figure(change)} ms, in ${reads} reads`,
       result: `${quantity(bytes, Unit.Bytes)}, ${figure(seconds)} s of processor time`,
-      standing: `${figure(bytes / NODE_BOUNDS.bytesPerSecond)} s of a node's bytes`,
+      boundComparison: `${figure(bytes / NODE_BOUNDS.bytesPerSecond)} s of a node's bytes`,
       mechanism:
         'reads of 1,000 records, fold in slices; a snapshot when the records are no longer kept',
     };
@@ -127,28 +131,31 @@
 
 /** 10,000 changes a day in force within 6 s. */
 export function changeLines(estimates: Estimates): RoleLine[] {
-  const fold = estimates.at(MeasuredLine.BundleChangeFolded, TO_COME.vms);
-  const between = SECONDS_A_DAY / TO_COME.changesADay;
+  const fold = estimates.at(
+    MeasuredLine.BundleChangeFolded,
+    PLANNED_DEPLOYMENT.vms,
+  );
+  const between = SECONDS_A_DAY / PLANNED_DEPLOYMENT.changesADay;
   return [
     {
       what: 'seconds between changes, spread over the day',
       arithmetic: '86,400 / 10,000',
       result: `${figure(between)} s`,
-      standing: Standing.NoBound,
+      boundComparison: BoundStatus.NoBound,
       mechanism: 'a change names its base: one comes into force at a time',
     },
     {
       what: 'fold of a change and its sign-off at each daemon',
       arithmetic: fold.text,
       result: `${figure(fold.value)} ms`,
-      standing: standingOf(fold.value, 6000),
+      boundComparison: compareWithBound(fold.value, 6000),
       mechanism: 'delta of sections; only changed sections are parsed',
     },
     {
       what: 'changes one after another within 6 s, by the fold alone',
       arithmetic: `6,000 / ${figure(fold.value)}`,
       result: figure(6000 / fold.value),
-      standing: Standing.NoBound,
+      boundComparison: BoundStatus.NoBound,
       mechanism: 'as above; round trips to the log come on top of it',
     },
   ];
--- a/packages/bench/src/capacity/record-measurements.ts
+++ b/packages/bench/src/capacity/record-measurements.ts
@@ -5,7 +5,7 @@
   VmAction,
   VmCondition,
   applyPayload,
-  digestOf,
+  sha256Hex,
   encodeRecord,
   makeDelta,
   signBundle,
@@ -13,7 +13,7 @@
   type FleetState,
 } from '@gentiandoor/shared-state';
 import {MeasuredLine} from './measured-line.js';
-import {Unit, onceASize, type Measurement} from './measurement.js';
+import {Unit, memoizeBySize, type Measurement} from './measurement.js';
 import {
   PER_VM,
   VM_SIZES,
@@ -85,7 +85,7 @@
     .replace(`version = ${version}\n`, `version = ${version + 1}\n`)
     .replace(`base = ${version - 1}\n`, `base = ${version}\n`)
     .replace(/slots = \d+\n/, `slots = ${slots}\n`);
-  const changedDigest = digestOf(changed);
+  const changedDigest = sha256Hex(changed);
   return [
     encodeRecord({
       kind: RecordKind.BundleChanged,
@@ -108,7 +108,7 @@
 }
 
 /** Bytes and milliseconds of a change that comes into force. */
-const changeAt = onceASize((vms: number) => {
+const changeAt = memoizeBySize((vms: number) => {
   const state = stateWithVms(vms);
   let bytes = 0;
   let milliseconds = Infinity;
--- a/packages/bench/src/capacity/role-line.ts
+++ b/packages/bench/src/capacity/role-line.ts
@@ -1,7 +1,7 @@
 import {markdownTable} from '@gentiandoor/documentation';
 
 /** How a line stands against its bound. */
-export enum Standing {
+export enum BoundStatus {
   Within = 'within',
   Over = 'OVER',
   NoBound = '',
@@ -12,15 +12,15 @@
   readonly what: string;
   readonly arithmetic: string;
   readonly result: string;
-  readonly standing: string;
+  readonly boundComparison: string;
   readonly mechanism: string;
 }
 
 /** Says how a value stands against a bound, as a share of it. */
-export function standingOf(value: number, bound: number): string {
+export function compareWithBound(value: number, bound: number): string {
   const share = `${((value / bound) * 100).toPrecision(3)}% of the bound`;
-  const times = `${Standing.Over}, ${(value / bound).toPrecision(3)} times the bound`;
-  return value > bound ? times : `${Standing.Within}, ${share}`;
+  const times = `${BoundStatus.Over}, ${(value / bound).toPrecision(3)} times the bound`;
+  return value > bound ? times : `${BoundStatus.Within}, ${share}`;
 }
 
 /** Lines of a role as a table. */
@@ -31,7 +31,7 @@
       line.what,
       line.arithmetic,
       line.result,
-      line.standing,
+      line.boundComparison,
       line.mechanism,
     ]),
   );
--- a/packages/bench/src/capacity/router-measurements.ts
+++ b/packages/bench/src/capacity/router-measurements.ts
@@ -1,13 +1,13 @@
 import {measureRouter} from '../scenarios/decisions-cost.js';
 import {MeasuredLine} from './measured-line.js';
-import {Unit, onceASize, type Measurement} from './measurement.js';
+import {Unit, memoizeBySize, type Measurement} from './measurement.js';
 
 const POOLS = [15, 60, 120, 239];
 const VMS_OF_A_POOL = 130;
 const BYTES_IN_MEGABYTE = 2 ** 20;
 const PER_POOL = `pool of ${VMS_OF_A_POOL} VMs`;
 
-const routerAt = onceASize(
+const routerAt = memoizeBySize(
   async (pools: number) =>
     (await measureRouter({pools, vms: pools * VMS_OF_A_POOL})).values,
 );
--- a/packages/bench/src/capacity/snapshot-measurements.ts
+++ b/packages/bench/src/capacity/snapshot-measurements.ts
@@ -1,18 +1,23 @@
 import {decodeSnapshot, encodeSnapshot} from '@gentiandoor/shared-state';
 import {MeasuredLine} from './measured-line.js';
-import {Unit, fastestTask, onceASize, type Measurement} from './measurement.js';
+import {
+  Unit,
+  fastestTask,
+  memoizeBySize,
+  type Measurement,
+} from './measurement.js';
 import {PER_VM, VM_SIZES, stateWithVms} from './state-measurements.js';
 
 function rest(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
 
-const snapshotOf = onceASize(async (vms: number) => {
+const snapshotOf = memoizeBySize(async (vms: number) => {
   const state = stateWithVms(vms);
   const bytes = await encodeSnapshot(state, rest);
   const written = await fastestTask(() => encodeSnapshot(state, rest));
   const recovered = await fastestTask(() =>
-    decodeSnapshot(bytes, state.trusted, rest),
+    decodeSnapshot(bytes, state.trustedOperators, rest),
   );
   return {bytes: bytes.length, written, recovered};
 });
--- a/packages/bench/src/capacity/state-measurements.ts
+++ b/packages/bench/src/capacity/state-measurements.ts
@@ -2,17 +2,22 @@
   ListedState,
   RecordKind,
   applyPayload,
-  digestOf,
+  sha256Hex,
   emptyFleetState,
   encodeRecord,
-  makeOperatorKeys,
+  generateOperatorKeys,
   parseBundle,
   signBundle,
   type FleetState,
   type ListedVm,
 } from '@gentiandoor/shared-state';
 import {MeasuredLine} from './measured-line.js';
-import {Unit, fastest, heldBytes, type Measurement} from './measurement.js';
+import {
+  Unit,
+  fastest,
+  retainedHeapBytes,
+  type Measurement,
+} from './measurement.js';
 import {proportionalSize, syntheticBundle} from './synthetic-bundle.js';
 
 /** Numbers of VMs at which lines are measured. */
@@ -20,12 +25,12 @@
 const RECORDS = 1000;
 /** What these sizes count. */
 export const PER_VM = 'VM';
-const keys = makeOperatorKeys();
+const keys = generateOperatorKeys();
 
 /** A state with a bundle of that many VMs in force. */
 export function stateWithVms(vms: number): FleetState {
   const text = syntheticBundle(proportionalSize(vms), keys.publicKey);
-  const digest = digestOf(text);
+  const digest = sha256Hex(text);
   const state = emptyFleetState({kerry: keys.publicKey});
   const writer = 'capacity';
   const proposed = encodeRecord({
@@ -91,7 +96,7 @@
     unit: Unit.Bytes,
     per: PER_VM,
     sizes: VM_SIZES,
-    measure: vms => heldBytes(() => stateWithVms(vms)),
+    measure: vms => retainedHeapBytes(() => stateWithVms(vms)),
   },
   {
     name: MeasuredLine.BundleText,
@@ -142,7 +147,7 @@
     sizes: VM_SIZES,
     measure: vms => {
       const body = listBody(vms);
-      return heldBytes(() => listFrom(body));
+      return retainedHeapBytes(() => listFrom(body));
     },
   },
 ];
--- a/packages/bench/src/capacity/wire-measurements.ts
+++ b/packages/bench/src/capacity/wire-measurements.ts
@@ -4,9 +4,9 @@
 import {StreamName} from '@gentiandoor/shared-state';
 import {MemoryLog, MemoryVmList, PlatformServer} from '@gentiandoor/stand-ins';
 import {StateDeployment} from '../scenarios/shared-state-deployment.js';
-import {TrafficCount} from '../scenarios/traffic-count.js';
+import {TcpByteCounter} from '../scenarios/tcp-byte-counter.js';
 import {MeasuredLine} from './measured-line.js';
-import {Unit, onceASize, type Measurement} from './measurement.js';
+import {Unit, memoizeBySize, type Measurement} from './measurement.js';
 
 const RECORDS = [1, 10, 100, 1000];
 /** About a drain record's payload. */
@@ -29,7 +29,7 @@
   await log.append(StreamName.Fleet, payloads);
   const server = new PlatformServer(log, new MemoryVmList(clock));
   const address = await server.start('127.0.0.1:0');
-  const traffic = new TrafficCount();
+  const traffic = new TcpByteCounter();
   traffic.start();
   const client = new HttpPlatformLog({address, timeout_milliseconds: 5000});
   const options = {limit: records, waitMilliseconds: 0};
@@ -43,8 +43,8 @@
 }
 
 /** Bytes a second and share of a core of one daemon with so many links, with no load. */
-const restingWith = onceASize(async (links: number) => {
-  const traffic = new TrafficCount();
+const restingWith = memoizeBySize(async (links: number) => {
+  const traffic = new TcpByteCounter();
   traffic.start();
   const entries = Array.from({length: links + 1}, (_, index) => ({
     name: `entry-${index + 1}`,
--- a/packages/bench/src/demo/demo.ts
+++ b/packages/bench/src/demo/demo.ts
@@ -1,15 +1,19 @@
 import {SilentLogger, sleep} from '@gentiandoor/kernel';
 import {
   JobState,
-  WorkStep,
+  PlannedWorkStep,
   parseBundle,
   type FleetState,
   type SharedState,
 } from '@gentiandoor/shared-state';
 import {ExitCode, processContext, runProgram} from '@gentiandoor/cli';
 import {Caller, type CallerRequest} from '../caller.js';
-import {ADMIN_KEY, Deployment, type DaemonPlan} from '../deployment.js';
-import {PromiseLedger} from '../promise-ledger.js';
+import {
+  ADMIN_KEY,
+  Deployment,
+  type DaemonSettingsOverrides,
+} from '../deployment.js';
+import {GuaranteeChecker} from '../guarantee-checker.js';
 import {kingstonBundle, nextVersion, racksOf} from './kingston.js';
 
 const DRAINED_RACK = 'hall-a-r1';
@@ -18,7 +22,7 @@
 const PAUSE_MILLISECONDS = 10;
 const PHASE_MILLISECONDS = 1500;
 /** Shorter than in service, so that the demo's restart takes seconds. */
-const PLAN: DaemonPlan = {
+const PLAN: DaemonSettingsOverrides = {
   callerHttp: {keep_alive_milliseconds: 1500, drain_grace_milliseconds: 300},
 };
 const WAVE = 'december';
@@ -64,7 +68,7 @@
 export class Demo {
   private readonly deployment = new Deployment(new SilentLogger(), 'keisha');
   private readonly caller = new Caller();
-  private readonly ledger = new PromiseLedger();
+  private readonly ledger = new GuaranteeChecker();
   private running = true;
   private sent = 0;
 
@@ -172,7 +176,7 @@
       ...['--pools', WAVE_POOL],
     );
     let rebooted: string | undefined;
-    await this.deployment.until(() => {
+    await this.deployment.waitUntil(() => {
       rebooted = this.vmOnTrial();
       return rebooted !== undefined;
     }, WAVE_MILLISECONDS);
@@ -185,7 +189,7 @@
 
   private vmOnTrial(): string | undefined {
     const {work} = this.state();
-    return [...work].find(([, {step}]) => step === WorkStep.Trial)?.[0];
+    return [...work].find(([, {step}]) => step === PlannedWorkStep.Trial)?.[0];
   }
 
   private state(): FleetState {
@@ -199,7 +203,7 @@
       ...['job', 'submit', JOB, '--pool', 'school-emblems'],
       ...['--team', 'cooperatives', '--processors', '4', '--memory', '8'],
     );
-    await deployment.until(() => this.isJobDone(), WAVE_MILLISECONDS);
+    await deployment.waitUntil(() => this.isJobDone(), WAVE_MILLISECONDS);
     this.print(`job: ${JOB} ran on a VM of school-emblems under a lease`);
   }
 
@@ -227,7 +231,8 @@
 
   private runsOf(vms: readonly string[]): number {
     return vms.reduce(
-      (sum, id) => sum + (this.deployment.targets.get(id)?.ran.length ?? 0),
+      (sum, id) =>
+        sum + (this.deployment.targets.get(id)?.executedRequests.length ?? 0),
       0,
     );
   }
@@ -253,11 +258,11 @@
     this.print(`callers: ${outcomes.length} requests in ${seconds} s`);
     for (const [line, count] of this.ledger.summary())
       this.print(`  ${count} x ${line}`);
-    const broken = this.ledger.broken(this.deployment.targets.values());
+    const broken = this.ledger.violations(this.deployment.targets.values());
     const total = Object.values(broken).reduce((sum, count) => sum + count, 0);
     for (const [name, count] of Object.entries(broken))
       this.print(`promise ${name}: ${count}`);
-    const answered = outcomes.some(outcome => outcome.whole);
+    const answered = outcomes.some(outcome => outcome.isComplete);
     this.print(
       total === 0 && answered ? 'every promise held' : 'A PROMISE WAS BROKEN',
     );
--- a/packages/bench/src/deployment.ts
+++ b/packages/bench/src/deployment.ts
@@ -10,9 +10,9 @@
   ListedState,
   RecordKind,
   StreamName,
-  digestOf,
+  sha256Hex,
   encodeRecord,
-  makeOperatorKeys,
+  generateOperatorKeys,
   parseBundle,
   signBundle,
   type FleetRecord,
@@ -23,13 +23,13 @@
 import type {AdminServer} from '@gentiandoor/plugin-admin';
 import type {CallerHttpServer} from '@gentiandoor/plugin-caller-http';
 import {
-  MemoryLeases,
+  MemoryLeaseClient,
   MemoryLog,
   MemoryVmActions,
   MemoryVmList,
-  PlatformLeasePaths,
+  PlatformLeaseRoutes,
   PlatformServer,
-  RebootingVms,
+  TargetRebootingVmActions,
   TargetServer,
   type TaskBehaviour,
 } from '@gentiandoor/stand-ins';
@@ -56,7 +56,7 @@
 }
 
 /** Settings of a daemon that differ from the usual ones. */
-export interface DaemonPlan {
+export interface DaemonSettingsOverrides {
   readonly callerListen?: string;
   readonly adminListen?: string;
   readonly callerHttp?: Readonly<Record<string, number>>;
@@ -79,18 +79,18 @@
   readonly list = new MemoryVmList(this.clock);
   readonly targets = new Map<string, TargetServer>();
   readonly vmActions = new MemoryVmActions(this.clock, this.list);
-  readonly leases = new MemoryLeases(this.clock, () => TASK_BEHAVIOUR);
+  readonly leases = new MemoryLeaseClient(this.clock, () => TASK_BEHAVIOUR);
   readonly platform = new PlatformServer(
     this.log,
     this.list,
-    new PlatformLeasePaths(
+    new PlatformLeaseRoutes(
       this.leases,
-      new RebootingVms(this.clock, this.vmActions, this.targets),
+      new TargetRebootingVmActions(this.clock, this.vmActions, this.targets),
     ),
   );
   readonly daemons: RunningDaemon[] = [];
   /** The operator whose key the daemons trust before the first bundle. */
-  readonly operator: OperatorKeys = makeOperatorKeys();
+  readonly operator: OperatorKeys = generateOperatorKeys();
   private platformAddress = '';
   private isRolledOut = false;
 
@@ -125,7 +125,7 @@
   async startDaemon(
     name: string,
     dataCentre: string,
-    plan: DaemonPlan = {},
+    plan: DaemonSettingsOverrides = {},
   ): Promise<RunningDaemon> {
     const settings = parseSettings(
       this.settingsOf(name, dataCentre, plan),
@@ -140,7 +140,7 @@
       adminAddress: `127.0.0.1:${daemon.resolve<AdminServer>('admin').port}`,
     };
     // As the balancer does: nothing is sent to a daemon before it is ready.
-    if (this.isRolledOut) await this.until(() => isReady(running));
+    if (this.isRolledOut) await this.waitUntil(() => isReady(running));
     this.daemons.push(running);
     return running;
   }
@@ -148,7 +148,7 @@
   /** Proposes a bundle, signs it off as the trusted operator and waits until all daemons have it. */
   async rollOut(text: string): Promise<void> {
     const {version} = parseBundle(text);
-    const digest = digestOf(text);
+    const digest = sha256Hex(text);
     const writer = 'operator';
     await this.append({
       kind: RecordKind.BundleProposed,
@@ -166,7 +166,7 @@
       signature: signBundle(this.operator.privateKey, version, digest),
     });
     this.isRolledOut = true;
-    await this.until(() =>
+    await this.waitUntil(() =>
       this.daemons.every(running => inForceVersion(running) === version),
     );
   }
@@ -174,7 +174,7 @@
   /** Waits until every daemon serves the folded state, with all daemons as members. */
   async untilMembers(): Promise<void> {
     const count = this.daemons.length;
-    await this.until(() =>
+    await this.waitUntil(() =>
       this.daemons.every(
         ({daemon}) =>
           daemon.resolve<SharedState>('sharedState').state.members.size ===
@@ -188,7 +188,7 @@
   }
 
   /** Waits for a condition; rejects when it does not come true in time. */
-  async until(
+  async waitUntil(
     condition: () => boolean,
     longestMilliseconds = LONGEST_WAIT_MILLISECONDS,
   ): Promise<void> {
@@ -212,7 +212,11 @@
   }
 
   /** Settings of a daemon of this deployment, in INI; also for one in another process. */
-  settingsOf(name: string, dataCentre: string, plan: DaemonPlan = {}): string {
+  settingsOf(
+    name: string,
+    dataCentre: string,
+    plan: DaemonSettingsOverrides = {},
+  ): string {
     return `
 [daemon]
 name = ${name}
@@ -251,7 +255,7 @@
 }
 
 function isReady({daemon}: RunningDaemon): boolean {
-  const {waitingFor} = daemon.resolve<AdminServer>('admin');
+  const {unreadyParts: waitingFor} = daemon.resolve<AdminServer>('admin');
   return waitingFor.length === 0;
 }
 
--- a/packages/bench/src/promise-ledger.ts
+++ b/packages/bench/src/guarantee-checker.ts
@@ -12,13 +12,13 @@
   /** Value of the header `gentiandoor-run`; empty when the connection was cut. */
   readonly run: string;
   /** True when a whole answer came and names this request. */
-  readonly whole: boolean;
+  readonly isComplete: boolean;
   /** True when an answer came that belongs to another request. */
   readonly mixed: boolean;
 }
 
 /** Counts of broken promises; all must be 0. */
-export interface BrokenPromises {
+export interface GuaranteeViolations {
   /** Non-idempotent requests that targets ran more than once. */
   readonly runMoreThanOnce: number;
   /** Requests whose caller was told "not run" although a target ran them. */
@@ -30,7 +30,7 @@
 }
 
 /** Sets what callers were told against what targets ran. */
-export class PromiseLedger {
+export class GuaranteeChecker {
   readonly outcomes: CallerOutcome[] = [];
 
   record(outcome: CallerOutcome): void {
@@ -47,7 +47,7 @@
     return new Map([...counts].sort(([, left], [, right]) => right - left));
   }
 
-  broken(targets: Iterable<TargetServer>): BrokenPromises {
+  violations(targets: Iterable<TargetServer>): GuaranteeViolations {
     const runs = countRuns(targets);
     const count = (test: (outcome: CallerOutcome) => boolean) =>
       this.outcomes.filter(test).length;
@@ -82,7 +82,7 @@
 
 function describeOutcome(outcome: CallerOutcome): string {
   if (outcome.mixed) return 'MIXED answer';
-  if (outcome.whole) return `whole answer, status ${outcome.status}`;
+  if (outcome.isComplete) return `whole answer, status ${outcome.status}`;
   if (outcome.status === 0) return 'CUT';
   return `${outcome.reason}, status ${outcome.status}, run ${outcome.run}`;
 }
@@ -90,7 +90,7 @@
 function countRuns(targets: Iterable<TargetServer>): Map<string, number> {
   const runs = new Map<string, number>();
   for (const target of targets) {
-    for (const {path} of target.ran) {
+    for (const {path} of target.executedRequests) {
       const id = requestIdOf(path);
       runs.set(id, (runs.get(id) ?? 0) + 1);
     }
--- a/packages/bench/src/load/kept-caller.ts
+++ b/packages/bench/src/load/keep-alive-caller.ts
@@ -1,7 +1,7 @@
 import net from 'node:net';
 import {splitAddress} from '@gentiandoor/kernel';
 import type {CallerRequest} from '../caller.js';
-import type {CallerOutcome} from '../promise-ledger.js';
+import type {CallerOutcome} from '../guarantee-checker.js';
 
 const HEAD_END = '\r\n\r\n';
 
@@ -20,7 +20,7 @@
  * A caller on one kept connection at a time. It never sends a request again: what is cut, is
  * counted as cut. A connection that cannot be opened has carried nothing and is not counted.
  */
-export class KeptCaller {
+export class KeepAliveCaller {
   private socket: net.Socket | undefined;
 
   /** `pick` gives the address for a new connection. */
@@ -103,14 +103,21 @@
   const base = {id, service, idempotent};
   if (!answer) {
     const reason = 'cut';
-    return {...base, status: 0, reason, run: '', whole: false, mixed: false};
+    return {
+      ...base,
+      status: 0,
+      reason,
+      run: '',
+      isComplete: false,
+      mixed: false,
+    };
   }
   const {status, head, body} = answer;
   const reason = headerOf(head, 'gentiandoor-reason') ?? '';
   const run = headerOf(head, 'gentiandoor-run') ?? '';
   const own = reason === '' && body.includes(`"/${service}/${id}"`);
   const mixed = reason === '' && !own;
-  return {...base, status, reason, run, whole: own, mixed};
+  return {...base, status, reason, run, isComplete: own, mixed};
 }
 
 function bytesOf({id, service, method, body = ''}: CallerRequest): string {
--- a/packages/bench/src/load/steady-load.ts
+++ b/packages/bench/src/load/steady-load.ts
@@ -1,6 +1,6 @@
 import {sleep, type Clock, type RandomSource} from '@gentiandoor/kernel';
-import {PromiseLedger} from '../promise-ledger.js';
-import {KeptCaller, type TimedOutcome} from './kept-caller.js';
+import {GuaranteeChecker} from '../guarantee-checker.js';
+import {KeepAliveCaller, type TimedOutcome} from './keep-alive-caller.js';
 
 const RETRY_CONNECT_MILLISECONDS = 20;
 
@@ -15,7 +15,7 @@
 
 /** Callers that send GET and POST in turns, each request with an id of its own, without keys. */
 export class SteadyLoad {
-  readonly ledger = new PromiseLedger();
+  readonly guaranteeChecker = new GuaranteeChecker();
   readonly outcomes: TimedOutcome[] = [];
   private running = true;
   private sent = 0;
@@ -39,11 +39,11 @@
   }
 
   private async keepSending(): Promise<void> {
-    const caller = new KeptCaller(this.plan.pick);
+    const caller = new KeepAliveCaller(this.plan.pick);
     while (this.running) {
       const outcome = await caller.send(this.next());
       if (outcome) {
-        this.ledger.record(outcome);
+        this.guaranteeChecker.record(outcome);
         this.outcomes.push(outcome);
       }
       const pause = outcome
--- a/packages/bench/src/model/deployment-model.ts
+++ b/packages/bench/src/model/deployment-model.ts
@@ -1,13 +1,13 @@
 import {SeededRandom, type RandomSource} from '@gentiandoor/kernel';
-import {WorkLength, type TeamTerms} from '@gentiandoor/decisions';
+import {WorkLength, type TeamPolicy} from '@gentiandoor/decisions';
 import {EventClock} from './event-clock.js';
 import {ModelDaemon, ONE_WAY_MILLISECONDS} from './model-daemon.js';
 import {ModelTarget, drawWorkMilliseconds} from './model-target.js';
 import type {Policy} from './policies.js';
-import {Tally} from './tally.js';
+import {RequestStatistics} from './request-statistics.js';
 
 /** Requests of one kind that come at random moments. */
-export interface Stream {
+export interface RequestStream {
   readonly name: string;
   /** Service that it asks for; its own when undefined. */
   readonly service?: string;
@@ -17,11 +17,11 @@
   readonly perSecond: (now: number) => number;
   /** Largest value of `perSecond`. */
   readonly peakPerSecond: number;
-  readonly team: TeamTerms;
+  readonly team: TeamPolicy;
   readonly callers: number;
   readonly idempotent: boolean;
   readonly waitMilliseconds: number;
-  readonly patienceMilliseconds: number;
+  readonly callerTimeoutMilliseconds: number;
   readonly queueLimit: number;
   /** Gives all to the first daemon of one data centre. */
   readonly dataCentre?: number;
@@ -39,13 +39,13 @@
   readonly seed: number;
   readonly warmUpMilliseconds: number;
   readonly milliseconds: number;
-  readonly streams: readonly Stream[];
+  readonly streams: readonly RequestStream[];
   /** Whether a daemon tells its peers at once when requests begin to wait. */
-  readonly hurries: boolean;
+  readonly sendsEarlySummaries: boolean;
   /** False: all targets count as near. */
-  readonly prefersNear?: boolean;
+  readonly prefersSameDataCentre?: boolean;
   /** False: daemons use their own data centre's targets only. */
-  readonly mayCross?: boolean;
+  readonly allowsOtherDataCentres?: boolean;
   /** Requests that wait inside a target past its slots; it answers busy to more. */
   readonly backlog?: number;
   /** Called at the start: schedules faults. */
@@ -56,7 +56,7 @@
 export const SLOTS = 8;
 const CONNECTIONS = 64;
 const SUMMARY_MILLISECONDS = 250;
-const HURRY_PAUSE_MILLISECONDS = 100;
+const MINIMUM_EARLY_INTERVAL_MILLISECONDS = 100;
 /** Time after the last arrival for what is under way. */
 const DRAIN_MILLISECONDS = 90_000;
 
@@ -65,13 +65,13 @@
   readonly clock = new EventClock();
   readonly targets = new Map<string, ModelTarget>();
   readonly daemons: ModelDaemon[] = [];
-  readonly tallies = new Map<string, Tally>();
+  readonly statisticsByStream = new Map<string, RequestStatistics>();
   /** Changes of standing of any target at any daemon. */
-  standingChanges = 0;
+  ejectionStateChanges = 0;
   /** Milliseconds of work in answers that came in time within the measured time. */
   usefulWork = 0;
   private readonly summarisedAt = new Map<string, number>();
-  private cutOff: number | undefined;
+  private isolatedDataCentre: number | undefined;
   private hasEnded = false;
   private readonly random: RandomSource;
 
@@ -102,20 +102,22 @@
     for (const daemon of this.daemons) {
       const seen = routable.map(target => ({
         ...target,
-        isNear:
+        isSameDataCentre:
           this.targets.get(target.id)?.dataCentre === daemon.dataCentre &&
-          this.plan.prefersNear !== false,
+          this.plan.prefersSameDataCentre !== false,
       }));
       daemon.pool.setTargets(
-        this.plan.mayCross === false ? seen.filter(({isNear}) => isNear) : seen,
+        this.plan.allowsOtherDataCentres === false
+          ? seen.filter(({isSameDataCentre: isNear}) => isNear)
+          : seen,
       );
     }
   }
 
   /** Cuts a data centre off from the others, or joins it again. */
-  cut(dataCentre: number | undefined): void {
-    for (const daemon of this.daemons) daemon.cut = dataCentre;
-    this.cutOff = dataCentre;
+  isolate(dataCentre: number | undefined): void {
+    for (const daemon of this.daemons) daemon.isolatedDataCentre = dataCentre;
+    this.isolatedDataCentre = dataCentre;
   }
 
   /** Slot-milliseconds that all targets could have run in the measured time. */
@@ -130,7 +132,7 @@
       id,
       address: id,
       rack: `rack-${rack}`,
-      isNear: true,
+      isSameDataCentre: true,
       slots: SLOTS,
       connections: CONNECTIONS,
     };
@@ -146,12 +148,12 @@
       clock: this.clock,
       random: new SeededRandom(this.plan.seed + 1 + index),
       name,
-      onPressure: () => this.hurry(daemon, name),
+      onWaitingStarted: () => this.sendEarlySummary(daemon, name),
       daemons: this.plan.daemons,
       dataCentre: index % this.plan.dataCentres,
       policy,
       targets: this.targets,
-      onStanding: () => this.standingChanges++,
+      onEjectionStateChange: () => this.ejectionStateChanges++,
       onUseful: milliseconds => this.countUseful(milliseconds),
     });
     this.daemons.push(daemon);
@@ -159,10 +161,14 @@
     this.clock.schedule(offset, () => this.summariseInTurn(daemon, name));
   }
 
-  private hurry(daemon: ModelDaemon, name: string): void {
+  private sendEarlySummary(daemon: ModelDaemon, name: string): void {
     const now = this.clock.monotonicMilliseconds();
     const last = this.summarisedAt.get(name) ?? -Infinity;
-    if (!this.plan.hurries || now - last < HURRY_PAUSE_MILLISECONDS) return;
+    if (
+      !this.plan.sendsEarlySummaries ||
+      now - last < MINIMUM_EARLY_INTERVAL_MILLISECONDS
+    )
+      return;
     this.summarise(daemon, name);
   }
 
@@ -175,14 +181,14 @@
 
   private summarise(daemon: ModelDaemon, name: string): void {
     this.summarisedAt.set(name, this.clock.monotonicMilliseconds());
-    const targets = daemon.pool.uses();
+    const targets = daemon.pool.usage();
     const teams = daemon.teamUses();
     this.clock.schedule(ONE_WAY_MILLISECONDS, () => {
       for (const peer of this.daemons) {
         const isApart =
-          this.cutOff !== undefined &&
-          (peer.dataCentre === this.cutOff) !==
-            (daemon.dataCentre === this.cutOff);
+          this.isolatedDataCentre !== undefined &&
+          (peer.dataCentre === this.isolatedDataCentre) !==
+            (daemon.dataCentre === this.isolatedDataCentre);
         if (peer !== daemon && !isApart) peer.onPeer(name, targets, teams);
       }
     });
@@ -194,17 +200,17 @@
     if (isWarm && !this.hasEnded) this.usefulWork += milliseconds;
   }
 
-  private startStream(stream: Stream): void {
-    const tally = new Tally();
-    this.tallies.set(stream.name, tally);
-    this.scheduleArrival(stream, tally, new Tally());
+  private startStream(stream: RequestStream): void {
+    const tally = new RequestStatistics();
+    this.statisticsByStream.set(stream.name, tally);
+    this.scheduleArrival(stream, tally, new RequestStatistics());
   }
 
   /** Arrivals at random moments; a changing rate is had by leaving some out. */
   private scheduleArrival(
-    stream: Stream,
-    tally: Tally,
-    unmeasured: Tally,
+    stream: RequestStream,
+    tally: RequestStatistics,
+    unmeasured: RequestStatistics,
   ): void {
     const {clock, random, plan} = this;
     const gap = -Math.log(1 - random.nextFraction()) / stream.peakPerSecond;
@@ -217,7 +223,7 @@
     });
   }
 
-  private submit(stream: Stream, tally: Tally): void {
+  private submit(stream: RequestStream, tally: RequestStatistics): void {
     const {random} = this;
     const {team, idempotent, work, queueLimit} = stream;
     const daemons = stream.daemons ?? this.daemons.length;
@@ -233,7 +239,7 @@
       caller: `${stream.name}-${random.nextInteger(stream.callers)}`,
       team,
       waitMilliseconds: stream.waitMilliseconds,
-      patienceMilliseconds: stream.patienceMilliseconds,
+      callerTimeoutMilliseconds: stream.callerTimeoutMilliseconds,
       queueLimit,
     });
   }
--- a/packages/bench/src/model/model-daemon.ts
+++ b/packages/bench/src/model/model-daemon.ts
@@ -1,22 +1,22 @@
 import type {RandomSource} from '@gentiandoor/kernel';
 import {
   OutcomeKind,
-  PeerShare,
+  PeerAwareLimiter,
   NoTeamQuota,
-  RetryVerdict,
+  RetryDecision,
   SharedTeamQuota,
   WorkLength,
   createStandardPool,
-  type PeerUses,
+  type PeerUsageByKey,
   type PoolSlot,
   type RetryPolicy,
   type SlotPool,
-  type TeamTerms,
+  type TeamPolicy,
 } from '@gentiandoor/decisions';
 import type {EventClock} from './event-clock.js';
 import type {ModelTarget} from './model-target.js';
 import type {Policy} from './policies.js';
-import type {Tally} from './tally.js';
+import type {RequestStatistics} from './request-statistics.js';
 
 /** One-way time between daemon and target, and between daemons. */
 export const ONE_WAY_MILLISECONDS = 0.5;
@@ -24,23 +24,23 @@
 const SUMMARY_EXPIRY_MILLISECONDS = 1000;
 
 /** The same to another data centre: 1 ms between them. */
-const FAR_ONE_WAY_MILLISECONDS = 1.5;
+const CROSS_DATA_CENTRE_ONE_WAY_MILLISECONDS = 1.5;
 /** A connection over a cut path fails after this long. */
 const CONNECT_MILLISECONDS = 500;
 
 /** A request of the model. */
 export interface ModelRequest {
-  readonly tally: Tally;
+  readonly tally: RequestStatistics;
   readonly startedAt: number;
   readonly service: string;
   readonly work: WorkLength;
   readonly milliseconds: number;
   readonly idempotent: boolean;
   readonly caller: string;
-  readonly team: TeamTerms;
+  readonly team: TeamPolicy;
   readonly waitMilliseconds: number;
   /** From the request to the moment when its caller gives up. */
-  readonly patienceMilliseconds: number;
+  readonly callerTimeoutMilliseconds: number;
   readonly queueLimit: number;
 }
 
@@ -53,8 +53,8 @@
   readonly dataCentre: number;
   readonly policy: Policy;
   readonly targets: ReadonlyMap<string, ModelTarget>;
-  readonly onPressure: () => void;
-  readonly onStanding: () => void;
+  readonly onWaitingStarted: () => void;
+  readonly onEjectionStateChange: () => void;
   /** An answer came in time: milliseconds of its work. */
   readonly onUseful: (milliseconds: number) => void;
 }
@@ -69,29 +69,29 @@
 export class ModelDaemon {
   readonly pool: SlotPool;
   /** Data centre that is cut off from all others. */
-  cut: number | undefined;
+  isolatedDataCentre: number | undefined;
   /** Exchanges with targets in other data centres. */
-  crossings = 0;
+  crossDataCentreExchanges = 0;
   /** Busy answers met. */
   busyAnswers = 0;
   private readonly retries: RetryPolicy;
-  private readonly quotaShare: PeerShare;
+  private readonly quotaShare: PeerAwareLimiter;
   private readonly quota: SharedTeamQuota;
 
   constructor(private readonly options: ModelDaemonOptions) {
     const {clock, random, name, policy, daemons} = options;
     this.retries = policy.retries(clock);
-    this.quotaShare = new PeerShare(clock, name, 0);
+    this.quotaShare = new PeerAwareLimiter(clock, name, 0);
     this.quota = new SharedTeamQuota(this.quotaShare);
     this.pool = createStandardPool({
       clock,
       random,
-      self: name,
+      incarnation: name,
       quota: policy.hasQuotas ? this.quota : new NoTeamQuota(),
       onSpill: () => {},
-      onPressure: options.onPressure,
-      onStanding: options.onStanding,
-      replaced: policy.parts(clock, random, daemons),
+      onWaitingStarted: options.onWaitingStarted,
+      onEjectionStateChange: options.onEjectionStateChange,
+      overrides: policy.overrides(clock, random, daemons),
     });
   }
 
@@ -106,16 +106,16 @@
   }
 
   /** What this daemon uses, for its peers. */
-  teamUses(): PeerUses {
-    const uses = [...this.quota.uses()].map(
+  teamUses(): PeerUsageByKey {
+    const uses = [...this.quota.usage()].map(
       ([team, inFlight]) => [team, {inFlight, waiting: false}] as const,
     );
     return new Map(uses);
   }
 
-  onPeer(peer: string, targets: PeerUses, teams: PeerUses): void {
-    this.quotaShare.onPeer(peer, teams, SUMMARY_EXPIRY_MILLISECONDS);
-    this.pool.onPeer(peer, targets, SUMMARY_EXPIRY_MILLISECONDS);
+  onPeer(peer: string, targets: PeerUsageByKey, teams: PeerUsageByKey): void {
+    this.quotaShare.onPeerUsage(peer, teams, SUMMARY_EXPIRY_MILLISECONDS);
+    this.pool.onPeerUsage(peer, targets, SUMMARY_EXPIRY_MILLISECONDS);
   }
 
   private attempt(request: ModelRequest, attempt: Attempt): void {
@@ -128,10 +128,10 @@
       caller: request.caller,
       idempotent: request.idempotent,
       tried: attempt.tried,
-      enteredAt: now,
+      enqueuedAt: now,
       deadline: request.startedAt + request.waitMilliseconds,
       grant: slot => this.send(request, attempt, slot),
-      refuse: ({reason, quotaHeld}) => {
+      refuse: ({reason, isQuotaExhausted: quotaHeld}) => {
         const text = quotaHeld ? 'quota' : (reason ?? 'no_target');
         request.tally.recordRefusal(text, this.age(request));
       },
@@ -144,8 +144,10 @@
     const target = targets.get(slot.target.id);
     if (!target) throw new Error(`no target ${slot.target.id}`);
     const isFar = target.dataCentre !== this.dataCentre;
-    if (isFar) this.crossings++;
-    const way = isFar ? FAR_ONE_WAY_MILLISECONDS : ONE_WAY_MILLISECONDS;
+    if (isFar) this.crossDataCentreExchanges++;
+    const way = isFar
+      ? CROSS_DATA_CENTRE_ONE_WAY_MILLISECONDS
+      : ONE_WAY_MILLISECONDS;
     const end = (kind: OutcomeKind) => {
       const latencyMilliseconds = clock.monotonicMilliseconds() - sentAt;
       slot.report({kind, latencyMilliseconds, leaving: false});
@@ -162,8 +164,11 @@
   }
 
   private isCutFrom({dataCentre}: ModelTarget): boolean {
-    if (this.cut === undefined) return false;
-    return (dataCentre === this.cut) !== (this.dataCentre === this.cut);
+    if (this.isolatedDataCentre === undefined) return false;
+    return (
+      (dataCentre === this.isolatedDataCentre) !==
+      (this.dataCentre === this.isolatedDataCentre)
+    );
   }
 
   private onEnd(
@@ -178,13 +183,13 @@
       return;
     }
     if (kind === OutcomeKind.Busy) this.busyAnswers++;
-    const verdict = this.retries.judge({
+    const verdict = this.retries.decide({
       kind,
       sent: kind === OutcomeKind.ServerError,
       idempotent: request.idempotent,
       attempts: number,
     });
-    if (verdict === RetryVerdict.Retry) {
+    if (verdict === RetryDecision.Retry) {
       tally.recordRetry(kind);
       this.attempt(request, {
         number: number + 1,
@@ -200,7 +205,7 @@
   private onAnswer(request: ModelRequest): void {
     const {tally} = request;
     const age = this.age(request);
-    if (age > request.patienceMilliseconds) {
+    if (age > request.callerTimeoutMilliseconds) {
       tally.late++;
       return;
     }
--- a/packages/bench/src/model/model-rows.ts
+++ b/packages/bench/src/model/model-rows.ts
@@ -1,7 +1,7 @@
 import type {ScenarioRow} from '../scenario.js';
 import {DeploymentModel, type ModelPlan} from './deployment-model.js';
 import type {Policy} from './policies.js';
-import type {Tally} from './tally.js';
+import type {RequestStatistics} from './request-statistics.js';
 
 /** A finished run. */
 export interface ModelRun {
@@ -24,7 +24,7 @@
 
 /** A row for each stream of a run. */
 export function rowsOf(run: ModelRun): ScenarioRow[] {
-  return [...run.model.tallies].map(([stream, tally]) => ({
+  return [...run.model.statisticsByStream].map(([stream, tally]) => ({
     label: `${run.label} / ${stream}`,
     values: {
       goodput: run.goodput,
@@ -39,14 +39,14 @@
       ...prefixed('refused', tally.refusals),
       ...prefixed('retried', tally.retries),
       busy_share: busyShare(run.model),
-      standing_changes: run.model.standingChanges,
+      standing_changes: run.model.ejectionStateChanges,
     },
   }));
 }
 
 /** The tally of one stream. */
-export function tallyOf(run: ModelRun, stream: string): Tally {
-  const tally = run.model.tallies.get(stream);
+export function statisticsOf(run: ModelRun, stream: string): RequestStatistics {
+  const tally = run.model.statisticsByStream.get(stream);
   if (!tally) throw new Error(`no stream ${stream}`);
   return tally;
 }
@@ -56,7 +56,8 @@
   let busy = 0;
   let offered = 0;
   for (const daemon of model.daemons) busy += daemon.busyAnswers;
-  for (const tally of model.tallies.values()) offered += tally.offered;
+  for (const tally of model.statisticsByStream.values())
+    offered += tally.offered;
   return busy / offered;
 }
 
--- a/packages/bench/src/model/model-target.ts
+++ b/packages/bench/src/model/model-target.ts
@@ -26,7 +26,7 @@
   /** Adds this share of a request's time for each other that runs: cold caches contended for. */
   contention = 0;
   /** Slot-milliseconds of work ended. */
-  ran = 0;
+  slotMillisecondsUsed = 0;
   private running = 0;
   private readonly backlog: Array<() => void> = [];
 
@@ -59,7 +59,7 @@
     this.running++;
     this.clock.schedule(time, () => {
       this.running--;
-      this.ran += time;
+      this.slotMillisecondsUsed += time;
       this.backlog.shift()?.();
       done(fails ? OutcomeKind.ServerError : OutcomeKind.Succeeded);
     });
--- a/packages/bench/src/model/policies.ts
+++ b/packages/bench/src/model/policies.ts
@@ -1,27 +1,27 @@
 import type {Clock, RandomSource} from '@gentiandoor/kernel';
 import {
   FirstInFirstOutQueue,
-  FullWeightAtOnce,
-  NeverEject,
-  NoClassGate,
-  NoLimit,
-  RandomChoice,
+  NoWeightRamp,
+  NoEjection,
+  EqualWorkLengthPolicy,
+  NoSlotLimiter,
+  RandomSelector,
   RetryBudget,
-  TakeAnySlot,
+  AllowSlowTargets,
   UnlimitedRetries,
   type RetryPolicy,
-  type SlotPoolParts,
+  type SlotPoolDependencies,
 } from '@gentiandoor/decisions';
 
 /** A set of decisions to compare. */
 export interface Policy {
   readonly label: string;
   /** Parts in place of the daemon's own. */
-  parts(
+  overrides(
     clock: Clock,
     random: RandomSource,
     daemons: number,
-  ): Partial<SlotPoolParts>;
+  ): Partial<SlotPoolDependencies>;
   retries(clock: Clock): RetryPolicy;
   /** Whether teams' quotas are kept. */
   readonly hasQuotas: boolean;
@@ -30,11 +30,11 @@
 /** The decisions as the daemon uses them, with some parts replaced. */
 export function variant(
   label: string,
-  parts: Policy['parts'] = () => ({}),
+  parts: Policy['overrides'] = () => ({}),
 ): Policy {
   return {
     label,
-    parts,
+    overrides: parts,
     retries: clock => new RetryBudget(clock),
     hasQuotas: true,
   };
@@ -47,13 +47,13 @@
 export const NAIVE: Policy = {
   label: 'naive',
   hasQuotas: false,
-  parts: (_clock, random) => ({
-    share: new NoLimit(),
-    choice: new RandomChoice(random),
-    ejection: new NeverEject(),
-    ramp: new FullWeightAtOnce(),
-    gate: new NoClassGate(),
-    slowTargets: new TakeAnySlot(),
+  overrides: (_clock, random) => ({
+    limiter: new NoSlotLimiter(),
+    selector: new RandomSelector(random),
+    ejection: new NoEjection(),
+    ramp: new NoWeightRamp(),
+    workLengthPolicy: new EqualWorkLengthPolicy(),
+    slowTargets: new AllowSlowTargets(),
     queue: new FirstInFirstOutQueue(),
   }),
   retries: () => new UnlimitedRetries(),
--- a/packages/bench/src/model/tally.ts
+++ b/packages/bench/src/model/request-statistics.ts
@@ -5,7 +5,7 @@
 const MICROSECONDS = 1000;
 
 /** What one group of requests got. */
-export class Tally {
+export class RequestStatistics {
   offered = 0;
   answered = 0;
   /** Answers that came when the caller had given up. */
--- a/packages/bench/src/model/streams.ts
+++ b/packages/bench/src/model/request-streams.ts
@@ -1,24 +1,27 @@
-import {WorkLength, type TeamTerms} from '@gentiandoor/decisions';
-import {SLOTS, type ModelPlan, type Stream} from './deployment-model.js';
+import {WorkLength, type TeamPolicy} from '@gentiandoor/decisions';
+import {SLOTS, type ModelPlan, type RequestStream} from './deployment-model.js';
 
 /** Mean time of a short request, such as a preview. */
 export const SHORT_MILLISECONDS = 50;
 /** Mean time of a long request, such as a projection. */
 export const LONG_MILLISECONDS = 2000;
 const SECOND = 1000;
-const WARM_UP = 5 * SECOND;
-const RUN = 30 * SECOND;
+const WARM_UP_MILLISECONDS = 5 * SECOND;
+const RUN_MILLISECONDS = 30 * SECOND;
 
 /** A team without a quota. */
-export function team(name: string, terms: Partial<TeamTerms> = {}): TeamTerms {
+export function team(
+  name: string,
+  terms: Partial<TeamPolicy> = {},
+): TeamPolicy {
   return {name, weight: 1, slots: 1_000_000, urgent: false, ...terms};
 }
 
 /** Short requests at a steady rate. */
 export function shortStream(
   perSecond: number,
-  changes: Partial<Stream> = {},
-): Stream {
+  changes: Partial<RequestStream> = {},
+): RequestStream {
   return {
     name: 'short',
     work: WorkLength.Short,
@@ -29,7 +32,7 @@
     callers: 50,
     idempotent: true,
     waitMilliseconds: SECOND,
-    patienceMilliseconds: 2 * SECOND,
+    callerTimeoutMilliseconds: 2 * SECOND,
     queueLimit: 64,
     ...changes,
   };
@@ -38,21 +41,21 @@
 /** Long requests at a steady rate. */
 export function longStream(
   perSecond: number,
-  changes: Partial<Stream> = {},
-): Stream {
+  changes: Partial<RequestStream> = {},
+): RequestStream {
   return shortStream(perSecond, {
     name: 'long',
     work: WorkLength.Long,
     meanMilliseconds: LONG_MILLISECONDS,
     team: team('audit'),
     waitMilliseconds: 10 * SECOND,
-    patienceMilliseconds: 60 * SECOND,
+    callerTimeoutMilliseconds: 60 * SECOND,
     ...changes,
   });
 }
 
 /** Short requests a second that keep `targets` targets wholly busy. */
-export function fullRate(
+export function saturationRate(
   targets: number,
   meanMilliseconds = SHORT_MILLISECONDS,
 ): number {
@@ -63,7 +66,7 @@
 export function plan(
   seed: number,
   scale: number,
-  streams: readonly Stream[],
+  streams: readonly RequestStream[],
   changes: Partial<ModelPlan> = {},
 ): ModelPlan {
   return {
@@ -71,10 +74,10 @@
     targets: 8,
     targetsInRack: 4,
     dataCentres: 1,
-    hurries: true,
+    sendsEarlySummaries: true,
     seed,
-    warmUpMilliseconds: WARM_UP,
-    milliseconds: RUN * scale,
+    warmUpMilliseconds: WARM_UP_MILLISECONDS,
+    milliseconds: RUN_MILLISECONDS * scale,
     streams,
     ...changes,
   };
--- a/packages/bench/src/processes/back-end.ts
+++ b/packages/bench/src/processes/back-end.ts
@@ -22,7 +22,8 @@
     dataCentre: 'hall-a',
     vms: VMS,
   });
-  for (const target of deployment.targets.values()) target.keepsRuns = false;
+  for (const target of deployment.targets.values())
+    target.recordsRequests = false;
   await deployment.rollOut(
     oneRackBundle({
       publicKey: deployment.operator.publicKey,
--- a/packages/bench/src/scenarios/decisions-data-centres.ts
+++ b/packages/bench/src/scenarios/decisions-data-centres.ts
@@ -1,7 +1,12 @@
 import type {DeploymentModel, ModelPlan} from '../model/deployment-model.js';
-import {play, rowsOf, tallyOf, type ModelRun} from '../model/model-rows.js';
+import {
+  play,
+  rowsOf,
+  statisticsOf,
+  type ModelRun,
+} from '../model/model-rows.js';
 import {NAIVE, STANDARD} from '../model/policies.js';
-import {fullRate, plan, shortStream} from '../model/streams.js';
+import {saturationRate, plan, shortStream} from '../model/request-streams.js';
 import type {
   Scenario,
   ScenarioCheck,
@@ -28,7 +33,8 @@
 
 function crossings(run: ModelRun): number {
   let crossed = 0;
-  for (const daemon of run.model.daemons) crossed += daemon.crossings;
+  for (const daemon of run.model.daemons)
+    crossed += daemon.crossDataCentreExchanges;
   return crossed;
 }
 
@@ -40,7 +46,7 @@
 }
 
 function answeredShare(run: ModelRun, stream: string): number {
-  const tally = tallyOf(run, stream);
+  const tally = statisticsOf(run, stream);
   return tally.answered / tally.offered;
 }
 
@@ -54,7 +60,7 @@
   description:
     'one of three data centres gets 1.6x of what its own targets can do, the others 0.3x',
   run({seed, scale}): Promise<ScenarioResult> {
-    const own = fullRate(TARGETS / DATA_CENTRES);
+    const own = saturationRate(TARGETS / DATA_CENTRES);
     const streams = [
       shortStream(1.6 * own, {name: 'busy', dataCentre: 0}),
       shortStream(0.3 * own, {name: 'calm-1', dataCentre: 1}),
@@ -67,8 +73,8 @@
         label,
       );
     const near = run({}, 'near first');
-    const any = run({prefersNear: false}, 'any target');
-    const only = run({mayCross: false}, 'near only');
+    const any = run({prefersSameDataCentre: false}, 'any target');
+    const only = run({allowsOtherDataCentres: false}, 'near only');
     return Promise.resolve({
       rows: [near, any, only].flatMap(withCrossings),
       checks: [
@@ -93,23 +99,23 @@
   description:
     'one of three data centres is cut off for 15 s; connections over the cut fail after 500 ms; load 0.5x, and 1.3x in the one cut off',
   run({seed, scale}): Promise<ScenarioResult> {
-    const own = fullRate(TARGETS / DATA_CENTRES);
+    const own = saturationRate(TARGETS / DATA_CENTRES);
     const streams = [
       shortStream(1.3 * own, {name: 'cut-off', dataCentre: 0}),
       shortStream(0.5 * own, {name: 'rest-1', dataCentre: 1}),
       shortStream(0.5 * own, {name: 'rest-2', dataCentre: 2}),
     ];
     const script = (model: DeploymentModel) => {
-      model.clock.schedule(CUT_AT, () => model.cut(0));
+      model.clock.schedule(CUT_AT, () => model.isolate(0));
       model.clock.schedule(CUT_AT + CUT_MILLISECONDS, () =>
-        model.cut(undefined),
+        model.isolate(undefined),
       );
     };
     const cutPlan = plan(seed, scale, streams, threeDataCentres({script}));
     const runs = [STANDARD, NAIVE].map(policy => play(cutPlan, policy));
     const [standard, naive] = runs;
     const failed = (run: ModelRun, stream: string) =>
-      tallyOf(run, stream).failed / tallyOf(run, stream).offered;
+      statisticsOf(run, stream).failed / statisticsOf(run, stream).offered;
     return Promise.resolve({
       rows: runs.flatMap(withCrossings),
       checks: [
--- a/packages/bench/src/scenarios/decisions-faults.ts
+++ b/packages/bench/src/scenarios/decisions-faults.ts
@@ -1,35 +1,42 @@
 import {
-  FullWeightAtOnce,
-  LeastCost,
-  NeverEject,
-  RandomChoice,
-  SampledChoice,
-  TakeAnySlot,
+  NoWeightRamp,
+  LeastCostSelector,
+  NoEjection,
+  RandomSelector,
+  SampledSelector,
+  AllowSlowTargets,
 } from '@gentiandoor/decisions';
 import type {DeploymentModel} from '../model/deployment-model.js';
 import {TargetMode} from '../model/model-target.js';
-import {play, rowsOf, tallyOf, type ModelRun} from '../model/model-rows.js';
+import {
+  play,
+  rowsOf,
+  statisticsOf,
+  type ModelRun,
+} from '../model/model-rows.js';
 import {NAIVE, STANDARD, variant} from '../model/policies.js';
-import {fullRate, plan, shortStream} from '../model/streams.js';
+import {saturationRate, plan, shortStream} from '../model/request-streams.js';
 import type {Scenario, ScenarioCheck, ScenarioResult} from '../scenario.js';
 
 const TARGETS = 8;
 const FAULT_AT = 10_000;
 const NO_EJECTION = variant('never eject', () => ({
-  ejection: new NeverEject(),
+  ejection: new NoEjection(),
 }));
 const RANDOM = variant('random choice', (_clock, random) => ({
-  choice: new RandomChoice(random),
+  selector: new RandomSelector(random),
 }));
 const TWO_SAMPLES = variant('two samples', (_clock, random) => ({
-  choice: new SampledChoice(random, 2),
+  selector: new SampledSelector(random, 2),
+}));
+const LEAST = variant('least cost', () => ({
+  selector: new LeastCostSelector(),
 }));
-const LEAST = variant('least cost', () => ({choice: new LeastCost()}));
 const ANY_SLOT = variant('take any slot', () => ({
-  slowTargets: new TakeAnySlot(),
+  slowTargets: new AllowSlowTargets(),
 }));
 const FULL_WEIGHT = variant('full weight at once', () => ({
-  ramp: new FullWeightAtOnce(),
+  ramp: new NoWeightRamp(),
 }));
 
 function setMode(
@@ -45,12 +52,12 @@
 
 /** Share of offered requests that ended in a failure or were turned away. */
 function notAnswered(run: ModelRun): number {
-  const tally = tallyOf(run, 'short');
+  const tally = statisticsOf(run, 'short');
   return 1 - tally.answered / tally.offered;
 }
 
 function failedShare(run: ModelRun): number {
-  const tally = tallyOf(run, 'short');
+  const tally = statisticsOf(run, 'short');
   return tally.failed / tally.offered;
 }
 
@@ -73,7 +80,7 @@
   description:
     'one target of eight fails every request within a millisecond, load 0.7x of all eight',
   run({seed, scale}): Promise<ScenarioResult> {
-    const stream = shortStream(0.7 * fullRate(TARGETS));
+    const stream = shortStream(0.7 * saturationRate(TARGETS));
     const script = (model: DeploymentModel) => {
       model.clock.schedule(FAULT_AT, () =>
         setMode(model, ['vm-3'], TargetMode.FailsEverything),
@@ -107,7 +114,7 @@
   description:
     'one target of eight takes ten times as long, load 0.7x of all eight',
   run({seed, scale}): Promise<ScenarioResult> {
-    const stream = shortStream(0.7 * fullRate(TARGETS));
+    const stream = shortStream(0.7 * saturationRate(TARGETS));
     const script = (model: DeploymentModel) => {
       model.clock.schedule(FAULT_AT, () => {
         const target = model.targets.get('vm-3');
@@ -118,7 +125,7 @@
       play(plan(seed, scale, [stream], {script}), policy),
     );
     const [standard, anySlot, , , naive] = runs;
-    const p99 = (run: ModelRun) => tallyOf(run, 'short').percentile(99);
+    const p99 = (run: ModelRun) => statisticsOf(run, 'short').percentile(99);
     return Promise.resolve({
       rows: runs.flatMap(rowsOf),
       checks: [
@@ -139,7 +146,7 @@
   description:
     'a rack with four of eight targets refuses connections for 15 s, load 0.35x of all eight',
   run({seed, scale}): Promise<ScenarioResult> {
-    const stream = shortStream(0.35 * fullRate(TARGETS));
+    const stream = shortStream(0.35 * saturationRate(TARGETS));
     const rack = ['vm-0', 'vm-1', 'vm-2', 'vm-3'];
     const script = (model: DeploymentModel) => {
       model.clock.schedule(FAULT_AT, () =>
@@ -173,7 +180,7 @@
   description:
     'all targets fail everything for 5 s, then work again; load 0.7x',
   run({seed, scale}): Promise<ScenarioResult> {
-    const stream = shortStream(0.7 * fullRate(TARGETS));
+    const stream = shortStream(0.7 * saturationRate(TARGETS));
     const script = (model: DeploymentModel) => {
       const all = [...model.targets.keys()];
       model.clock.schedule(FAULT_AT, () =>
@@ -215,14 +222,14 @@
   run({seed, scale}): Promise<ScenarioResult> {
     const policies = [STANDARD, FULL_WEIGHT, NAIVE];
     const runs = [ROOMY_LOAD, FULL_LOAD].flatMap(load => {
-      const stream = shortStream(load * fullRate(TARGETS));
+      const stream = shortStream(load * saturationRate(TARGETS));
       const script = plan(seed, scale, [stream], {script: flap});
       return policies.map(policy =>
         play(script, policy, `${policy.label} ${load}x`),
       );
     });
     const [roomy, roomyFull, roomyNaive, full, fullWeight, fullNaive] =
-      runs.map(run => tallyOf(run, 'short').percentile(99));
+      runs.map(run => statisticsOf(run, 'short').percentile(99));
     return Promise.resolve({
       rows: runs.flatMap(rowsOf),
       checks: [
@@ -255,14 +262,14 @@
     };
     const policies = [STANDARD, RANDOM, TWO_SAMPLES, LEAST, NAIVE];
     const runs = [0.3, 0.5].flatMap(load => {
-      const stream = shortStream(load * fullRate(TARGETS));
+      const stream = shortStream(load * saturationRate(TARGETS));
       const mixed = plan(seed, scale, [stream], {script});
       return policies.map(policy =>
         play(mixed, policy, `${policy.label} ${load}x`),
       );
     });
-    const p50 = (run: ModelRun) => tallyOf(run, 'short').percentile(50);
-    const p99 = (run: ModelRun) => tallyOf(run, 'short').percentile(99);
+    const p50 = (run: ModelRun) => statisticsOf(run, 'short').percentile(50);
+    const p99 = (run: ModelRun) => statisticsOf(run, 'short').percentile(99);
     const [calm, calmRandom, , , , busy, busyRandom] = runs;
     return Promise.resolve({
       rows: runs.flatMap(rowsOf),
--- a/packages/bench/src/scenarios/decisions-saturation.ts
+++ b/packages/bench/src/scenarios/decisions-saturation.ts
@@ -1,19 +1,19 @@
 import {
-  AdditiveIncreaseShare,
+  AdditiveIncreaseLimiter,
   FirstInFirstOutQueue,
-  NewestFirstWhenStandingQueue,
-  StaticSplit,
-  WholeTarget,
+  AdaptiveLastInFirstOutQueue,
+  StaticSplitLimiter,
+  FullTargetLimiter,
 } from '@gentiandoor/decisions';
 import {NAIVE, STANDARD, variant, type Policy} from '../model/policies.js';
 import {
   busyShare,
   play,
   rowsOf,
-  tallyOf,
+  statisticsOf,
   type ModelRun,
 } from '../model/model-rows.js';
-import {fullRate, plan, shortStream} from '../model/streams.js';
+import {saturationRate, plan, shortStream} from '../model/request-streams.js';
 import type {Scenario, ScenarioCheck, ScenarioResult} from '../scenario.js';
 
 const TARGETS = 8;
@@ -23,16 +23,16 @@
 
 const SHARES: readonly Policy[] = [
   variant('static split', (_clock, _random, daemons) => ({
-    share: new StaticSplit(daemons),
+    limiter: new StaticSplitLimiter(daemons),
   })),
-  variant('whole target', () => ({share: new WholeTarget()})),
+  variant('whole target', () => ({limiter: new FullTargetLimiter()})),
   variant('additive increase', clock => ({
-    share: new AdditiveIncreaseShare(clock),
+    limiter: new AdditiveIncreaseLimiter(clock),
   })),
 ];
 const QUEUES: readonly Policy[] = [
   variant('first in first out', () => ({queue: new FirstInFirstOutQueue()})),
-  variant('newest first', () => ({queue: new NewestFirstWhenStandingQueue()})),
+  variant('newest first', () => ({queue: new AdaptiveLastInFirstOutQueue()})),
 ];
 
 /** Saturation at 0.7x to 4x of what the targets can do. */
@@ -44,7 +44,7 @@
     const policies = [STANDARD, NAIVE, ...SHARES, ...QUEUES];
     const runs = policies.flatMap(policy =>
       LOADS.map(load => {
-        const stream = shortStream(load * fullRate(TARGETS));
+        const stream = shortStream(load * saturationRate(TARGETS));
         return play(
           plan(seed, scale, [stream]),
           policy,
@@ -64,8 +64,8 @@
     if (!run) throw new Error(`no run ${label}`);
     return run;
   };
-  const rest = tallyOf(find(STANDARD, REST), 'short').percentile(99);
-  const heavy = tallyOf(find(STANDARD, HEAVIEST), 'short').percentile(99);
+  const rest = statisticsOf(find(STANDARD, REST), 'short').percentile(99);
+  const heavy = statisticsOf(find(STANDARD, HEAVIEST), 'short').percentile(99);
   const goodput = find(STANDARD, HEAVIEST).goodput;
   const naive = find(NAIVE, HEAVIEST).goodput;
   const busy = busyShare(find(STANDARD, HEAVIEST).model);
@@ -105,12 +105,12 @@
   description:
     'load at 0.9x of capacity through one daemon of seven; slot shares against each other',
   run({seed, scale}): Promise<ScenarioResult> {
-    const stream = shortStream(0.9 * fullRate(TARGETS), {daemons: 1});
+    const stream = shortStream(0.9 * saturationRate(TARGETS), {daemons: 1});
     const runs = [STANDARD, NAIVE, ...SHARES].map(policy =>
       play(plan(seed, scale, [stream]), policy),
     );
     const [standard] = runs;
-    const answered = tallyOf(standard, 'short');
+    const answered = statisticsOf(standard, 'short');
     const share = answered.answered / answered.offered;
     return Promise.resolve({
       rows: runs.flatMap(rowsOf),
@@ -133,14 +133,14 @@
   run({seed, scale}): Promise<ScenarioResult> {
     const runs = [STANDARD, NAIVE].flatMap(policy =>
       LOADS.map(load => {
-        const stream = shortStream(load * fullRate(TARGETS));
+        const stream = shortStream(load * saturationRate(TARGETS));
         const label = `${policy.label} ${load}x`;
         return play(plan(seed, scale, [stream], {backlog: 56}), policy, label);
       }),
     );
     const [rest, , , heavy] = runs;
     const naive = runs[runs.length - 1];
-    const p99 = (run: ModelRun) => tallyOf(run, 'short').percentile(99);
+    const p99 = (run: ModelRun) => statisticsOf(run, 'short').percentile(99);
     return Promise.resolve({
       rows: runs.flatMap(rowsOf),
       checks: [
--- a/packages/bench/src/scenarios/decisions-sharing.ts
+++ b/packages/bench/src/scenarios/decisions-sharing.ts
@@ -1,35 +1,42 @@
 import {
   FirstInFirstOutQueue,
-  NoClassGate,
-  type TeamTerms,
+  EqualWorkLengthPolicy,
+  type TeamPolicy,
 } from '@gentiandoor/decisions';
-import type {Stream} from '../model/deployment-model.js';
-import {play, rowsOf, tallyOf, type ModelRun} from '../model/model-rows.js';
+import type {RequestStream} from '../model/deployment-model.js';
+import {
+  play,
+  rowsOf,
+  statisticsOf,
+  type ModelRun,
+} from '../model/model-rows.js';
 import {NAIVE, STANDARD, variant} from '../model/policies.js';
 import {
   LONG_MILLISECONDS,
-  fullRate,
+  saturationRate,
   longStream,
   plan,
   shortStream,
   team,
-} from '../model/streams.js';
+} from '../model/request-streams.js';
 import type {Scenario, ScenarioResult} from '../scenario.js';
 
 const TARGETS = 8;
 const ONE_LINE = variant('first in first out', () => ({
   queue: new FirstInFirstOutQueue(),
 }));
-const NO_CLASSES = variant('no classes', () => ({gate: new NoClassGate()}));
+const NO_CLASSES = variant('no classes', () => ({
+  workLengthPolicy: new EqualWorkLengthPolicy(),
+}));
 const URGENT_START_MILLISECONDS = 1900;
 
 function answeredShare(run: ModelRun, stream: string): number {
-  const tally = tallyOf(run, stream);
+  const tally = statisticsOf(run, stream);
   return tally.answered / tally.offered;
 }
 
 function p99(run: ModelRun, stream: string): number {
-  return tallyOf(run, stream).percentile(99);
+  return statisticsOf(run, stream).percentile(99);
 }
 
 /** Short bursts over what the targets can do, in an otherwise calm run. */
@@ -37,7 +44,7 @@
   name: 'decisions-burst',
   description: 'load 0.5x with bursts of 3x for 200 ms every 2 s',
   run({seed, scale}): Promise<ScenarioResult> {
-    const full = fullRate(TARGETS);
+    const full = saturationRate(TARGETS);
     const stream = shortStream(0.5 * full, {
       perSecond: now => (now % 2000 < 200 ? 3 : 0.5) * full,
       peakPerSecond: 3 * full,
@@ -46,7 +53,7 @@
       play(plan(seed, scale, [stream]), policy),
     );
     const unhurried = play(
-      plan(seed, scale, [stream], {hurries: false}),
+      plan(seed, scale, [stream], {sendsEarlySummaries: false}),
       STANDARD,
       'summaries in turn only',
     );
@@ -71,12 +78,12 @@
   description:
     'one caller of one team sends 1.5x of capacity, fifty callers of another 0.3x, an urgent team 0.1x',
   run({seed, scale}): Promise<ScenarioResult> {
-    const full = fullRate(TARGETS);
+    const full = saturationRate(TARGETS);
     const named = (
       name: string,
       load: number,
       callers: number,
-      terms: TeamTerms,
+      terms: TeamPolicy,
     ) =>
       shortStream(load * full, {
         name,
@@ -84,7 +91,7 @@
         team: terms,
         service: 'counter-preview',
       });
-    const streams: Stream[] = [
+    const streams: RequestStream[] = [
       named('heavy', 1.5, 1, team('cooperative')),
       named('light', 0.3, 50, team('counter')),
       named('urgent', 0.1, 10, team('rescue', {urgent: true})),
@@ -94,7 +101,7 @@
     );
     const [standard, oneLine] = runs;
     const light = answeredShare(standard, 'light');
-    const wait = tallyOf(standard, 'urgent').percentile(99.9);
+    const wait = statisticsOf(standard, 'urgent').percentile(99.9);
     return Promise.resolve({
       rows: runs.flatMap(rowsOf),
       checks: [
@@ -134,8 +141,8 @@
   description:
     'a team with a quota of 16 of 64 slots sends 2x of capacity, another 0.5x',
   run({seed, scale}): Promise<ScenarioResult> {
-    const full = fullRate(TARGETS);
-    const streams: Stream[] = [
+    const full = saturationRate(TARGETS);
+    const streams: RequestStream[] = [
       shortStream(2 * full, {
         name: 'bounded',
         team: team('cooperative', {slots: 16}),
@@ -147,7 +154,7 @@
     );
     const [standard] = runs;
     const used =
-      tallyOf(standard, 'bounded').usefulWork / standard.model.capacity();
+      statisticsOf(standard, 'bounded').usefulWork / standard.model.capacity();
     const others = answeredShare(standard, 'others');
     return Promise.resolve({
       rows: runs.flatMap(rowsOf),
@@ -173,9 +180,9 @@
   description:
     'long work of 2 s at 1.5x of capacity among short work at 0.3x, one pool',
   run({seed, scale}): Promise<ScenarioResult> {
-    const streams: Stream[] = [
-      shortStream(0.3 * fullRate(TARGETS)),
-      longStream(1.5 * fullRate(TARGETS, LONG_MILLISECONDS)),
+    const streams: RequestStream[] = [
+      shortStream(0.3 * saturationRate(TARGETS)),
+      longStream(1.5 * saturationRate(TARGETS, LONG_MILLISECONDS)),
     ];
     const changes = {milliseconds: 120_000 * scale, warmUpMilliseconds: 20_000};
     const runs = [STANDARD, NO_CLASSES, ONE_LINE, NAIVE].map(policy =>
@@ -203,10 +210,12 @@
         {
           name: 'long work is not starved: a quarter of the slots at least',
           passed:
-            tallyOf(standard, 'long').usefulWork / standard.model.capacity() >=
+            statisticsOf(standard, 'long').usefulWork /
+              standard.model.capacity() >=
             0.25,
           detail: (
-            tallyOf(standard, 'long').usefulWork / standard.model.capacity()
+            statisticsOf(standard, 'long').usefulWork /
+            standard.model.capacity()
           ).toFixed(3),
         },
       ],
--- a/packages/bench/src/scenarios/fleet-day.ts
+++ b/packages/bench/src/scenarios/fleet-day.ts
@@ -2,7 +2,7 @@
   FleetPlanner,
   GreedyRebalancer,
   JobPlacer,
-  MaintenanceTracker,
+  MaintenanceWorkflow,
   MovePlanner,
   REBALANCE_DEFAULTS,
   Rebalancer,
@@ -10,8 +10,8 @@
   VmObserver,
   WavePlanner,
   bufferPlan,
-  smallestSize,
-  type PlannerPart,
+  minimumPoolSize,
+  type PlanningStage,
 } from '@gentiandoor/fleet';
 import {SeededRandom, type RandomSource} from '@gentiandoor/kernel';
 import {FailureDomain, RecordKind, WaveState} from '@gentiandoor/shared-state';
@@ -24,7 +24,7 @@
   type ExamplePool,
 } from '@gentiandoor/stand-ins';
 import type {Scenario, ScenarioCheck, ScenarioRow} from '../scenario.js';
-import {FleetDriver} from './fleet-driver.js';
+import {FleetSimulator} from './fleet-simulator.js';
 
 const STEP_MILLISECONDS = 10_000;
 const DAY_MILLISECONDS = 86_400_000;
@@ -41,7 +41,7 @@
 interface Policy {
   readonly name: string;
   sizes(deployment: ExampleDeployment): ExampleDeployment;
-  rebalancer(): PlannerPart | undefined;
+  rebalancer(): PlanningStage | undefined;
 }
 
 const POLICIES: readonly Policy[] = [
@@ -80,7 +80,10 @@
 function plannedSizes(deployment: ExampleDeployment): ExampleDeployment {
   const plan = bufferPlan(exampleState(deployment), REBALANCE_DEFAULTS);
   const sizes = new Map(
-    plan.map(({pool, smallest, spares}) => [pool, smallest + spares]),
+    plan.map(({pool, minimumVms: smallest, spares}) => [
+      pool,
+      smallest + spares,
+    ]),
   );
   return resized(deployment, pool => sizes.get(pool.name) ?? pool.vms);
 }
@@ -103,7 +106,7 @@
     pool.survive === FailureDomain.DataCentre
       ? deployment.dataCentres.length
       : Math.ceil(totalVms(deployment) / deployment.vmsPerRack);
-  return smallestSize(
+  return minimumPoolSize(
     pool.availableVms,
     pool.survive as FailureDomain,
     domains,
@@ -136,17 +139,17 @@
   return (total - needed) / total;
 }
 
-function partsOf(policy: Policy): PlannerPart[] {
+function partsOf(policy: Policy): PlanningStage[] {
   const shared = new FleetPlanner();
   const rebalancer = policy.rebalancer();
   return [
     new VmObserver(),
-    new MaintenanceTracker(),
+    new MaintenanceWorkflow(),
     new MovePlanner(),
     new RepairPlanner(),
     ...(rebalancer ? [rebalancer] : []),
     new WavePlanner(),
-    new JobPlacer(shared.sizes, shared.failures),
+    new JobPlacer(shared.jobSizeEstimator, shared.faultyVmDetector),
   ];
 }
 
@@ -155,8 +158,8 @@
   policy: Policy,
   random: RandomSource,
   days: number,
-): FleetDriver {
-  const driver = new FleetDriver(deployment, partsOf(policy));
+): FleetSimulator {
+  const driver = new FleetSimulator(deployment, partsOf(policy));
   const vms = exampleVms(deployment);
   const steps = Math.round((days * DAY_MILLISECONDS) / STEP_MILLISECONDS);
   const stepsADay = DAY_MILLISECONDS / STEP_MILLISECONDS;
@@ -173,7 +176,7 @@
   return driver;
 }
 
-function startWave(driver: FleetDriver): void {
+function startWave(driver: FleetSimulator): void {
   driver.write({
     kind: RecordKind.WaveStarted,
     wave: 'wave-1',
@@ -183,7 +186,7 @@
 }
 
 function failRack(
-  driver: FleetDriver,
+  driver: FleetSimulator,
   vms: ReturnType<typeof exampleVms>,
   random: RandomSource,
 ): void {
@@ -193,7 +196,7 @@
 }
 
 function failDataCentre(
-  driver: FleetDriver,
+  driver: FleetSimulator,
   vms: ReturnType<typeof exampleVms>,
   random: RandomSource,
 ): void {
@@ -203,7 +206,7 @@
 }
 
 function failOrdinarily(
-  driver: FleetDriver,
+  driver: FleetSimulator,
   vms: ReturnType<typeof exampleVms>,
   random: RandomSource,
   stepsADay: number,
@@ -217,7 +220,7 @@
 }
 
 function submitJob(
-  driver: FleetDriver,
+  driver: FleetSimulator,
   deployment: ExampleDeployment,
   random: RandomSource,
   number: number,
@@ -263,7 +266,7 @@
   label: string,
   deployment: ExampleDeployment,
   sized: ExampleDeployment,
-  driver: FleetDriver,
+  driver: FleetSimulator,
 ): ScenarioRow {
   const {totals} = driver;
   const wave = driver.state.waves.get('wave-1');
@@ -288,7 +291,7 @@
 function checksOf(
   label: string,
   policy: Policy,
-  driver: FleetDriver,
+  driver: FleetSimulator,
 ): ScenarioCheck[] {
   const {violations} = driver.totals;
   const wave = driver.state.waves.get('wave-1');
--- a/packages/bench/src/scenarios/fleet-jobs.ts
+++ b/packages/bench/src/scenarios/fleet-jobs.ts
@@ -1,9 +1,9 @@
-import {FleetPlanner, PLACEMENTS_A_ROUND} from '@gentiandoor/fleet';
+import {FleetPlanner, MAXIMUM_PLACEMENTS_PER_ROUND} from '@gentiandoor/fleet';
 import {
   JobState,
-  MOST_BATCHED,
+  MAXIMUM_BATCH_ENTRIES,
   RecordKind,
-  jobsOf,
+  jobIndexOf,
 } from '@gentiandoor/shared-state';
 import {
   KINGSTON,
@@ -11,7 +11,7 @@
   type ExampleDeployment,
 } from '@gentiandoor/stand-ins';
 import type {Scenario, ScenarioRow} from '../scenario.js';
-import {FleetDriver} from './fleet-driver.js';
+import {FleetSimulator} from './fleet-simulator.js';
 
 const JOBS = 20_000;
 const CANCELLED = 10_000;
@@ -19,7 +19,10 @@
 /** What the platform's log takes in a second, for several records an append: the aim to beat. */
 const PLACEMENTS_PER_SECOND = 500;
 
-function submitAll(driver: FleetDriver, deployment: ExampleDeployment): void {
+function submitAll(
+  driver: FleetSimulator,
+  deployment: ExampleDeployment,
+): void {
   const {pools, teams} = deployment;
   for (let n = 0; n < JOBS; n++) {
     driver.write({
@@ -36,7 +39,7 @@
 }
 
 function measure(label: string, deployment: ExampleDeployment): ScenarioRow {
-  const driver = new FleetDriver(deployment, [...new FleetPlanner().parts]);
+  const driver = new FleetSimulator(deployment, [...new FleetPlanner().stages]);
   const submit = time(() => submitAll(driver, deployment));
   let placed = 0;
   let rounds = 0;
@@ -50,8 +53,8 @@
   });
   const keys = queuedKeys(driver).slice(0, CANCELLED);
   const cancel = time(() => {
-    for (let from = 0; from < keys.length; from += MOST_BATCHED) {
-      const batch = keys.slice(from, from + MOST_BATCHED);
+    for (let from = 0; from < keys.length; from += MAXIMUM_BATCH_ENTRIES) {
+      const batch = keys.slice(from, from + MAXIMUM_BATCH_ENTRIES);
       driver.write({kind: RecordKind.JobsCancelled, keys: batch});
     }
   });
@@ -74,16 +77,17 @@
   };
 }
 
-function queuedKeys(driver: FleetDriver): string[] {
+function queuedKeys(driver: FleetSimulator): string[] {
   const keys: string[] = [];
-  for (const teams of jobsOf(driver.state).queues.values())
+  for (const teams of jobIndexOf(driver.state).queues.values())
     for (const queue of teams.values()) keys.push(...queue);
   return keys;
 }
 
-function countPlaced(driver: FleetDriver): number {
+function countPlaced(driver: FleetSimulator): number {
   let count = 0;
-  for (const keys of jobsOf(driver.state).placedOn.values()) count += keys.size;
+  for (const keys of jobIndexOf(driver.state).placedKeysByVm.values())
+    count += keys.size;
   return count;
 }
 
@@ -100,7 +104,7 @@
 /** Placement of jobs and a wave of cancellations. */
 export const FLEET_JOBS: Scenario = {
   name: 'jobs',
-  description: `placement of ${JOBS} jobs at ${PLACEMENTS_A_ROUND} a round and ${CANCELLED} cancellations, fold included`,
+  description: `placement of ${JOBS} jobs at ${MAXIMUM_PLACEMENTS_PER_ROUND} a round and ${CANCELLED} cancellations, fold included`,
   async run() {
     const rows = [
       measure('kingston', KINGSTON),
--- a/packages/bench/src/scenarios/fleet-lending.ts
+++ b/packages/bench/src/scenarios/fleet-lending.ts
@@ -2,7 +2,7 @@
   FleetPlanner,
   GreedyRebalancer,
   Rebalancer,
-  type PlannerPart,
+  type PlanningStage,
 } from '@gentiandoor/fleet';
 import {SeededRandom} from '@gentiandoor/kernel';
 import {
@@ -11,7 +11,7 @@
   type ExampleDeployment,
 } from '@gentiandoor/stand-ins';
 import type {Scenario, ScenarioRow} from '../scenario.js';
-import {FleetDriver} from './fleet-driver.js';
+import {FleetSimulator} from './fleet-simulator.js';
 
 const STEP_MILLISECONDS = 10_000;
 const MINUTE_MILLISECONDS = 60_000;
@@ -30,8 +30,8 @@
 ];
 
 /** The planner's parts with another rebalancer, or none. */
-function partsWith(other?: PlannerPart): PlannerPart[] {
-  return new FleetPlanner().parts.flatMap(part =>
+function partsWith(other?: PlanningStage): PlanningStage[] {
+  return new FleetPlanner().stages.flatMap(part =>
     part instanceof Rebalancer ? (other ?? []) : part,
   );
 }
@@ -39,9 +39,9 @@
 function play(
   deployment: ExampleDeployment,
   seed: number,
-  parts: readonly PlannerPart[] = new FleetPlanner().parts,
-): FleetDriver {
-  const driver = new FleetDriver(deployment, parts);
+  parts: readonly PlanningStage[] = new FleetPlanner().stages,
+): FleetSimulator {
+  const driver = new FleetSimulator(deployment, parts);
   const random = new SeededRandom(seed);
   const vms = exampleVms(deployment);
   const steps = (HOURS * HOUR_MILLISECONDS) / STEP_MILLISECONDS;
@@ -58,7 +58,7 @@
   return driver;
 }
 
-function rowOf(label: string, driver: FleetDriver): ScenarioRow {
+function rowOf(label: string, driver: FleetSimulator): ScenarioRow {
   const {vmMoves, exposedMinutes, brokenMinutes, violations} = driver.totals;
   return {
     label,
--- a/packages/bench/src/scenarios/fleet-scale.ts
+++ b/packages/bench/src/scenarios/fleet-scale.ts
@@ -1,7 +1,11 @@
-import {MoveCause, RecordKind, WorkKind} from '@gentiandoor/shared-state';
+import {
+  MoveCause,
+  RecordKind,
+  PlannedWorkKind,
+} from '@gentiandoor/shared-state';
 import {largeDeployment} from '@gentiandoor/stand-ins';
 import type {Scenario, ScenarioRow} from '../scenario.js';
-import {FleetDriver} from './fleet-driver.js';
+import {FleetSimulator} from './fleet-simulator.js';
 
 const SIZES = [
   {vms: 1000, pools: 10},
@@ -22,7 +26,7 @@
 function measure(vms: number, pools: number): ScenarioRow {
   const before = heap();
   const started = performance.now();
-  const driver = new FleetDriver(largeDeployment(vms, pools));
+  const driver = new FleetSimulator(largeDeployment(vms, pools));
   const built = performance.now() - started;
   const stateMegabytes = heap() - before;
   const first = timeRounds(driver, 1);
@@ -36,7 +40,7 @@
   const waveStart = timeRounds(driver, 1);
   const inWave = timeRounds(driver, ROUNDS * 10);
   const maintained = [...driver.state.work.values()].filter(
-    work => work.kind === WorkKind.Maintenance,
+    work => work.kind === PlannedWorkKind.Maintenance,
   ).length;
   return {
     label: `${vms} VMs, ${pools} pools`,
@@ -56,14 +60,14 @@
 }
 
 /** Mean milliseconds of planning in a round, records and fold included. */
-function timeRounds(driver: FleetDriver, rounds: number): number {
+function timeRounds(driver: FleetSimulator, rounds: number): number {
   const before = driver.totals.planningMilliseconds;
   for (let n = 0; n < rounds; n++) driver.step(ROUND_MILLISECONDS);
   return (driver.totals.planningMilliseconds - before) / rounds;
 }
 
 /** Microseconds of one record that starts a move and one that aborts it. */
-function timeMoves(driver: FleetDriver): number {
+function timeMoves(driver: FleetSimulator): number {
   const vms = [...driver.state.vms.values()].slice(0, 500);
   const pools = Object.keys(driver.state.inForce?.bundle.pools ?? {});
   const started = performance.now();
--- a/packages/bench/src/scenarios/fleet-driver.ts
+++ b/packages/bench/src/scenarios/fleet-simulator.ts
@@ -1,18 +1,18 @@
 import {
   FleetPlanner,
   type PlannerInput,
-  type PlannerPart,
-  type Proposal,
+  type PlanningStage,
+  type ProposedRecord,
 } from '@gentiandoor/fleet';
 import {
   JobOutcome,
   ListedState,
   RecordKind,
   VmActionState,
-  WorkStep,
-  budgetStandings,
-  capacityOf,
-  jobsOf,
+  PlannedWorkStep,
+  serviceBudgetStatuses,
+  capacityIndexOf,
+  jobIndexOf,
   plannerOf,
   type FleetRecord,
   type FleetState,
@@ -22,7 +22,7 @@
 import {
   exampleState,
   exampleVms,
-  fold,
+  foldRecord,
   type ExampleDeployment,
 } from '@gentiandoor/stand-ins';
 import {actionId} from '@gentiandoor/fleet';
@@ -51,7 +51,7 @@
 }
 
 /** Plays the platform around the real fold and planner, one step at a time. */
-export class FleetDriver {
+export class FleetSimulator {
   readonly state: FleetState;
   readonly totals: DriverTotals = {
     records: 0,
@@ -79,7 +79,7 @@
 
   constructor(
     deployment: ExampleDeployment,
-    private readonly parts?: readonly PlannerPart[],
+    private readonly parts?: readonly PlanningStage[],
   ) {
     this.state = exampleState(deployment);
     for (const {id, dataCentre, rack} of exampleVms(deployment)) {
@@ -111,7 +111,7 @@
   write(draft: object): boolean {
     const id = `driver-${this.written++}`;
     const record = {...draft, id, writer: PLANNER} as unknown as FleetRecord;
-    const {rejection} = fold(this.state, record);
+    const {rejection} = foldRecord(this.state, record);
     this.totals.records++;
     if (rejection) this.totals.rejected++;
     return rejection === undefined;
@@ -124,7 +124,7 @@
     this.acknowledge();
     this.runJobs();
     const started = performance.now();
-    for (const part of this.parts ?? this.planner.parts)
+    for (const part of this.parts ?? this.planner.stages)
       for (const proposal of part.plan(this.input())) this.carryOut(proposal);
     this.totals.planningMilliseconds += performance.now() - started;
     this.totals.rounds++;
@@ -136,14 +136,14 @@
       state: this.state,
       now: this.now,
       wallNow: this.now,
-      list: this.list,
-      listAgeMilliseconds: 0,
-      suspected: new Set(),
-      actions: this.actions,
+      vmList: this.list,
+      vmListAgeMilliseconds: 0,
+      suspectedVms: new Set(),
+      vmActions: this.actions,
     };
   }
 
-  private carryOut(proposal: Proposal): void {
+  private carryOut(proposal: ProposedRecord): void {
     const {record} = proposal;
     const isStop =
       record.kind === RecordKind.MoveStarted ||
@@ -157,7 +157,7 @@
 
   private margins(): Map<string, number> {
     return new Map(
-      budgetStandings(this.state).map(entry => [
+      serviceBudgetStatuses(this.state).map(entry => [
         entry.service,
         entry.availableAfterLoss - entry.needed,
       ]),
@@ -179,7 +179,7 @@
       if (home) this.list.set(vm, home);
     }
     for (const work of this.state.work.values()) {
-      if (work.step !== WorkStep.Asked) continue;
+      if (work.step !== PlannedWorkStep.Asked) continue;
       const id = actionId(work);
       const ends = this.actionEnds.get(id);
       if (ends === undefined) this.beginAction(id, work.vm);
@@ -222,8 +222,8 @@
 
   private runJobs(): void {
     const reports: JobReport[] = [];
-    const index = capacityOf(this.state);
-    for (const [vm, keys] of jobsOf(this.state).placedOn) {
+    const index = capacityIndexOf(this.state);
+    for (const [vm, keys] of jobIndexOf(this.state).placedKeysByVm) {
       const isGone = !this.list.has(vm);
       const isLeaving = !index.isAvailable(vm);
       for (const key of keys) {
@@ -260,7 +260,7 @@
 
   private judge(milliseconds: number): void {
     const minutes = milliseconds / MILLISECONDS_A_MINUTE;
-    for (const standing of budgetStandings(this.state)) {
+    for (const standing of serviceBudgetStatuses(this.state)) {
       const margin = standing.availableAfterLoss - standing.needed;
       if (margin < 0) this.totals.exposedMinutes += minutes;
       if (standing.broken) this.totals.brokenMinutes += minutes;
--- a/packages/bench/src/scenarios/fleet-wave.ts
+++ b/packages/bench/src/scenarios/fleet-wave.ts
@@ -6,7 +6,7 @@
   type ExampleDeployment,
 } from '@gentiandoor/stand-ins';
 import type {Scenario, ScenarioRow} from '../scenario.js';
-import {FleetDriver} from './fleet-driver.js';
+import {FleetSimulator} from './fleet-simulator.js';
 
 const STEP_MILLISECONDS = 5000;
 const HOUR_MILLISECONDS = 3_600_000;
@@ -16,7 +16,7 @@
 const MINUTES_A_VM = VM_MILLISECONDS / 60_000;
 
 function measure(label: string, deployment: ExampleDeployment): ScenarioRow {
-  const driver = new FleetDriver(deployment);
+  const driver = new FleetSimulator(deployment);
   driver.write({
     kind: RecordKind.WaveStarted,
     wave: 'wave-1',
--- a/packages/bench/src/scenarios/once-only-fleet.ts
+++ b/packages/bench/src/scenarios/once-only-fleet.ts
@@ -6,12 +6,15 @@
   sleep,
   type Clock,
 } from '@gentiandoor/kernel';
-import {ClaimsOverLog, onceOnlyOptions} from '@gentiandoor/plugin-once-only';
+import {
+  LogBackedIdempotencyGuard,
+  onceOnlyOptions,
+} from '@gentiandoor/plugin-once-only';
 import {
   emptyFleetState,
   type AppendPosition,
   type LogBatch,
-  type OnceOnly,
+  type IdempotencyGuard,
   type PlatformLog,
   type ReadOptions,
   type StreamName,
@@ -50,7 +53,7 @@
 /** Claims of several daemons over one slow log. */
 export class ClaimsFleet {
   readonly log: MemoryLog;
-  readonly daemons: ClaimsOverLog[] = [];
+  readonly daemons: LogBackedIdempotencyGuard[] = [];
   private readonly network = new MemoryPeerNetwork();
   private readonly metrics = new MemoryMetrics();
 
@@ -70,13 +73,13 @@
     for (let index = 0; index < daemons; index++) await this.startOne(index);
   }
 
-  async startOne(index: number): Promise<ClaimsOverLog> {
+  async startOne(index: number): Promise<LogBackedIdempotencyGuard> {
     const identity = {
       name: `entry-${index}`,
       dataCentre: 'hall-a',
       incarnation: `entry-${index}.1`,
     };
-    const daemon = new ClaimsOverLog({
+    const daemon = new LogBackedIdempotencyGuard({
       clock: this.clock,
       random: new SeededRandom(index),
       logger: new SilentLogger(),
@@ -103,7 +106,10 @@
 }
 
 /** One decision: run it and finish at once. */
-export async function runOne(claims: OnceOnly, key: string): Promise<void> {
+export async function runOne(
+  claims: IdempotencyGuard,
+  key: string,
+): Promise<void> {
   const decision = await claims.begin({
     service: 'crest-works',
     caller: 'crest-shop',
--- a/packages/bench/src/scenarios/once-only.ts
+++ b/packages/bench/src/scenarios/once-only.ts
@@ -1,12 +1,12 @@
 import {RequestError, SystemClock, sleep} from '@gentiandoor/kernel';
-import {LocalOnceOnly} from '@gentiandoor/plugin-once-only';
+import {LocalIdempotencyGuard} from '@gentiandoor/plugin-once-only';
 import {
   ClaimTable,
-  claimFingerprint,
-  claimKey,
+  claimFingerprintDigest,
+  claimKeyDigest,
   encodeClaimBatch,
   StreamName,
-  type OnceOnly,
+  type IdempotencyGuard,
 } from '@gentiandoor/shared-state';
 import {build} from 'hdr-histogram-js';
 import type {
@@ -28,7 +28,7 @@
 const MOST_APPENDS_PER_SECOND = 300;
 
 interface Load {
-  readonly begin: readonly OnceOnly[];
+  readonly begin: readonly IdempotencyGuard[];
   readonly perSecond: number;
   readonly milliseconds: number;
 }
@@ -114,7 +114,7 @@
   );
   const local = Array.from(
     {length: DAEMONS},
-    () => new LocalOnceOnly({onceOnlyOptions: {keys: 100_000}}),
+    () => new LocalIdempotencyGuard({onceOnlyOptions: {keys: 100_000}}),
   );
   if (way !== Way.Local) await fleet.start(DAEMONS);
   await sleep(clock, 2 * appendMilliseconds);
@@ -243,9 +243,9 @@
       fingerprint: `POST /crest-works ${first + index}`,
     };
     return {
-      key: claimKey(request),
+      key: claimKeyDigest(request),
       attempt: first + index + 1,
-      fingerprint: claimFingerprint(request),
+      fingerprint: claimFingerprintDigest(request),
     };
   });
   const sequence = first + 1;
--- a/packages/bench/src/scenarios/request-path-deployment.ts
+++ b/packages/bench/src/scenarios/request-path-deployment.ts
@@ -1,10 +1,13 @@
 import {SeededRandom, sleep} from '@gentiandoor/kernel';
-import {ForgetfulPath} from '@gentiandoor/stand-ins';
-import {Deployment, type DaemonPlan} from '../deployment.js';
+import {SilentDropProxy} from '@gentiandoor/stand-ins';
+import {Deployment, type DaemonSettingsOverrides} from '../deployment.js';
 import {Balancer} from '../load/balancer.js';
 import {SteadyLoad} from '../load/steady-load.js';
 import {oneRackBundle} from '../one-rack-bundle.js';
-import type {BrokenPromises, PromiseLedger} from '../promise-ledger.js';
+import type {
+  GuaranteeViolations,
+  GuaranteeChecker,
+} from '../guarantee-checker.js';
 import type {ScenarioCheck, ScenarioRow} from '../scenario.js';
 
 /** The one service of these scenarios. */
@@ -23,7 +26,7 @@
   readonly deadlineMilliseconds: number;
   /** Time one way between callers and daemons; 0 when undefined. */
   readonly callerDelayMilliseconds?: number;
-  readonly daemonPlan: DaemonPlan;
+  readonly daemonPlan: DaemonSettingsOverrides;
 }
 
 /** Daemons, targets, a balancer and a steady load in one process. */
@@ -33,7 +36,7 @@
   private readonly balancer: Balancer;
   private readonly tasks: Array<Promise<void>> = [];
   /** Ways to daemons by the daemon's address. */
-  private readonly ways = new Map<string, ForgetfulPath>();
+  private readonly ways = new Map<string, SilentDropProxy>();
   private started = 0;
 
   constructor(private readonly plan: PathPlan) {
@@ -78,7 +81,7 @@
       daemonPlan,
     );
     if (callerDelayMilliseconds === undefined) return;
-    const way = new ForgetfulPath(callerAddress, callerDelayMilliseconds);
+    const way = new SilentDropProxy(callerAddress, callerDelayMilliseconds);
     await way.start();
     this.ways.set(callerAddress, way);
   }
@@ -117,7 +120,7 @@
 }
 
 /** Rows by what callers got. */
-export function rowsOfLedger(ledger: PromiseLedger): ScenarioRow[] {
+export function rowsOfLedger(ledger: GuaranteeChecker): ScenarioRow[] {
   return [...ledger.summary()].map(([label, requests]) => ({
     label,
     values: {requests},
@@ -125,7 +128,7 @@
 }
 
 /** A check for each promise: its count must be 0. */
-export function checksOfPromises(broken: BrokenPromises): ScenarioCheck[] {
+export function guaranteeChecks(broken: GuaranteeViolations): ScenarioCheck[] {
   return Object.entries(broken).map(([name, count]) => ({
     name: `${name} is 0`,
     passed: count === 0,
--- a/packages/bench/src/scenarios/request-path-drain.ts
+++ b/packages/bench/src/scenarios/request-path-drain.ts
@@ -3,7 +3,7 @@
 import type {Scenario, ScenarioContext, ScenarioResult} from '../scenario.js';
 import {
   PathUnderLoad,
-  checksOfPromises,
+  guaranteeChecks,
   rowsOfLedger,
 } from './request-path-deployment.js';
 
@@ -33,10 +33,12 @@
     lastNew.push(await drainAndReturn(path, target));
   await path.pause(BETWEEN_MILLISECONDS);
   await path.stopLoad();
-  const {ledger} = path.load;
-  const broken = ledger.broken(targets);
+  const {guaranteeChecker: ledger} = path.load;
+  const broken = ledger.violations(targets);
   await path.stop();
-  const notWhole = ledger.outcomes.filter(outcome => !outcome.whole).length;
+  const notWhole = ledger.outcomes.filter(
+    outcome => !outcome.isComplete,
+  ).length;
   const latest = Math.max(...lastNew);
   return {
     rows: [
@@ -47,7 +49,7 @@
       },
     ],
     checks: [
-      ...checksOfPromises(broken),
+      ...guaranteeChecks(broken),
       {
         name: 'every request sent got its whole answer',
         passed: notWhole === 0,
@@ -72,12 +74,12 @@
   if (!listed) throw new Error(`${target.id} is not in the list`);
   list.put({...listed, state: ListedState.Leaving});
   const start = performance.now();
-  let runs = target.ran.length;
+  let runs = target.executedRequests.length;
   let last = 0;
   while (performance.now() - start < LEAVING_LIMIT_MILLISECONDS) {
     await path.pause(WATCH_STEP_MILLISECONDS);
-    if (target.ran.length === runs) continue;
-    runs = target.ran.length;
+    if (target.executedRequests.length === runs) continue;
+    runs = target.executedRequests.length;
     last = performance.now() - start;
   }
   // The VM reboots: all of its connections close, used or not.
--- a/packages/bench/src/scenarios/request-path-overhead.ts
+++ b/packages/bench/src/scenarios/request-path-overhead.ts
@@ -25,7 +25,7 @@
 const FLAT_GROWTH_MEGABYTES = 16;
 const AIMED_SHARE = 0.85;
 const LAST_SLICES_FROM = 2;
-const MILLIARD = 1000;
+const MICROSECONDS_PER_MILLISECOND = 1000;
 
 const REQUEST = 'GET /desk/x HTTP/1.1\r\nhost: desk.example\r\n\r\n';
 const PROGRAMS = {
@@ -128,7 +128,7 @@
     const [first, ...rest] = this.rounds.map(round => round.latencies);
     for (const histogram of rest) first.add(histogram);
     const at = (percentile: number) =>
-      first.getValueAtPercentile(percentile) / MILLIARD;
+      first.getValueAtPercentile(percentile) / MICROSECONDS_PER_MILLISECOND;
     return {
       label: `${this.name}, ${this.connections} connections`,
       values: {
--- a/packages/bench/src/scenarios/request-path-restart.ts
+++ b/packages/bench/src/scenarios/request-path-restart.ts
@@ -1,7 +1,7 @@
 import type {Scenario, ScenarioContext, ScenarioResult} from '../scenario.js';
 import {
   PathUnderLoad,
-  checksOfPromises,
+  guaranteeChecks,
   rowsOfLedger,
 } from './request-path-deployment.js';
 
@@ -40,10 +40,12 @@
   }
   await path.pause(BEFORE_MILLISECONDS);
   await path.stopLoad();
-  const {ledger} = path.load;
-  const broken = ledger.broken(path.deployment.targets.values());
+  const {guaranteeChecker: ledger} = path.load;
+  const broken = ledger.violations(path.deployment.targets.values());
   await path.stop();
-  const notWhole = ledger.outcomes.filter(outcome => !outcome.whole).length;
+  const notWhole = ledger.outcomes.filter(
+    outcome => !outcome.isComplete,
+  ).length;
   return {
     rows: [
       ...rowsOfLedger(ledger),
@@ -53,7 +55,7 @@
       },
     ],
     checks: [
-      ...checksOfPromises(broken),
+      ...guaranteeChecks(broken),
       {
         name: 'every request sent got its whole answer',
         passed: notWhole === 0,
--- a/packages/bench/src/scenarios/request-path-silence.ts
+++ b/packages/bench/src/scenarios/request-path-silence.ts
@@ -3,7 +3,7 @@
   HttpTargetTransport,
   targetHttpOptions,
 } from '@gentiandoor/plugin-target-http';
-import {ForgetfulPath, TargetServer} from '@gentiandoor/stand-ins';
+import {SilentDropProxy, TargetServer} from '@gentiandoor/stand-ins';
 import type {
   Scenario,
   ScenarioContext,
@@ -12,7 +12,7 @@
 } from '../scenario.js';
 import {
   PathUnderLoad,
-  checksOfPromises,
+  guaranteeChecks,
   rowsOfLedger,
 } from './request-path-deployment.js';
 
@@ -26,7 +26,7 @@
 
 /** The baseline: after a silence, the siblings stay in use. */
 class TrustingTransport extends HttpTargetTransport {
-  protected override suspectSiblings(): void {}
+  protected override closeIdleConnections(): void {}
 }
 
 async function run(context: ScenarioContext): Promise<ScenarioResult> {
@@ -67,12 +67,12 @@
   path.startLoad();
   for (let round = 0; round < Math.max(1, FORGETS * scale); round++) {
     await path.pause(BETWEEN_MILLISECONDS);
-    for (const way of ways) way.forget();
+    for (const way of ways) way.dropOpenConnections();
   }
   await path.pause(BETWEEN_MILLISECONDS);
   await path.stopLoad();
-  const {ledger, outcomes} = path.load;
-  const broken = ledger.broken(path.deployment.targets.values());
+  const {guaranteeChecker: ledger, outcomes} = path.load;
+  const broken = ledger.violations(path.deployment.targets.values());
   await path.stop();
   for (const way of ways) await way.stop();
   const longest = Math.max(...outcomes.map(outcome => outcome.milliseconds));
@@ -82,7 +82,7 @@
       {label: 'longest wait', values: {milliseconds: longest}},
     ],
     checks: [
-      ...checksOfPromises(broken),
+      ...guaranteeChecks(broken),
       {
         name: 'callers wait at most the deadline and an allowance',
         passed: longest <= DEADLINE_MILLISECONDS + ALLOWANCE_MILLISECONDS,
@@ -92,11 +92,13 @@
   };
 }
 
-async function putPathsBetween(path: PathUnderLoad): Promise<ForgetfulPath[]> {
+async function putPathsBetween(
+  path: PathUnderLoad,
+): Promise<SilentDropProxy[]> {
   const {list} = path.deployment;
-  const ways: ForgetfulPath[] = [];
+  const ways: SilentDropProxy[] = [];
   for (const listed of list.visible()) {
-    const way = new ForgetfulPath(listed.address);
+    const way = new SilentDropProxy(listed.address);
     await way.start();
     list.put({...listed, address: way.address});
     ways.push(way);
@@ -111,15 +113,15 @@
 ): Promise<{row: ScenarioRow; waited: number}> {
   const target = new TargetServer('hall-a-r1-1');
   await target.start('127.0.0.1:0');
-  const way = new ForgetfulPath(target.address);
+  const way = new SilentDropProxy(target.address);
   await way.start();
   const transport = new Transport({
     clock: new SystemClock(),
     logger: new SilentLogger(),
     targetHttpOptions: targetHttpOptions.parse({idle_milliseconds: 60_000}),
   });
-  const send = async (headMilliseconds: number) => {
-    const exchange = transport.begin(
+  const send = async (responseHeadTimeoutMilliseconds: number) => {
+    const exchange = transport.startExchange(
       {id: target.id, address: way.address},
       {
         method: 'GET',
@@ -127,7 +129,7 @@
         headers: [],
         body: null,
         idempotent: true,
-        headMilliseconds,
+        responseHeadTimeoutMilliseconds: responseHeadTimeoutMilliseconds,
       },
       {onHead() {}, onData: () => true, onEnd() {}},
     );
@@ -136,7 +138,7 @@
   await Promise.all(
     Array.from({length: IDLE_CONNECTIONS}, () => send(DEADLINE_MILLISECONDS)),
   );
-  way.forget();
+  way.dropOpenConnections();
   let waited = 0;
   for (let caller = 0; caller < IDLE_CONNECTIONS; caller++) {
     const start = performance.now();
--- a/packages/bench/src/scenarios/shared-state-control-cost.ts
+++ b/packages/bench/src/scenarios/shared-state-control-cost.ts
@@ -6,9 +6,12 @@
   proportionalSize,
   syntheticBundle,
 } from '../capacity/synthetic-bundle.js';
-import {SWAN_COAST, StateDeployment} from './shared-state-deployment.js';
-import {BundleRoller} from './shared-state-roller.js';
-import {TrafficCount} from './traffic-count.js';
+import {
+  SWAN_COAST_DAEMONS,
+  StateDeployment,
+} from './shared-state-deployment.js';
+import {RollOutBenchmark} from './shared-state-roll-out-benchmark.js';
+import {TcpByteCounter} from './tcp-byte-counter.js';
 
 const REST_MILLISECONDS = 30_000;
 const USE_MILLISECONDS = 15_000;
@@ -26,7 +29,7 @@
 /** Measures all daemons together while `work` runs; figures are for one of them. */
 async function costOf(
   deployment: StateDeployment,
-  traffic: TrafficCount,
+  traffic: TcpByteCounter,
   work: () => Promise<void>,
 ): Promise<Cost> {
   const daemons = deployment.entries.length;
@@ -80,10 +83,10 @@
 }
 
 async function play(hasPeers: boolean, wait: string, context: ScenarioContext) {
-  const traffic = new TrafficCount();
+  const traffic = new TcpByteCounter();
   traffic.start();
   const deployment = new StateDeployment({
-    entries: SWAN_COAST,
+    entries: SWAN_COAST_DAEMONS,
     seed: context.seed,
     hasPeers,
     logDelayMilliseconds: 1,
@@ -91,7 +94,7 @@
   });
   await deployment.start();
   const {publicKey} = deployment.operator;
-  const roller = new BundleRoller(
+  const roller = new RollOutBenchmark(
     deployment,
     version => syntheticBundle(TODAY, publicKey, version),
     true,
--- a/packages/bench/src/scenarios/shared-state-deployment.ts
+++ b/packages/bench/src/scenarios/shared-state-deployment.ts
@@ -10,7 +10,7 @@
 } from '@gentiandoor/kernel';
 import {
   PeerDirectory,
-  makeOperatorKeys,
+  generateOperatorKeys,
   type AppendPosition,
   type LogBatch,
   type PlatformLog,
@@ -20,7 +20,7 @@
 import {WebSocketPeerLinks, peersOptions} from '@gentiandoor/plugin-peers';
 import {HttpPlatformLog} from '@gentiandoor/plugin-platform-log';
 import {
-  LogFollower,
+  LogBackedSharedState,
   sharedStateOptions,
 } from '@gentiandoor/plugin-shared-state';
 import {
@@ -41,7 +41,7 @@
 }
 
 /** The seven entry VMs of Swan Coast. */
-export const SWAN_COAST: readonly EntryPlan[] = [
+export const SWAN_COAST_DAEMONS: readonly EntryPlan[] = [
   {name: 'entry-1', dataCentre: 'perth-a'},
   {name: 'entry-2', dataCentre: 'perth-a'},
   {name: 'entry-3', dataCentre: 'perth-b'},
@@ -93,10 +93,10 @@
 }
 
 /** A daemon's shared state over HTTP and WebSocket on loopback, by its own way to the log. */
-export class MeasuredEntry {
-  readonly path: FaultyLog;
+export class MeasuredDaemon {
+  readonly log: FaultyLog;
   readonly metrics = new MemoryMetrics();
-  follower!: LogFollower;
+  follower!: LogBackedSharedState;
   /** Called when the state that is served by has changed. */
   onChange: () => void = () => undefined;
   platformAddress = '';
@@ -111,9 +111,9 @@
     private readonly seed: number,
   ) {
     const {clock, log, options} = deployment;
-    this.path = new FaultyLog(log, clock);
-    this.path.delayMilliseconds = options.logDelayMilliseconds;
-    this.platform = new PlatformServer(this.path, new MemoryVmList(clock));
+    this.log = new FaultyLog(log, clock);
+    this.log.delayMilliseconds = options.logDelayMilliseconds;
+    this.platform = new PlatformServer(this.log, new MemoryVmList(clock));
   }
 
   get version(): number {
@@ -142,7 +142,7 @@
         options.hasPeers ? {listen: LOOPBACK, key: PEER_KEY} : {},
       ),
     });
-    this.follower = new LogFollower({
+    this.follower = new LogBackedSharedState({
       ...common,
       platformLog:
         options.pollMilliseconds === undefined
@@ -177,19 +177,19 @@
 export class StateDeployment {
   readonly clock = new SystemClock();
   readonly log = new MemoryLog(this.clock);
-  readonly operator = makeOperatorKeys();
-  readonly entries: readonly MeasuredEntry[];
+  readonly operator = generateOperatorKeys();
+  readonly entries: readonly MeasuredDaemon[];
 
   constructor(readonly options: StateDeploymentOptions) {
     this.entries = options.entries.map(
-      (plan, index) => new MeasuredEntry(plan, this, options.seed + index),
+      (plan, index) => new MeasuredDaemon(plan, this, options.seed + index),
     );
   }
 
   /** Starts all and waits until all are members of each other's fold. */
   async start(): Promise<void> {
     for (const entry of this.entries) await entry.start();
-    await this.until(() =>
+    await this.waitUntil(() =>
       this.entries.every(
         entry => entry.follower.state.members.size === this.entries.length,
       ),
@@ -197,7 +197,10 @@
   }
 
   /** Waits for a condition; rejects after half a minute. */
-  async until(condition: () => boolean, milliseconds = 30_000): Promise<void> {
+  async waitUntil(
+    condition: () => boolean,
+    milliseconds = 30_000,
+  ): Promise<void> {
     const deadline = this.clock.monotonicMilliseconds() + milliseconds;
     while (!condition()) {
       if (this.clock.monotonicMilliseconds() > deadline)
--- a/packages/bench/src/scenarios/shared-state-fold.ts
+++ b/packages/bench/src/scenarios/shared-state-fold.ts
@@ -1,7 +1,7 @@
 import {
   RecordKind,
   applyPayload,
-  digestOf,
+  sha256Hex,
   encodeRecord,
   makeDelta,
   parseBundle,
@@ -54,7 +54,7 @@
       id: `delta-${index}`,
       writer: 'bench',
       baseDigest: digest,
-      digest: digestOf(changed),
+      digest: sha256Hex(changed),
       steps: makeDelta(parsed.sections, changed),
     });
     bytes = payload.length;
@@ -75,7 +75,7 @@
   for (let index = 0; index < repeats; index++) stateHash(state);
   const kept = ((performance.now() - from) * 1000) / repeats;
   const again = performance.now();
-  for (const [, table] of tablesOf(state)) table.recomputedHash();
+  for (const [, table] of tablesOf(state)) table.recomputeHash();
   return {kept, afresh: (performance.now() - again) * 1000};
 }
 
--- a/packages/bench/src/scenarios/shared-state-roller.ts
+++ b/packages/bench/src/scenarios/shared-state-roll-out-benchmark.ts
@@ -2,7 +2,7 @@
 import {build, type Histogram} from 'hdr-histogram-js';
 import {
   RecordKind,
-  digestOf,
+  sha256Hex,
   encodeRecord,
   makeDelta,
   signBundle,
@@ -11,7 +11,7 @@
 } from '@gentiandoor/shared-state';
 import type {ScenarioRow} from '../scenario.js';
 import type {
-  MeasuredEntry,
+  MeasuredDaemon,
   StateDeployment,
 } from './shared-state-deployment.js';
 
@@ -25,7 +25,7 @@
 }
 
 /** Changes of a deployment's configuration, each timed from sign-off to in force everywhere. */
-export class BundleRoller {
+export class RollOutBenchmark {
   /** Tenths of a millisecond from sign-off to in force at the last daemon. */
   private readonly everywhere: Histogram = build();
   /** Tenths of a millisecond from proposal to judged at the daemon that published it. */
@@ -51,7 +51,7 @@
   }
 
   /** Rolls out the next version through one daemon; counts it as missed when it takes over `limitMilliseconds`. */
-  async rollOut(at: MeasuredEntry, limitMilliseconds = 10_000): Promise<void> {
+  async rollOut(at: MeasuredDaemon, limitMilliseconds = 10_000): Promise<void> {
     if (this.done === this.changes.length) this.prepare(1);
     const {version, proposed, signed} = this.changes[this.done++];
     const {clock, entries} = this.deployment;
@@ -63,7 +63,7 @@
     await this.publish(at, signed);
     const arrived = () => times.size === entries.length;
     await this.deployment
-      .until(arrived, limitMilliseconds)
+      .waitUntil(arrived, limitMilliseconds)
       .catch(() => undefined);
     for (const entry of entries) entry.onChange = () => undefined;
     if (arrived())
@@ -106,9 +106,9 @@
 
   private watch(
     version: number,
-    entries: readonly MeasuredEntry[],
-  ): Map<MeasuredEntry, number> {
-    const times = new Map<MeasuredEntry, number>();
+    entries: readonly MeasuredDaemon[],
+  ): Map<MeasuredDaemon, number> {
+    const times = new Map<MeasuredDaemon, number>();
     const {clock} = this.deployment;
     for (const entry of entries) {
       entry.onChange = () => {
@@ -121,7 +121,7 @@
 
   private makeChange(version: number): Change {
     const text = this.textOf(version);
-    const digest = digestOf(text);
+    const digest = sha256Hex(text);
     const {privateKey} = this.deployment.operator;
     return {
       version,
@@ -144,13 +144,16 @@
     return {
       ...head(),
       kind: RecordKind.BundleChanged,
-      baseDigest: digestOf(base),
+      baseDigest: sha256Hex(base),
       digest,
       steps: makeDelta(splitSections(base), text),
     };
   }
 
-  private async publish(at: MeasuredEntry, record: FleetRecord): Promise<void> {
+  private async publish(
+    at: MeasuredDaemon,
+    record: FleetRecord,
+  ): Promise<void> {
     this.bytes += encodeRecord(record).length;
     const {rejection} = await at.follower.publish(record);
     if (rejection) throw new Error(`${rejection.reason}: ${rejection.detail}`);
--- a/packages/bench/src/scenarios/shared-state-roll-out-large.ts
+++ b/packages/bench/src/scenarios/shared-state-roll-out-large.ts
@@ -5,7 +5,7 @@
   syntheticBundle,
 } from '../capacity/synthetic-bundle.js';
 import {StateDeployment} from './shared-state-deployment.js';
-import {BundleRoller} from './shared-state-roller.js';
+import {RollOutBenchmark} from './shared-state-roll-out-benchmark.js';
 
 const VMS = 31_000;
 const BUNDLES = 30;
@@ -34,7 +34,7 @@
       .replace('version = 1\n', `version = ${version}\n`)
       .replace('base = 0\n', `base = ${version - 1}\n`)
       .replace('slots = 100\n', `slots = ${100 + version}\n`);
-  const roller = new BundleRoller(deployment, textOf, byDelta);
+  const roller = new RollOutBenchmark(deployment, textOf, byDelta);
   const bundles = Math.max(3, Math.round(BUNDLES * context.scale));
   roller.prepare(bundles + 1);
   await roller.rollOut(deployment.entries[0]);
--- a/packages/bench/src/scenarios/shared-state-roll-out.ts
+++ b/packages/bench/src/scenarios/shared-state-roll-out.ts
@@ -1,4 +1,4 @@
-import {LogPathFault} from '@gentiandoor/stand-ins';
+import {LogConnectionFault} from '@gentiandoor/stand-ins';
 import type {
   Scenario,
   ScenarioContext,
@@ -10,11 +10,11 @@
   syntheticBundle,
 } from '../capacity/synthetic-bundle.js';
 import {
-  SWAN_COAST,
+  SWAN_COAST_DAEMONS,
   StateDeployment,
   type StateDeploymentOptions,
 } from './shared-state-deployment.js';
-import {BundleRoller} from './shared-state-roller.js';
+import {RollOutBenchmark} from './shared-state-roll-out-benchmark.js';
 
 const BUNDLES = 300;
 const FEW_BUNDLES = 20;
@@ -67,9 +67,9 @@
 async function play(
   trial: Trial,
   context: ScenarioContext,
-): Promise<{row: ScenarioRow; roller: BundleRoller}> {
+): Promise<{row: ScenarioRow; roller: RollOutBenchmark}> {
   const deployment = new StateDeployment({
-    entries: SWAN_COAST,
+    entries: SWAN_COAST_DAEMONS,
     seed: context.seed,
     hasPeers: true,
     logDelayMilliseconds: 1,
@@ -77,7 +77,7 @@
   });
   await deployment.start();
   const {publicKey} = deployment.operator;
-  const roller = new BundleRoller(
+  const roller = new RollOutBenchmark(
     deployment,
     version => syntheticBundle(TODAY, publicKey, version),
     true,
@@ -85,7 +85,7 @@
   const [first] = deployment.entries;
   if (trial.isCut) {
     await roller.rollOut(first);
-    deployment.entries.at(-1)?.path.faults.add(LogPathFault.Cut);
+    deployment.entries.at(-1)?.log.faults.add(LogConnectionFault.Cut);
   }
   const bundles = Math.max(3, Math.round(trial.bundles * context.scale));
   roller.prepare(bundles);
--- a/packages/bench/src/scenarios/shared-state-snapshot.ts
+++ b/packages/bench/src/scenarios/shared-state-snapshot.ts
@@ -1,6 +1,6 @@
 import {monitorEventLoopDelay} from 'node:perf_hooks';
 import {
-  cutSnapshot,
+  splitSnapshot,
   decodeSnapshot,
   encodeSnapshot,
   stateHash,
@@ -46,7 +46,7 @@
   const state = stateWithVms(vms);
   const written = await timed(() => encodeSnapshot(state, rest));
   const read = await timed(() =>
-    decodeSnapshot(written.result, state.trusted, rest),
+    decodeSnapshot(written.result, state.trustedOperators, rest),
   );
   const isSame = stateHash(read.result) === stateHash(state);
   return {
@@ -54,7 +54,7 @@
       label: `${vms} VMs`,
       values: {
         bytes: written.result.length,
-        records: cutSnapshot(state.nextOffset, written.result).length,
+        records: splitSnapshot(state.nextOffset, written.result).length,
         write_ms: written.milliseconds,
         write_longest_stall_ms: written.stall,
         recover_ms: read.milliseconds,
--- a/packages/bench/src/scenarios/traffic-count.ts
+++ b/packages/bench/src/scenarios/tcp-byte-counter.ts
@@ -12,7 +12,7 @@
  * heads of packets. Each connection inside the process has one opening end, so each byte
  * counts once.
  */
-export class TrafficCount {
+export class TcpByteCounter {
   private readonly sockets = new Set<Socket>();
   private closedBytes = 0;
   private readonly onSocket = (message: unknown) => {
--- a/packages/cli/src/__tests__/commands.test.ts
+++ b/packages/cli/src/__tests__/commands.test.ts
@@ -23,9 +23,9 @@
 pool = previews
 `;
 
-class RecordedContext implements CommandContext {
+class RecordingContext implements CommandContext {
   readonly printed: string[] = [];
-  readonly noted: string[] = [];
+  readonly diagnostics: string[] = [];
   readonly environment = {};
   readonly clock = new VirtualClock();
 
@@ -35,8 +35,8 @@
     this.printed.push(line);
   };
 
-  readonly note = (line: string) => {
-    this.noted.push(line);
+  readonly printDiagnostic = (line: string) => {
+    this.diagnostics.push(line);
   };
 
   readonly readFile = (path: string) => {
@@ -47,7 +47,7 @@
 }
 
 async function run(
-  context: RecordedContext,
+  context: RecordingContext,
   ...words: string[]
 ): Promise<ExitCode> {
   return runProgram(['node', 'gentiandoor', ...words], context);
@@ -56,7 +56,7 @@
 describe('the command line', () => {
   describe('bundle check', () => {
     it('accepts a good bundle', async () => {
-      const context = new RecordedContext({'b.ini': GOOD_BUNDLE});
+      const context = new RecordingContext({'b.ini': GOOD_BUNDLE});
       assert.equal(
         await run(context, 'bundle', 'check', 'b.ini'),
         ExitCode.Done,
@@ -101,22 +101,22 @@
     ];
     for (const [name, text, message] of refusals) {
       it(`refuses ${name}`, async () => {
-        const context = new RecordedContext({'b.ini': text});
+        const context = new RecordingContext({'b.ini': text});
         assert.equal(
           await run(context, 'bundle', 'check', 'b.ini'),
           ExitCode.BadInput,
         );
-        assert.match(context.noted.join('\n'), message);
+        assert.match(context.diagnostics.join('\n'), message);
       });
     }
 
     it('names a file that cannot be read', async () => {
-      const context = new RecordedContext({});
+      const context = new RecordingContext({});
       assert.equal(
         await run(context, 'bundle', 'check', 'x.ini'),
         ExitCode.BadInput,
       );
-      assert.match(context.noted[0], /cannot read x\.ini/);
+      assert.match(context.diagnostics[0], /cannot read x\.ini/);
     });
   });
 
@@ -125,7 +125,7 @@
       const after = GOOD_BUNDLE.replace('version = 2', 'version = 3')
         .replace('[operator.kerry]\npublic_key = b\n', '')
         .concat('queue_limit = 5\n');
-      const context = new RecordedContext({
+      const context = new RecordingContext({
         'a.ini': GOOD_BUNDLE,
         'b.ini': after,
       });
@@ -148,15 +148,15 @@
 
   describe('without an admin key', () => {
     it('says how to give one and sends nothing', async () => {
-      const context = new RecordedContext({});
+      const context = new RecordingContext({});
       assert.equal(await run(context, 'status'), ExitCode.BadInput);
-      assert.match(context.noted[0], /GENTIANDOOR_ADMIN_KEY/);
+      assert.match(context.diagnostics[0], /GENTIANDOOR_ADMIN_KEY/);
     });
   });
 
   describe('with a daemon that cannot be reached', () => {
     it('names the address and what to check', async () => {
-      const context = new RecordedContext({});
+      const context = new RecordingContext({});
       const code = await run(
         context,
         'status',
@@ -167,7 +167,7 @@
       );
       assert.equal(code, ExitCode.Unreachable);
       assert.match(
-        context.noted[0],
+        context.diagnostics[0],
         /cannot reach the daemon at 127\.0\.0\.1:1/,
       );
     });
--- a/packages/cli/src/__tests__/deployment.test.ts
+++ b/packages/cli/src/__tests__/deployment.test.ts
@@ -29,7 +29,7 @@
     behaviourOf: () => ({
       durationMilliseconds: 1,
       end: RunEnd.Done,
-      room: ROOM,
+      resources: ROOM,
     }),
   });
   let printed: string[] = [];
@@ -91,7 +91,7 @@
     return runProgram(['node', 'gentiandoor', ...words], {
       ...processContext(),
       print: line => printed.push(line),
-      note: line => noted.push(line),
+      printDiagnostic: line => noted.push(line),
     });
   }
 
--- a/packages/cli/src/__tests__/log-story.test.ts
+++ b/packages/cli/src/__tests__/job-timeline.test.ts
@@ -3,7 +3,7 @@
 import {LogEvent, VirtualClock} from '@gentiandoor/kernel';
 import type {CommandContext} from '../command-context.js';
 import {ExitCode} from '../exit-codes.js';
-import {readLogLines, storyOfJob} from '../log-story.js';
+import {parseLogLines, buildJobTimeline} from '../job-timeline.js';
 import {runProgram} from '../program.js';
 
 const JOB = '5c0e7a21d94b36f8';
@@ -64,7 +64,7 @@
 
 describe('a story from the logs', () => {
   it('tells what happened to the job, oldest first, with what lies behind it', () => {
-    const story = storyOfJob([...LOG].reverse().join('\n'), JOB);
+    const story = buildJobTimeline([...LOG].reverse().join('\n'), JOB);
     const told = story?.steps.map(step => step.text) ?? [];
     assert.match(told[0], /taken for queue quotes, answered after 9 ms/);
     assert.match(told[2], /worker w-1 does not answer/);
@@ -74,7 +74,7 @@
   });
 
   it('names the longest times without news and the lines that are missing', () => {
-    const story = storyOfJob(LOG.join('\n'), JOB);
+    const story = buildJobTimeline(LOG.join('\n'), JOB);
     assert.equal(story?.gaps[0].milliseconds, 2_980);
     assert.match(story?.gaps[0].text ?? '', /its worker was not heard of/);
     assert.equal(story?.linesLeftOut, 31);
@@ -82,13 +82,16 @@
 
   it('reads lines with a prefix and counts those that are none', () => {
     const text = `  3.1 front-1 ${LOG[0]}\nnot a line\n{"cut":\n`;
-    const {lines, unreadable} = readLogLines(text);
+    const {lines, unreadable} = parseLogLines(text);
     assert.equal(lines.length, 1);
     assert.equal(unreadable, 1);
   });
 
   it('has nothing to tell of a job that no line names', () => {
-    assert.equal(storyOfJob(LOG.join('\n'), 'aaaaaaaaaaaaaaaa'), undefined);
+    assert.equal(
+      buildJobTimeline(LOG.join('\n'), 'aaaaaaaaaaaaaaaa'),
+      undefined,
+    );
   });
 });
 
@@ -121,14 +124,15 @@
   ].join('\n');
 
   it('names the organisation, and its limit as what held the job up', () => {
-    const told = storyOfJob(log, JOB)?.steps.map(step => step.text) ?? [];
+    const told = buildJobTimeline(log, JOB)?.steps.map(step => step.text) ?? [];
     assert.match(told[0], /taken for queue quotes of advisers/);
     assert.match(told[1], /more work of advisers waits.*its limit/);
     assert.equal(told.length, 3);
   });
 
   it('tells why a call was not let in', () => {
-    const told = storyOfJob(log, OTHER)?.steps.map(step => step.text) ?? [];
+    const told =
+      buildJobTimeline(log, OTHER)?.steps.map(step => step.text) ?? [];
     assert.match(told[0], /POST not let in, unsure.*2731 ms old/);
     assert.match(told[1], /its id is that of another job of auditors/);
   });
@@ -142,7 +146,7 @@
     const noted: string[] = [];
     const context: CommandContext = {
       print: row => printed.push(row),
-      note: row => noted.push(row),
+      printDiagnostic: row => noted.push(row),
       readFile: path => {
         if (path === 'day.log') return LOG.join('\n');
         throw new Error('no such file');
--- a/packages/cli/src/__tests__/members-and-plan.test.ts
+++ b/packages/cli/src/__tests__/members-and-plan.test.ts
@@ -71,7 +71,7 @@
       ...processContext(),
       environment: {USER: 'moana'},
       print: line => printed.push(line),
-      note: line => noted.push(line),
+      printDiagnostic: line => noted.push(line),
     });
   }
 
--- a/packages/cli/src/__tests__/day-account.test.ts
+++ b/packages/cli/src/__tests__/time-breakdown.test.ts
@@ -1,9 +1,12 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {LogEvent} from '@gentiandoor/kernel';
-import {accountOfDay, type DayAccount} from '../account/day-account.js';
-import {TimeUse} from '../account/job-account.js';
-import {readLogLines} from '../log-story.js';
+import {
+  computeTimeBreakdown,
+  type TimeBreakdown,
+} from '../account/time-breakdown.js';
+import {TimeCategory} from '../account/job-time-breakdown.js';
+import {parseLogLines} from '../job-timeline.js';
 
 const BEGAN = 1_800_000_000_000;
 const QUOTE = '5c0e7a21d94b36f8';
@@ -37,8 +40,8 @@
   });
 }
 
-function account(...rows: string[]): DayAccount {
-  return accountOfDay(readLogLines(rows.join('\n')).lines);
+function account(...rows: string[]): TimeBreakdown {
+  return computeTimeBreakdown(parseLogLines(rows.join('\n')).lines);
 }
 
 describe('the account of a day', () => {
@@ -54,9 +57,9 @@
       assert.equal(byQueue.length, 1);
       assert.equal(byQueue[0].meanMilliseconds, 1_300);
       assert.equal(byQueue[0].late, 0);
-      assert.equal(byQueue[0].uses[TimeUse.Room], 480);
-      assert.equal(byQueue[0].uses[TimeUse.Store], 20);
-      assert.equal(byQueue[0].uses[TimeUse.Running], 800);
+      assert.equal(byQueue[0].uses[TimeCategory.Capacity], 480);
+      assert.equal(byQueue[0].uses[TimeCategory.Store], 20);
+      assert.equal(byQueue[0].uses[TimeCategory.Running], 800);
     });
   });
 
@@ -78,10 +81,10 @@
       );
       const [{uses, late}] = byQueue;
       assert.equal(late, 1);
-      assert.equal(uses[TimeUse.Running], 500);
-      assert.equal(uses[TimeUse.SilentWorker], 1_000);
-      assert.equal(uses[TimeUse.Coordinator], 1_500);
-      assert.equal(uses[TimeUse.RunAgain], 1_000);
+      assert.equal(uses[TimeCategory.Running], 500);
+      assert.equal(uses[TimeCategory.SilentWorker], 1_000);
+      assert.equal(uses[TimeCategory.Coordinator], 1_500);
+      assert.equal(uses[TimeCategory.Rerun], 1_000);
       assert.equal(bySize[0].label, '4 tasks at most');
     });
   });
--- a/packages/cli/src/account/interruptions.ts
+++ b/packages/cli/src/account/interruptions.ts
@@ -1,5 +1,5 @@
 import {LogEvent} from '@gentiandoor/kernel';
-import type {LogLine} from '../log-story.js';
+import type {LogLine} from '../job-timeline.js';
 
 /** A span of wall-clock time in milliseconds. */
 export interface TimeSpan {
@@ -24,7 +24,10 @@
 }
 
 /** Milliseconds of `span` that lie in any of `others`, which do not overlap. */
-export function overlap(span: TimeSpan, others: readonly TimeSpan[]): number {
+export function overlapMilliseconds(
+  span: TimeSpan,
+  others: readonly TimeSpan[],
+): number {
   return others.reduce((sum, other) => {
     const from = Math.max(span.from, other.from);
     const until = Math.min(span.until, other.until);
@@ -48,7 +51,7 @@
   return spans;
 }
 
-const SILENCE_ENDS: ReadonlySet<LogEvent> = new Set([
+const SILENCE_END_EVENTS: ReadonlySet<LogEvent> = new Set([
   LogEvent.WorkerBack,
   LogEvent.WorkerLeft,
   LogEvent.WorkerLeaseOver,
@@ -63,7 +66,7 @@
     const worker = String(fields.worker);
     const from = silentFrom.get(worker);
     if (event === LogEvent.WorkerSilent) silentFrom.set(worker, from ?? time);
-    if (!SILENCE_ENDS.has(event) || from === undefined) continue;
+    if (!SILENCE_END_EVENTS.has(event) || from === undefined) continue;
     silentFrom.delete(worker);
     spans.set(worker, [...(spans.get(worker) ?? []), {from, until: time}]);
   }
--- a/packages/cli/src/account/job-account.ts
+++ b/packages/cli/src/account/job-time-breakdown.ts
@@ -1,26 +1,30 @@
 import {LogEvent} from '@gentiandoor/kernel';
-import {jobOf, type LogLine} from '../log-story.js';
-import {overlap, type Interruptions, type TimeSpan} from './interruptions.js';
+import {jobOf, type LogLine} from '../job-timeline.js';
+import {
+  overlapMilliseconds,
+  type Interruptions,
+  type TimeSpan,
+} from './interruptions.js';
 
 /** What a job's time went to. */
-export enum TimeUse {
+export enum TimeCategory {
   /** Until the store had taken it. */
   Intake = 'intake',
   /** Nobody gave orders. */
   Coordinator = 'coordinator',
   /** No task ran: no room in its pool, or its turn had not come. */
-  Room = 'room',
+  Capacity = 'room',
   /** Starts waited for the store. */
   Store = 'store',
   /** Its tasks were on workers that did not answer. */
   SilentWorker = 'silent worker',
   /** A task ran again after a failure or a loss. */
-  RunAgain = 'run again',
+  Rerun = 'run again',
   Running = 'running',
 }
 
 /** One job from intake to its end. */
-export interface JobAccount {
+export interface JobTimeBreakdown {
   readonly job: string;
   readonly queue: string;
   /** Undefined for a job of a public queue. */
@@ -35,66 +39,69 @@
   /** Tasks that were ordered at least once. */
   readonly tasks: number;
   /** Milliseconds by use; they add up to its time from intake to end. */
-  readonly uses: Readonly<Record<TimeUse, number>>;
+  readonly millisecondsByCategory: Readonly<Record<TimeCategory, number>>;
 }
 
 /** Follows each job that was taken and has ended through the log lines of all daemons, oldest first. */
-export function accountsOfJobs(
+export function jobTimeBreakdowns(
   lines: readonly LogLine[],
   interruptions: Interruptions,
-): JobAccount[] {
-  const journeys = new Map<string, Journey>();
+): JobTimeBreakdown[] {
+  const journeys = new Map<string, JobTimeTracker>();
   for (const line of lines) {
     const job = jobOf(line);
     if (job === undefined) continue;
     let journey = journeys.get(job);
     if (!journey) {
-      journey = new Journey(job, interruptions);
+      journey = new JobTimeTracker(job, interruptions);
       journeys.set(job, journey);
     }
-    journey.note(line);
+    journey.observe(line);
   }
-  return [...journeys.values()].flatMap(journey => journey.account());
+  return [...journeys.values()].flatMap(journey => journey.breakdown());
 }
 
-class Journey {
-  private readonly uses = noUses();
+class JobTimeTracker {
+  private readonly millisecondsByCategory = zeroMilliseconds();
   /** Worker of each run under way, by task and run. */
-  private readonly alive = new Map<string, string>();
+  private readonly workerByActiveRun = new Map<string, string>();
   private readonly tasks = new Set<string>();
   private taken: LogLine | undefined;
   private ended: LogLine | undefined;
-  private at = 0;
+  private attributedUntil = 0;
 
   constructor(
     private readonly job: string,
     private readonly interruptions: Interruptions,
   ) {}
 
-  note(line: LogLine): void {
+  observe(line: LogLine): void {
     switch (line.event) {
       case LogEvent.JobTaken:
-        this.begin(line);
+        this.recordIntake(line);
         break;
       case LogEvent.RunOrdered:
-        this.passUntil(line.time, numberOf(line, 'storedAfterMilliseconds'));
+        this.attributeUntil(
+          line.time,
+          numberOrZero(line, 'storedAfterMilliseconds'),
+        );
         this.tasks.add(String(line.fields.task));
-        this.alive.set(runOf(line), String(line.fields.worker));
+        this.workerByActiveRun.set(runKeyOf(line), String(line.fields.worker));
         break;
       case LogEvent.RunEnded:
       case LogEvent.RunRefused:
-        this.passUntil(line.time, 0);
-        this.alive.delete(runOf(line));
+        this.attributeUntil(line.time, 0);
+        this.workerByActiveRun.delete(runKeyOf(line));
         break;
       case LogEvent.JobEnded:
-        this.passUntil(line.time, 0);
+        this.attributeUntil(line.time, 0);
         this.ended ??= line;
         break;
       default:
     }
   }
 
-  account(): JobAccount[] {
+  breakdown(): JobTimeBreakdown[] {
     const {taken, ended} = this;
     if (!taken || !ended) return [];
     return [
@@ -108,54 +115,68 @@
         state: String(ended.fields.state),
         isLate: isOverObjective(ended),
         tasks: this.tasks.size,
-        uses: this.uses,
+        millisecondsByCategory: this.millisecondsByCategory,
       },
     ];
   }
 
   /** The first daemon to take it counts; a submission that comes again changes nothing. */
-  private begin(line: LogLine): void {
+  private recordIntake(line: LogLine): void {
     if (this.taken) return;
     this.taken = line;
-    this.at = line.time;
-    this.uses[TimeUse.Intake] = numberOf(line, 'milliseconds');
+    this.attributedUntil = line.time;
+    this.millisecondsByCategory[TimeCategory.Intake] = numberOrZero(
+      line,
+      'milliseconds',
+    );
   }
 
-  private passUntil(time: number, storeMilliseconds: number): void {
-    if (!this.taken || this.ended || time <= this.at) return;
-    const span = {from: this.at, until: time};
-    this.at = time;
-    if (this.alive.size > 0) this.passRunning(span);
-    else this.passWaiting(span, storeMilliseconds);
+  private attributeUntil(time: number, storeMilliseconds: number): void {
+    if (!this.taken || this.ended || time <= this.attributedUntil) return;
+    const span = {from: this.attributedUntil, until: time};
+    this.attributedUntil = time;
+    if (this.workerByActiveRun.size > 0) this.attributeRunningTime(span);
+    else this.attributeWaitingTime(span, storeMilliseconds);
   }
 
-  private passRunning(span: TimeSpan): void {
+  private attributeRunningTime(span: TimeSpan): void {
     const whole = span.until - span.from;
     const {silentWorkers} = this.interruptions;
     const silent = Math.max(
-      ...[...this.alive.values()].map(worker =>
-        overlap(span, silentWorkers.get(worker) ?? []),
+      ...[...this.workerByActiveRun.values()].map(worker =>
+        overlapMilliseconds(span, silentWorkers.get(worker) ?? []),
       ),
     );
-    const again = [...this.alive.keys()].some(run => !run.endsWith('/1'));
-    this.uses[TimeUse.SilentWorker] += silent;
-    this.uses[again ? TimeUse.RunAgain : TimeUse.Running] += whole - silent;
+    const again = [...this.workerByActiveRun.keys()].some(
+      run => !run.endsWith('/1'),
+    );
+    this.millisecondsByCategory[TimeCategory.SilentWorker] += silent;
+    this.millisecondsByCategory[
+      again ? TimeCategory.Rerun : TimeCategory.Running
+    ] += whole - silent;
   }
 
-  private passWaiting(span: TimeSpan, storeMilliseconds: number): void {
+  private attributeWaitingTime(
+    span: TimeSpan,
+    storeMilliseconds: number,
+  ): void {
     const whole = span.until - span.from;
-    const without = overlap(span, this.interruptions.withoutCoordinator);
+    const without = overlapMilliseconds(
+      span,
+      this.interruptions.withoutCoordinator,
+    );
     const store = Math.min(storeMilliseconds, whole - without);
-    this.uses[TimeUse.Coordinator] += without;
-    this.uses[TimeUse.Store] += store;
-    this.uses[TimeUse.Room] += whole - without - store;
+    this.millisecondsByCategory[TimeCategory.Coordinator] += without;
+    this.millisecondsByCategory[TimeCategory.Store] += store;
+    this.millisecondsByCategory[TimeCategory.Capacity] +=
+      whole - without - store;
   }
 }
 
 /** A line without an objective, of a daemon of an earlier version, tells of no lateness. */
 function isOverObjective(ended: LogLine): boolean {
-  const objective = numberOf(ended, 'objectiveMilliseconds');
-  return objective > 0 && numberOf(ended, 'milliseconds') > objective;
+  const objective = numberOrZero(ended, 'objectiveMilliseconds');
+  return objective > 0 && numberOrZero(ended, 'milliseconds') > objective;
 }
 
 /** Organisation that a line names. */
@@ -164,16 +185,16 @@
   return typeof organisation === 'string' ? organisation : undefined;
 }
 
-function noUses(): Record<TimeUse, number> {
-  const uses = Object.values(TimeUse).map(use => [use, 0] as const);
-  return Object.fromEntries(uses) as Record<TimeUse, number>;
+function zeroMilliseconds(): Record<TimeCategory, number> {
+  const uses = Object.values(TimeCategory).map(use => [use, 0] as const);
+  return Object.fromEntries(uses) as Record<TimeCategory, number>;
 }
 
-function runOf({fields}: LogLine): string {
+function runKeyOf({fields}: LogLine): string {
   return `${String(fields.task)}/${String(fields.run)}`;
 }
 
-function numberOf({fields}: LogLine, name: string): number {
+function numberOrZero({fields}: LogLine, name: string): number {
   const value = Number(fields[name]);
   return Number.isFinite(value) ? value : 0;
 }
--- a/packages/cli/src/account/day-account.ts
+++ b/packages/cli/src/account/time-breakdown.ts
@@ -1,23 +1,23 @@
 import {LogEvent, groupBy} from '@gentiandoor/kernel';
-import {countLeftOut, type LogLine} from '../log-story.js';
+import {countDroppedLines, type LogLine} from '../job-timeline.js';
 import type {PageSection} from '../report/report-page.js';
 import {findInterruptions} from './interruptions.js';
 import {
-  TimeUse,
-  accountsOfJobs,
+  TimeCategory,
+  jobTimeBreakdowns,
   organisationIn,
-  type JobAccount,
-} from './job-account.js';
+  type JobTimeBreakdown,
+} from './job-time-breakdown.js';
 
 /** Jobs of one group: second of intake, queue, size or data centre. */
-export interface AccountRow {
+export interface TimeBreakdownRow {
   readonly label: string;
   readonly jobs: number;
   /** Jobs that took longer than their objective. */
   readonly late: number;
   /** Mean milliseconds of a job, in all and by use. */
   readonly meanMilliseconds: number;
-  readonly uses: Readonly<Record<TimeUse, number>>;
+  readonly uses: Readonly<Record<TimeCategory, number>>;
 }
 
 /** Pool as it stood in one span of the day, as means of what was logged. */
@@ -27,13 +27,13 @@
 }
 
 /** Where the time of all jobs of a log went. */
-export interface DayAccount {
-  readonly bySecond: readonly AccountRow[];
-  readonly byQueue: readonly AccountRow[];
-  readonly bySize: readonly AccountRow[];
-  readonly byDataCentre: readonly AccountRow[];
+export interface TimeBreakdown {
+  readonly bySecond: readonly TimeBreakdownRow[];
+  readonly byQueue: readonly TimeBreakdownRow[];
+  readonly bySize: readonly TimeBreakdownRow[];
+  readonly byDataCentre: readonly TimeBreakdownRow[];
   /** Empty where no organisations are known. */
-  readonly byOrganisation: readonly AccountRow[];
+  readonly byOrganisation: readonly TimeBreakdownRow[];
   readonly pools: readonly PoolRow[];
   /** Submissions that were answered as refused or in doubt, by that answer. */
   readonly refusals: Readonly<Record<string, number>>;
@@ -48,10 +48,10 @@
 }
 
 /** Seconds of intake that make a row: queues' bursts last several. */
-const SECONDS_IN_ROW = 2;
+const SECONDS_PER_ROW = 2;
 const MILLISECONDS_PER_SECOND = 1_000;
 /** Upper bounds of the sizes that jobs are told apart by, in tasks. */
-const SIZES = [4, 8, 16, 32];
+const SIZE_BOUNDS_TASKS = [4, 8, 16, 32];
 
 /** What is told of a pool, by field of its log line. */
 const POOL_FIELDS = [
@@ -64,8 +64,8 @@
 ];
 
 /** Adds up where the time of jobs went, from the log lines of all daemons, oldest first. */
-export function accountOfDay(lines: readonly LogLine[]): DayAccount {
-  const jobs = accountsOfJobs(lines, findInterruptions(lines));
+export function computeTimeBreakdown(lines: readonly LogLine[]): TimeBreakdown {
+  const jobs = jobTimeBreakdowns(lines, findInterruptions(lines));
   const began = jobs.length > 0 ? jobs[0].takenAt : 0;
   const dataCentres = dataCentresOf(lines);
   const rowOfSecond = (time: number) =>
@@ -87,14 +87,14 @@
       String(fields.reason),
     ),
     refusalsByOrganisation: countBy(lines, LogEvent.JobRefused, organisationIn),
-    unfinished: countTaken(lines) - jobs.length,
-    linesLeftOut: countLeftOut(lines),
+    unfinished: countAcceptedJobs(lines) - jobs.length,
+    linesLeftOut: countDroppedLines(lines),
   };
 }
 
 /** The account as sections of a page, by heading. */
-export function accountSections(
-  account: DayAccount,
+export function timeBreakdownSections(
+  account: TimeBreakdown,
 ): Readonly<Record<string, PageSection>> {
   const {bySecond, byQueue, bySize, byDataCentre, byOrganisation, pools} =
     account;
@@ -108,7 +108,7 @@
   };
 }
 
-function section(rows: readonly AccountRow[]): PageSection {
+function section(rows: readonly TimeBreakdownRow[]): PageSection {
   return {
     rows: rows.map(({label, jobs, late, meanMilliseconds, uses}) => ({
       label,
@@ -118,26 +118,29 @@
 }
 
 function rowsBy(
-  jobs: readonly JobAccount[],
-  labelOf: (job: JobAccount) => string,
-): AccountRow[] {
+  jobs: readonly JobTimeBreakdown[],
+  labelOf: (job: JobTimeBreakdown) => string,
+): TimeBreakdownRow[] {
   return [...groupBy(jobs, labelOf)]
     .map(([label, members]) => rowOf(label, members))
     .sort(byLabel);
 }
 
-function rowOf(label: string, jobs: readonly JobAccount[]): AccountRow {
-  const mean = (of: (job: JobAccount) => number) =>
+function rowOf(
+  label: string,
+  jobs: readonly JobTimeBreakdown[],
+): TimeBreakdownRow {
+  const mean = (of: (job: JobTimeBreakdown) => number) =>
     Math.round(jobs.reduce((sum, job) => sum + of(job), 0) / jobs.length);
-  const uses = Object.values(TimeUse).map(
-    use => [use, mean(job => job.uses[use])] as const,
+  const uses = Object.values(TimeCategory).map(
+    use => [use, mean(job => job.millisecondsByCategory[use])] as const,
   );
   return {
     label,
     jobs: jobs.length,
     late: jobs.filter(job => job.isLate).length,
     meanMilliseconds: mean(job => job.endedAt - job.takenAt),
-    uses: Object.fromEntries(uses) as Record<TimeUse, number>,
+    uses: Object.fromEntries(uses) as Record<TimeCategory, number>,
   };
 }
 
@@ -146,14 +149,14 @@
 }
 
 function secondLabel(second: number): string {
-  const from = Math.floor(second / SECONDS_IN_ROW) * SECONDS_IN_ROW;
+  const from = Math.floor(second / SECONDS_PER_ROW) * SECONDS_PER_ROW;
   return `${from} s`;
 }
 
 function sizeLabel(tasks: number): string {
-  const bound = SIZES.find(size => tasks <= size);
+  const bound = SIZE_BOUNDS_TASKS.find(size => tasks <= size);
   return bound === undefined
-    ? `over ${SIZES[SIZES.length - 1]} tasks`
+    ? `over ${SIZE_BOUNDS_TASKS[SIZE_BOUNDS_TASKS.length - 1]} tasks`
     : `${bound} tasks at most`;
 }
 
@@ -204,7 +207,7 @@
   return counts;
 }
 
-function countTaken(lines: readonly LogLine[]): number {
+function countAcceptedJobs(lines: readonly LogLine[]): number {
   const taken = lines
     .filter(line => line.event === LogEvent.JobTaken)
     .map(line => line.fields.job);
--- a/packages/cli/src/command-context.ts
+++ b/packages/cli/src/command-context.ts
@@ -15,7 +15,7 @@
   /** Writes a line of the result. */
   readonly print: (line: string) => void;
   /** Writes a line about progress or an error. */
-  readonly note: (line: string) => void;
+  readonly printDiagnostic: (line: string) => void;
   readonly readFile: (path: string) => string;
   readonly environment: Readonly<Record<string, string | undefined>>;
   readonly clock: Clock;
@@ -52,7 +52,7 @@
 }
 
 /** Prints JSON when asked for, the lines otherwise. */
-export function show(
+export function printResult(
   context: CommandContext,
   options: CommonOptions,
   value: unknown,
--- a/packages/cli/src/command-registry.ts
+++ b/packages/cli/src/command-registry.ts
@@ -34,12 +34,12 @@
     for (const example of command.examples) program.example(example);
     program.action((...words: unknown[]) => {
       const running = command.run(context, ...(words as never[]));
-      void settle(running, context).then(finish);
+      void runToExitCode(running, context).then(finish);
     });
   }
 }
 
-async function settle(
+async function runToExitCode(
   running: Promise<void>,
   context: CommandContext,
 ): Promise<ExitCode> {
@@ -48,7 +48,7 @@
     return ExitCode.Done;
   } catch (thrown) {
     const error = toError(thrown);
-    context.note(`gentiandoor: ${error.message}`);
+    context.printDiagnostic(`gentiandoor: ${error.message}`);
     return error instanceof CommandError ? error.exitCode : ExitCode.Failed;
   }
 }
--- a/packages/cli/src/commands/account.ts
+++ b/packages/cli/src/commands/account.ts
@@ -1,26 +1,26 @@
 import {writeFileSync} from 'node:fs';
 import {
-  accountOfDay,
-  accountSections,
-  type AccountRow,
-  type DayAccount,
-} from '../account/day-account.js';
-import {TimeUse} from '../account/job-account.js';
+  computeTimeBreakdown,
+  timeBreakdownSections,
+  type TimeBreakdownRow,
+  type TimeBreakdown,
+} from '../account/time-breakdown.js';
+import {TimeCategory} from '../account/job-time-breakdown.js';
 import {CommandError} from '../command-error.js';
 import type {CommandDefinition} from '../command-registry.js';
 import {ExitCode} from '../exit-codes.js';
 import {formatColumns} from '../format-columns.js';
-import {readLogLines} from '../log-story.js';
-import {chartLibrary} from '../report/chart-library.js';
-import {pageOf} from '../report/report-page.js';
+import {parseLogLines} from '../job-timeline.js';
+import {readChartLibrary} from '../report/chart-library.js';
+import {renderPage} from '../report/report-page.js';
 import {
   readInput,
-  show,
+  printResult,
   type CommandContext,
   type CommonOptions,
 } from '../command-context.js';
 
-const HEADING = {
+const PAGE_HEADING = {
   title: 'Where the time of jobs went',
   remark:
     'Means in milliseconds of a job from its intake to its end, by what it waited for; pools in VMs.',
@@ -35,8 +35,8 @@
   path: string,
   options: AccountOptions,
 ): Promise<void> {
-  const {lines, unreadable} = readLogLines(readInput(context, path));
-  const day = accountOfDay(lines);
+  const {lines, unreadable} = parseLogLines(readInput(context, path));
+  const day = computeTimeBreakdown(lines);
   if (day.byQueue.length === 0)
     throw new CommandError(
       ExitCode.Failed,
@@ -45,17 +45,17 @@
   if (options.page !== undefined) {
     writeFileSync(
       options.page,
-      pageOf(HEADING, accountSections(day), chartLibrary()),
+      renderPage(PAGE_HEADING, timeBreakdownSections(day), readChartLibrary()),
     );
-    context.note(`${options.page} written`);
+    context.printDiagnostic(`${options.page} written`);
   }
-  show(context, options, day, [
-    ...tablesOf(day),
-    ...remarksOn(day, unreadable),
+  printResult(context, options, day, [
+    ...formatTables(day),
+    ...formatRemarks(day, unreadable),
   ]);
 }
 
-function tablesOf(day: DayAccount): string[] {
+function formatTables(day: TimeBreakdown): string[] {
   return [
     ...table('second of intake', day.bySecond),
     ...table('queue', day.byQueue),
@@ -69,8 +69,8 @@
 }
 
 /** Mean milliseconds of a job by use. */
-function table(heading: string, rows: readonly AccountRow[]): string[] {
-  const uses = Object.values(TimeUse);
+function table(heading: string, rows: readonly TimeBreakdownRow[]): string[] {
+  const uses = Object.values(TimeCategory);
   const cells = rows.map(row => [
     row.label,
     String(row.jobs),
@@ -84,7 +84,7 @@
   ];
 }
 
-function poolTable(day: DayAccount): string[] {
+function poolTable(day: TimeBreakdown): string[] {
   if (day.pools.length === 0) return [];
   const fields = Object.keys(day.pools[0].values);
   const cells = day.pools.map(({label, values}) => [
@@ -94,7 +94,7 @@
   return [...formatColumns(['pool', ...fields], cells), ''];
 }
 
-function remarksOn(day: DayAccount, unreadable: number): string[] {
+function formatRemarks(day: TimeBreakdown, unreadable: number): string[] {
   const remarks = Object.entries(day.refusals).map(
     ([answer, count]) => `${count} submissions answered as ${answer}`,
   );
--- a/packages/cli/src/commands/bundle.ts
+++ b/packages/cli/src/commands/bundle.ts
@@ -4,26 +4,26 @@
   parseBundle,
   signBundle,
   type Bundle,
-  type PastBundle,
+  type BundleHistoryEntry,
 } from '@gentiandoor/shared-state';
 import {bundleDifference, describeChange} from '../bundle-difference.js';
 import type {CommandDefinition} from '../command-registry.js';
 import {
   adminClient,
   readInput,
-  show,
+  printResult,
   type CommandContext,
   type CommonOptions,
 } from '../command-context.js';
 import {CommandError} from '../command-error.js';
 import {ExitCode} from '../exit-codes.js';
 import {formatColumns} from '../format-columns.js';
-import {showPublished} from '../publish-result.js';
+import {printPublishResult} from '../publish-result.js';
 import {withProgress} from '../with-progress.js';
 
 /** A daemon reads the log at least twice a second. */
-const READ_BACK_MILLISECONDS = 100;
-const READ_BACK_ROUNDS = 15;
+const READ_BACK_INTERVAL_MILLISECONDS = 100;
+const MAXIMUM_READ_BACKS = 15;
 
 interface DiffOptions extends CommonOptions {
   readonly against?: string;
@@ -50,7 +50,7 @@
       0,
     ),
   };
-  show(context, options, summary, [
+  printResult(context, options, summary, [
     `${file}: version ${summary.version} on base ${summary.base}: ${summary.pools} pools, ${summary.services} services, ${summary.vms} VMs; no problem found`,
   ]);
 }
@@ -66,7 +66,12 @@
     : ((await readBundles(context, options)).inForce?.text ?? '');
   const changes = bundleDifference(before, after);
   const lines = changes.map(describeChange);
-  show(context, options, changes, lines.length > 0 ? lines : ['no difference']);
+  printResult(
+    context,
+    options,
+    changes,
+    lines.length > 0 ? lines : ['no difference'],
+  );
 }
 
 async function propose(
@@ -81,7 +86,7 @@
     'waiting for the platform\u2019s log',
     adminClient(context, options).post('/bundles/proposals', {text}),
   );
-  showPublished(
+  printPublishResult(
     context,
     options,
     result as PublishResult,
@@ -115,7 +120,7 @@
       signature,
     }),
   );
-  showPublished(
+  printPublishResult(
     context,
     options,
     result as PublishResult,
@@ -154,8 +159,12 @@
   const of = () => proposals.filter(proposal => proposal.version === version);
   // A proposal is stored before the daemon has read it back: without the wait, a sign-off that followed
   // its proposal within a third of a second, as in a script, was told that there is none.
-  for (let round = 0; round < READ_BACK_ROUNDS && of().length === 0; round++) {
-    await sleep(context.clock, READ_BACK_MILLISECONDS);
+  for (
+    let round = 0;
+    round < MAXIMUM_READ_BACKS && of().length === 0;
+    round++
+  ) {
+    await sleep(context.clock, READ_BACK_INTERVAL_MILLISECONDS);
     ({proposals} = await readBundles(context, options));
   }
   const matching = of();
@@ -183,7 +192,7 @@
         `proposed: version ${proposal.version} by ${proposal.author}, signed off by ${proposal.signers.join(', ') || 'nobody'} (${proposal.signers.length} of ${proposal.signOffsNeeded})`,
     ),
   ];
-  show(context, options, view, lines);
+  printResult(context, options, view, lines);
 }
 
 async function history(
@@ -192,7 +201,7 @@
 ): Promise<void> {
   const past = (await adminClient(context, options).get(
     '/bundles/history',
-  )) as PastBundle[];
+  )) as BundleHistoryEntry[];
   const rows = past.map(bundle => [
     String(bundle.version),
     bundle.author,
@@ -201,7 +210,7 @@
     bundle.digest,
   ]);
   const headings = ['version', 'author', 'signed off by', 'offset', 'digest'];
-  show(context, options, past, formatColumns(headings, rows));
+  printResult(context, options, past, formatColumns(headings, rows));
 }
 
 interface RollOutView {
@@ -227,7 +236,13 @@
   const view = (await adminClient(context, options).get(
     '/roll-out',
   )) as RollOutView;
-  const self = [view.daemon.name, '', String(view.version), '', logWord(view)];
+  const self = [
+    view.daemon.name,
+    '',
+    String(view.version),
+    '',
+    logReachability(view),
+  ];
   const peers = view.peers.map(peer => [
     peer.name,
     peer.dataCentre,
@@ -235,13 +250,22 @@
     peer.tookMilliseconds === undefined
       ? 'not known'
       : `${Math.round(peer.tookMilliseconds)} ms`,
-    logWord(peer),
+    logReachability(peer),
   ]);
   const headings = ['daemon', 'data centre', 'version', 'after', 'log'];
-  show(context, options, view, formatColumns(headings, [self, ...peers]));
+  printResult(
+    context,
+    options,
+    view,
+    formatColumns(headings, [self, ...peers]),
+  );
 }
 
-function logWord({isLogReachable}: {readonly isLogReachable: boolean}): string {
+function logReachability({
+  isLogReachable,
+}: {
+  readonly isLogReachable: boolean;
+}): string {
   return isLogReachable ? 'reachable' : 'NOT reachable';
 }
 
--- a/packages/cli/src/commands/deployment.ts
+++ b/packages/cli/src/commands/deployment.ts
@@ -5,9 +5,13 @@
   type OrganisationView,
 } from '@gentiandoor/coordinator';
 import {JobState, type TaskProgress} from '@gentiandoor/jobs';
-import {HttpCalls, PlatformRecords, PlatformStore} from '@gentiandoor/platform';
 import {
-  show,
+  HttpClient,
+  PlatformRecordFormats,
+  PlatformStore,
+} from '@gentiandoor/platform';
+import {
+  printResult,
   type CommandContext,
   type CommonOptions,
 } from '../command-context.js';
@@ -26,14 +30,16 @@
   'Address of the platform’s store, IP number and port',
 ] as const;
 
-async function readView(options: StoreOptions): Promise<DeploymentView> {
+async function readDeploymentView(
+  options: StoreOptions,
+): Promise<DeploymentView> {
   const {store} = options;
   if (!store)
     throw new CommandError(ExitCode.BadInput, 'expected --store ADDRESS');
-  const calls = new HttpCalls(STORE_CONNECTIONS);
+  const calls = new HttpClient(STORE_CONNECTIONS);
   const log = new PlatformStore(calls, () => store);
-  const view = await readDeployment(log, new PlatformRecords());
-  await calls.stop();
+  const view = await readDeployment(log, new PlatformRecordFormats());
+  await calls.closeAll();
   if (!view)
     throw new CommandError(
       ExitCode.Unreachable,
@@ -46,7 +52,7 @@
   context: CommandContext,
   options: StoreOptions,
 ): Promise<void> {
-  const view = await readView(options);
+  const view = await readDeploymentView(options);
   const {term, configuration, waves, unreadable} = view;
   const summary = {
     coordinator: term?.released === false ? term.holder : 'none',
@@ -67,14 +73,14 @@
   const lines = [
     ...formatColumns(['what', 'value'], rowsOf(summary)),
     '',
-    ...table(queues, ['queue', 'service', ...STATES]),
+    ...table(queues, ['queue', 'service', ...JOB_STATES]),
     '',
     ...table(pools, ['service', 'standby', 'ready', 'leaving']),
     ...(organisations.length > 0
       ? ['', ...table(organisations, ORGANISATION_COLUMNS)]
       : []),
   ];
-  show(context, options, {summary, queues, pools, organisations}, lines);
+  printResult(context, options, {summary, queues, pools, organisations}, lines);
 }
 
 async function job(
@@ -82,7 +88,7 @@
   id: string,
   options: StoreOptions,
 ): Promise<void> {
-  const view = await readView(options);
+  const view = await readDeploymentView(options);
   const found = view.table.find(id);
   if (!found)
     throw new CommandError(ExitCode.Failed, `the store has no job ${id}`);
@@ -96,7 +102,7 @@
     `${id} in ${queue}: ${state}`,
     ...table(tasks, ['task', 'run', 'state', 'worker', 'failed']),
   ];
-  show(context, options, {id, queue, service, state, tasks}, lines);
+  printResult(context, options, {id, queue, service, state, tasks}, lines);
 }
 
 const ORGANISATION_COLUMNS = [
@@ -107,7 +113,7 @@
   'limit',
   'queued',
 ];
-const MILLICORES = 1_000;
+const MILLICORES_PER_CORE = 1_000;
 
 /** Cores that run of an organisation, its limit in cores, and jobs of it that wait. */
 function organisationRow({
@@ -119,15 +125,15 @@
   const limit = settings?.limit.processorMillicores ?? 0;
   return {
     organisation: name,
-    keys: settings?.keys.length ?? 0,
+    keys: settings?.keyDigests.length ?? 0,
     weight: settings?.weight ?? '-',
-    cores: running.processorMillicores / MILLICORES,
-    limit: limit > 0 ? limit / MILLICORES : 'none',
+    cores: running.processorMillicores / MILLICORES_PER_CORE,
+    limit: limit > 0 ? limit / MILLICORES_PER_CORE : 'none',
     queued,
   };
 }
 
-const STATES: readonly string[] = Object.values(JobState);
+const JOB_STATES: readonly string[] = Object.values(JobState);
 
 function taskRow(progress: TaskProgress): {
   run: number;
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -3,12 +3,12 @@
 import {CommandError} from '../command-error.js';
 import type {CommandDefinition} from '../command-registry.js';
 import {ExitCode} from '../exit-codes.js';
-import {storyOfJob, type LogStory} from '../log-story.js';
+import {buildJobTimeline, type JobTimeline} from '../job-timeline.js';
 import {vmState} from '../vm-state.js';
 import {
   adminClient,
   readInput,
-  show,
+  printResult,
   type CommandContext,
   type CommonOptions,
 } from '../command-context.js';
@@ -32,10 +32,12 @@
     `/explain?${query}`,
   )) as ExplainBody;
   const now =
-    subject === SubjectKind.Vm ? await vmNow(context, options, id) : [];
-  const lines = [...now, ...body.decisions.flatMap(describe)];
+    subject === SubjectKind.Vm
+      ? await currentVmState(context, options, id)
+      : [];
+  const lines = [...now, ...body.decisions.flatMap(formatDecision)];
   const nothing = `this daemon took no decision about ${subject} ${id}; the planner is ${body.planner || 'not known'}, ask its admin port`;
-  show(context, options, body, lines.length > 0 ? lines : [nothing]);
+  printResult(context, options, body, lines.length > 0 ? lines : [nothing]);
 }
 
 /** Tells of a job from the lines that the daemons of a deployment on the platform have logged. */
@@ -51,13 +53,13 @@
       ExitCode.BadInput,
       `logs explain a ${SubjectKind.Job} only, not a ${subject}`,
     );
-  const story = storyOfJob(readInput(context, path), id);
+  const story = buildJobTimeline(readInput(context, path), id);
   if (!story)
     throw new CommandError(ExitCode.Failed, `no line in ${path} names ${id}`);
-  show(context, options, story, storyLines(story));
+  printResult(context, options, story, formatTimeline(story));
 }
 
-function storyLines(story: LogStory): string[] {
+function formatTimeline(story: JobTimeline): string[] {
   const {steps, gaps, linesLeftOut, unreadableLines} = story;
   const began = steps[0].time;
   const lines = steps.map(
@@ -78,7 +80,7 @@
 }
 
 /** What is planned on the VM, which may be an operator's doing and no decision of a daemon. */
-async function vmNow(
+async function currentVmState(
   context: CommandContext,
   options: CommonOptions,
   id: string,
@@ -90,7 +92,7 @@
   return vms.map(vm => `now: pool ${vm.pool}, ${vm.condition}, ${vmState(vm)}`);
 }
 
-function describe(entry: JournalEntry): string[] {
+function formatDecision(entry: JournalEntry): string[] {
   const evidence = Object.entries(entry.evidence).map(
     ([name, value]) => `${name}=${value}`,
   );
--- a/packages/cli/src/commands/fleet.ts
+++ b/packages/cli/src/commands/fleet.ts
@@ -11,7 +11,7 @@
 import type {CommandDefinition} from '../command-registry.js';
 import {
   adminClient,
-  show,
+  printResult,
   type CommandContext,
   type CommonOptions,
 } from '../command-context.js';
@@ -38,7 +38,7 @@
 type WaveAction = WaveRequest['action'];
 
 /** The reason that was given; throws `CommandError` without one. */
-export function needReason(options: ReasonOptions): string {
+export function requireReason(options: ReasonOptions): string {
   if (options.reason) return options.reason;
   throw new CommandError(
     ExitCode.BadInput,
@@ -63,7 +63,7 @@
     vmState(vm),
   ]);
   const headings = ['VM', 'pool', 'rack', 'data centre', 'condition', 'state'];
-  show(context, options, vms, formatColumns(headings, rows));
+  printResult(context, options, vms, formatColumns(headings, rows));
 }
 
 async function listPools(
@@ -91,7 +91,7 @@
     'queued jobs',
     'services',
   ];
-  show(context, options, pools, formatColumns(headings, rows));
+  printResult(context, options, pools, formatColumns(headings, rows));
 }
 
 async function showBudgets(
@@ -106,7 +106,7 @@
     body.broken.length > 0
       ? `BROKEN: ${body.broken.join(', ')}; planned work is stopped`
       : 'every budget is met';
-  show(context, options, body, [broken, ...lines]);
+  printResult(context, options, body, [broken, ...lines]);
 }
 
 function drainVm(
@@ -114,7 +114,7 @@
   vm: string,
   options: ReasonOptions,
 ): Promise<void> {
-  const body: DrainRequest = {vm, reason: needReason(options)};
+  const body: DrainRequest = {vm, reason: requireReason(options)};
   return sendRecord(
     context,
     options,
@@ -143,7 +143,7 @@
     action: 'start',
     vm,
     toPool,
-    reason: needReason(options),
+    reason: requireReason(options),
   };
   return sendRecord(
     context,
@@ -159,7 +159,11 @@
   vm: string,
   options: ReasonOptions,
 ): Promise<void> {
-  const body: MoveRequest = {action: 'abort', vm, reason: needReason(options)};
+  const body: MoveRequest = {
+    action: 'abort',
+    vm,
+    reason: requireReason(options),
+  };
   return sendRecord(
     context,
     options,
@@ -177,7 +181,7 @@
   const body: WaveRequest = {
     action: 'start',
     wave,
-    reason: needReason(options),
+    reason: requireReason(options),
     scope: {
       pools: options.pools?.split(','),
       dataCentres: options['data-centres']?.split(','),
@@ -192,13 +196,13 @@
   );
 }
 
-function changeWave(action: WaveAction, done: string) {
+function waveChangeCommand(action: WaveAction, done: string) {
   return (
     context: CommandContext,
     wave: string,
     options: ReasonOptions,
   ): Promise<void> => {
-    const body: WaveRequest = {action, wave, reason: needReason(options)};
+    const body: WaveRequest = {action, wave, reason: requireReason(options)};
     return sendRecord(
       context,
       options,
@@ -236,7 +240,7 @@
     'to the end',
     'why',
   ];
-  show(context, options, waves, formatColumns(headings, rows));
+  printResult(context, options, waves, formatColumns(headings, rows));
 }
 
 function forecastOf({forecastMilliseconds}: WaveBody): string {
@@ -323,21 +327,21 @@
     description: 'Lets what runs finish and starts nothing new.',
     examples: ['maintenance hold december --reason "exam week"'],
     options: [REASON_OPTION],
-    run: changeWave('hold', 'held'),
+    run: waveChangeCommand('hold', 'held'),
   },
   {
     usage: 'maintenance resume <wave>',
     description: 'Goes on with a held or stopped wave.',
     examples: ['maintenance resume december --reason "cause found"'],
     options: [REASON_OPTION],
-    run: changeWave('resume', 'resumed'),
+    run: waveChangeCommand('resume', 'resumed'),
   },
   {
     usage: 'maintenance abort <wave>',
     description: 'Ends a wave; VMs under way are returned.',
     examples: ['maintenance abort december --reason "wrong image"'],
     options: [REASON_OPTION],
-    run: changeWave('abort', 'aborted'),
+    run: waveChangeCommand('abort', 'aborted'),
   },
   {
     usage: 'maintenance status',
--- a/packages/cli/src/commands/jobs.ts
+++ b/packages/cli/src/commands/jobs.ts
@@ -7,7 +7,7 @@
 import {
   adminClient,
   readInput,
-  show,
+  printResult,
   type CommandContext,
   type CommonOptions,
 } from '../command-context.js';
@@ -76,7 +76,7 @@
     job.reason ?? '',
   ]);
   const headings = ['job', 'team', 'pool', 'state', 'VM', 'why'];
-  show(context, options, jobs, formatColumns(headings, rows));
+  printResult(context, options, jobs, formatColumns(headings, rows));
 }
 
 function cancel(
--- a/packages/cli/src/commands/keys.ts
+++ b/packages/cli/src/commands/keys.ts
@@ -1,7 +1,7 @@
-import {makeOperatorKeys} from '@gentiandoor/shared-state';
+import {generateOperatorKeys} from '@gentiandoor/shared-state';
 import type {CommandDefinition} from '../command-registry.js';
 import {
-  show,
+  printResult,
   type CommandContext,
   type CommonOptions,
 } from '../command-context.js';
@@ -10,8 +10,8 @@
   context: CommandContext,
   options: CommonOptions,
 ): Promise<void> {
-  const keys = makeOperatorKeys();
-  show(context, options, keys, [
+  const keys = generateOperatorKeys();
+  printResult(context, options, keys, [
     `public_key = ${keys.publicKey}`,
     `private_key = ${keys.privateKey}`,
   ]);
--- a/packages/cli/src/commands/members.ts
+++ b/packages/cli/src/commands/members.ts
@@ -2,16 +2,16 @@
 import type {CommandDefinition} from '../command-registry.js';
 import {
   adminClient,
-  show,
+  printResult,
   type CommandContext,
   type CommonOptions,
 } from '../command-context.js';
 import {formatColumns} from '../format-columns.js';
 import {sendRecord} from '../send-record.js';
-import {REASON_OPTION, needReason, type ReasonOptions} from './fleet.js';
+import {REASON_OPTION, requireReason, type ReasonOptions} from './fleet.js';
 
 /** VMs named in one row; `--json` names all. */
-const MOST_NAMED = 5;
+const MAXIMUM_VMS_SHOWN = 5;
 
 async function listMembers(
   context: CommandContext,
@@ -26,7 +26,7 @@
     member.peerAddress,
     member.linked ? 'yes' : 'NO',
     member.plans ? 'plans' : '',
-    heldUp(member.holdsUp),
+    formatVmNames(member.holdsUp),
   ]);
   const headings = [
     'daemon',
@@ -36,12 +36,12 @@
     'role',
     'holds up',
   ];
-  show(context, options, members, formatColumns(headings, rows));
+  printResult(context, options, members, formatColumns(headings, rows));
 }
 
-function heldUp(vms: readonly string[]): string {
-  const named = vms.slice(0, MOST_NAMED).join(', ');
-  const more = vms.length - MOST_NAMED;
+function formatVmNames(vms: readonly string[]): string {
+  const named = vms.slice(0, MAXIMUM_VMS_SHOWN).join(', ');
+  const more = vms.length - MAXIMUM_VMS_SHOWN;
   return more > 0 ? `${named} and ${more} more` : named;
 }
 
@@ -50,8 +50,8 @@
   name: string,
   options: ReasonOptions,
 ): Promise<void> {
-  const body: MemberRemovalRequest = {name, reason: needReason(options)};
-  context.note(
+  const body: MemberRemovalRequest = {name, reason: requireReason(options)};
+  context.printDiagnostic(
     `gentiandoor: ${name} must really be stopped: moves go on without its word, and a daemon that still runs could send a request to a VM that was given away`,
   );
   await sendRecord(
--- a/packages/cli/src/commands/report.ts
+++ b/packages/cli/src/commands/report.ts
@@ -5,9 +5,9 @@
   type CommandContext,
   type CommonOptions,
 } from '../command-context.js';
-import {chartLibrary} from '../report/chart-library.js';
+import {readChartLibrary} from '../report/chart-library.js';
 import {parseReportInput} from '../report/report-input.js';
-import {reportPage} from '../report/report-page.js';
+import {renderReport} from '../report/report-page.js';
 
 const DEFAULT_OUTPUT = 'report.html';
 
@@ -21,7 +21,7 @@
   options: ReportOptions,
 ): Promise<void> {
   const input = parseReportInput(readInput(context, file), file);
-  writeFileSync(options.output, reportPage(input, chartLibrary()));
+  writeFileSync(options.output, renderReport(input, readChartLibrary()));
   context.print(`${options.output}: ${Object.keys(input).length} scenarios`);
 }
 
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -2,7 +2,7 @@
 import type {CommandDefinition} from '../command-registry.js';
 import {
   adminClient,
-  show,
+  printResult,
   type CommandContext,
   type CommonOptions,
 } from '../command-context.js';
@@ -15,7 +15,7 @@
     '/status',
   )) as StatusView;
   const {daemon, bundle} = view;
-  show(context, options, view, [
+  printResult(context, options, view, [
     `daemon ${daemon.name} in ${daemon.dataCentre}, incarnation ${daemon.incarnation}${view.draining ? ', draining' : ''}`,
     bundle
       ? `bundle: version ${bundle.version} in force since offset ${bundle.offset}`
@@ -36,7 +36,7 @@
   const lines = Object.entries(values).map(
     ([name, value]) => `${name} ${value}`,
   );
-  show(context, options, values, lines);
+  printResult(context, options, values, lines);
 }
 
 /** Commands that show a daemon's state. */
--- a/packages/cli/src/commands/top.ts
+++ b/packages/cli/src/commands/top.ts
@@ -10,14 +10,14 @@
 
 const CLEAR_SCREEN = '\u001b[2J\u001b[H';
 const DEFAULT_SECONDS = 1;
-const MILLISECONDS = 1000;
+const MILLISECONDS_PER_SECOND = 1000;
 
 interface TopOptions extends CommonOptions {
   readonly seconds: number;
   readonly rounds?: number;
 }
 
-type Values = Readonly<Record<string, number>>;
+type MetricValues = Readonly<Record<string, number>>;
 
 async function top(
   context: CommandContext,
@@ -27,22 +27,25 @@
   let before = await readMetrics(client);
   const rounds = Number(options.rounds ?? Infinity);
   for (let round = 0; round < rounds; round++) {
-    await sleep(context.clock, Number(options.seconds) * MILLISECONDS);
+    await sleep(
+      context.clock,
+      Number(options.seconds) * MILLISECONDS_PER_SECOND,
+    );
     const after = await readMetrics(client);
-    showRound(context, options, before, after);
+    printRates(context, options, before, after);
     before = after;
   }
 }
 
-async function readMetrics(client: AdminClient): Promise<Values> {
-  return (await client.get('/metrics')) as Values;
+async function readMetrics(client: AdminClient): Promise<MetricValues> {
+  return (await client.get('/metrics')) as MetricValues;
 }
 
-function showRound(
+function printRates(
   context: CommandContext,
   options: TopOptions,
-  before: Values,
-  after: Values,
+  before: MetricValues,
+  after: MetricValues,
 ): void {
   const rates = ratesOf(before, after, Number(options.seconds));
   if (options.json) {
@@ -62,17 +65,18 @@
   }
 }
 
-const GAUGES = /^(queue_length|in_flight|claims_kept|held_answer_bytes)/;
+const GAUGE_NAME_PATTERN =
+  /^(queue_length|in_flight|claims_kept|held_answer_bytes)/;
 
 /** Counters as a rate, gauges as they are; what did not move and is 0 is left out. */
 function ratesOf(
-  before: Values,
-  after: Values,
+  before: MetricValues,
+  after: MetricValues,
   seconds: number,
 ): Record<string, number> {
   const entries = Object.entries(after).map(
     ([name, value]): [string, number] =>
-      GAUGES.test(name)
+      GAUGE_NAME_PATTERN.test(name)
         ? [name, value]
         : [name, (value - (before[name] ?? 0)) / seconds],
   );
--- a/packages/cli/src/commands/wave-plan.ts
+++ b/packages/cli/src/commands/wave-plan.ts
@@ -2,7 +2,7 @@
 import type {CommandDefinition} from '../command-registry.js';
 import {
   adminClient,
-  show,
+  printResult,
   type CommandContext,
   type CommonOptions,
 } from '../command-context.js';
@@ -34,7 +34,7 @@
       ({choice, because}) => `cannot ${choice}: ${because}`,
     ),
   ];
-  show(context, options, plan, [
+  printResult(context, options, plan, [
     `${plan.left} VMs are left, ${plan.active} are under way, at most ${plan.limit} at one time now`,
     `would take now: ${plan.next.join(', ') || 'none'}`,
     ...reasons.map(reason => `held back: ${reason}`),
--- a/packages/cli/src/publish-result.ts
+++ b/packages/cli/src/publish-result.ts
@@ -1,6 +1,6 @@
 import type {PublishResult} from '@gentiandoor/plugin-admin';
 import {
-  show,
+  printResult,
   type CommandContext,
   type CommonOptions,
 } from './command-context.js';
@@ -8,7 +8,7 @@
 import {ExitCode} from './exit-codes.js';
 
 /** Prints what became of a record; throws `CommandError` when the fold rejected it. */
-export function showPublished(
+export function printPublishResult(
   context: CommandContext,
   options: CommonOptions,
   result: PublishResult,
@@ -22,5 +22,7 @@
     );
   }
   if (!options.json)
-    show(context, options, result, [`${done} at offset ${result.offset}`]);
+    printResult(context, options, result, [
+      `${done} at offset ${result.offset}`,
+    ]);
 }
--- a/packages/cli/src/report/chart-library.ts
+++ b/packages/cli/src/report/chart-library.ts
@@ -6,7 +6,7 @@
 const CHART_SCRIPT = 'chart.umd.js';
 
 /** Script text of the plot library, for pages that need no network. */
-export function chartLibrary(): string {
+export function readChartLibrary(): string {
   // The package exports modules only; its browser script lies beside its main file.
   const main = createRequire(import.meta.url).resolve(CHART_PACKAGE);
   return readFileSync(join(dirname(main), CHART_SCRIPT), 'utf8');
--- a/packages/cli/src/report/report-page.ts
+++ b/packages/cli/src/report/report-page.ts
@@ -11,7 +11,7 @@
 .broken { color: #a00; font-weight: bold; }
 `;
 
-const DRAW_CHARTS = `
+const DRAW_CHARTS_SCRIPT = `
 for (const canvas of document.querySelectorAll('canvas')) {
   const {title, labels, values} = JSON.parse(canvas.dataset.chart);
   new Chart(canvas, {
@@ -45,19 +45,19 @@
 }
 
 /** A self-contained HTML page of bench results; `chartLibrary` is the script text of the plot library. */
-export function reportPage(input: ReportInput, chartLibrary: string): string {
-  const remark = `${Object.keys(input).length} scenarios; ${countBroken(input)} checks broken.`;
-  return pageOf({title: 'gentiandoor report', remark}, input, chartLibrary);
+export function renderReport(input: ReportInput, chartLibrary: string): string {
+  const remark = `${Object.keys(input).length} scenarios; ${countFailedChecks(input)} checks broken.`;
+  return renderPage({title: 'gentiandoor report', remark}, input, chartLibrary);
 }
 
 /** A self-contained HTML page of tables with plots. */
-export function pageOf(
+export function renderPage(
   {title, remark}: PageHeading,
   input: Readonly<Record<string, PageSection>>,
   chartLibrary: string,
 ): string {
   const sections = Object.entries(input).map(([name, content]) =>
-    section(name, content),
+    renderSection(name, content),
   );
   return `<!doctype html>
 <html lang="en">
@@ -71,32 +71,32 @@
 <p>${escapeHtml(remark)}</p>
 ${sections.join('\n')}
 <script>${chartLibrary.replaceAll('</script', '<\\/script')}</script>
-<script>${DRAW_CHARTS}</script>
+<script>${DRAW_CHARTS_SCRIPT}</script>
 </body>
 </html>
 `;
 }
 
-function countBroken(input: ReportInput): number {
+function countFailedChecks(input: ReportInput): number {
   return Object.values(input)
     .flatMap(scenario => scenario.checks)
     .filter(check => !check.passed).length;
 }
 
-function section(name: string, scenario: PageSection): string {
+function renderSection(name: string, scenario: PageSection): string {
   const columns = [
     ...new Set(scenario.rows.flatMap(row => Object.keys(row.values))),
   ];
   return `<section>
 <h2>${escapeHtml(name)}</h2>
 ${scenario.seed === undefined ? '' : `<p>seed ${scenario.seed}</p>`}
-${scenario.checks ? checkList(scenario.checks) : ''}
-<div class="charts">${columns.map(column => chart(column, scenario)).join('')}</div>
-${table(columns, scenario)}
+${scenario.checks ? renderChecks(scenario.checks) : ''}
+<div class="charts">${columns.map(column => renderChart(column, scenario)).join('')}</div>
+${renderTable(columns, scenario)}
 </section>`;
 }
 
-function checkList(checks: ReportScenario['checks']): string {
+function renderChecks(checks: ReportScenario['checks']): string {
   const items = checks.map(check => {
     const word = check.passed ? 'held' : '<span class="broken">BROKEN</span>';
     return `<li>${word}: ${escapeHtml(check.name)}: ${escapeHtml(check.detail)}</li>`;
@@ -104,7 +104,7 @@
   return `<ul>${items.join('')}</ul>`;
 }
 
-function chart(column: string, scenario: PageSection): string {
+function renderChart(column: string, scenario: PageSection): string {
   const rows = scenario.rows.filter(row => column in row.values);
   const data = JSON.stringify({
     title: column,
@@ -114,7 +114,10 @@
   return `<div class="chart"><canvas data-chart="${escapeHtml(data)}"></canvas></div>`;
 }
 
-function table(columns: readonly string[], scenario: PageSection): string {
+function renderTable(
+  columns: readonly string[],
+  scenario: PageSection,
+): string {
   const head = columns.map(column => `<th>${escapeHtml(column)}</th>`).join('');
   const body = scenario.rows.map(row => {
     const cells = columns.map(
--- a/packages/cli/src/send-record.ts
+++ b/packages/cli/src/send-record.ts
@@ -1,7 +1,7 @@
 import type {AcceptedBody} from '@gentiandoor/plugin-fleet';
 import {
   adminClient,
-  show,
+  printResult,
   type CommandContext,
   type CommonOptions,
 } from './command-context.js';
@@ -23,5 +23,5 @@
     'waiting for the platform\u2019s log',
     adminClient(context, options).post(path, {...body, operator}),
   )) as AcceptedBody;
-  show(context, options, answer, [`${done} at offset ${answer.offset}`]);
+  printResult(context, options, answer, [`${done} at offset ${answer.offset}`]);
 }
--- a/packages/cli/src/with-progress.ts
+++ b/packages/cli/src/with-progress.ts
@@ -1,6 +1,6 @@
 import type {CommandContext} from './command-context.js';
 
-const FIRST_WORD_MILLISECONDS = 2000;
+const REPORT_INTERVAL_MILLISECONDS = 2000;
 
 /** Waits for `work`; says every two seconds that it still waits and for what. */
 export async function withProgress<Result>(
@@ -9,11 +9,11 @@
   work: Promise<Result>,
 ): Promise<Result> {
   let seconds = 0;
-  let timer = context.clock.schedule(FIRST_WORD_MILLISECONDS, tell);
+  let timer = context.clock.schedule(REPORT_INTERVAL_MILLISECONDS, tell);
   function tell(): void {
-    seconds += FIRST_WORD_MILLISECONDS / 1000;
-    context.note(`${waitingFor}: ${seconds} s`);
-    timer = context.clock.schedule(FIRST_WORD_MILLISECONDS, tell);
+    seconds += REPORT_INTERVAL_MILLISECONDS / 1000;
+    context.printDiagnostic(`${waitingFor}: ${seconds} s`);
+    timer = context.clock.schedule(REPORT_INTERVAL_MILLISECONDS, tell);
   }
   try {
     return await work;
--- a/packages/coordinator/src/__tests__/cancelled-jobs.test.ts
+++ b/packages/coordinator/src/__tests__/cancelled-jobs.test.ts
@@ -27,11 +27,11 @@
 
       const worker = deployment.worker('worker-0');
       assert.ok(worker);
-      assert.equal(worker.begun[0].endedAt, undefined);
+      assert.equal(worker.startedRuns[0].endedAt, undefined);
       deployment.writeEntry(worker);
       await deployment.run(1_000);
 
-      assert.notEqual(worker.begun[0].endedAt, undefined);
+      assert.notEqual(worker.startedRuns[0].endedAt, undefined);
     });
   });
 });
--- a/packages/coordinator/src/__tests__/term-keeper.test.ts
+++ b/packages/coordinator/src/__tests__/coordinator-election.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {SeededRandom, SilentLogger, VirtualClock} from '@gentiandoor/kernel';
-import {TermKeeper, coordinatorStrength} from '../index.js';
+import {CoordinatorElection, coordinatorStrength} from '../index.js';
 import {
   MemoryStore,
   StoreFault,
@@ -9,7 +9,7 @@
 } from '../stand-ins/index.js';
 
 interface Candidate {
-  readonly keeper: TermKeeper;
+  readonly keeper: CoordinatorElection;
   readonly store: StoreConnection;
   readonly began: number[];
 }
@@ -23,7 +23,7 @@
   add(node: string, strength: number, isFirstStart = false): Candidate {
     const began: number[] = [];
     const store = this.store.connect();
-    const keeper = new TermKeeper(
+    const keeper = new CoordinatorElection(
       store,
       {node, incarnation: `${node}/${this.seed}`, strength, isFirstStart},
       this.clock,
