--- a/packages/coordinator/src/__tests__/deployment.ts
+++ b/packages/coordinator/src/__tests__/deployment.ts
@@ -15,12 +15,12 @@
 import type {Caller, Organisation} from '@gentiandoor/organisations';
 import {
   Coordinator,
-  JobFrontDesk,
+  JobIntake,
   JobStreams,
   LogStream,
   OperatorView,
   SubmissionLog,
-  TermKeeper,
+  CoordinatorElection,
   VmState,
   type CoordinatorParts,
   type JobAnswer,
@@ -36,7 +36,7 @@
   SimulatedWorker,
   SimulatedWorkers,
   simulatedSettings,
-  type BegunRun,
+  type StartedRun,
   type StoreConnection,
   type TaskBehaviour,
   type WorkerConnection,
@@ -116,9 +116,9 @@
   readonly workers: WorkerConnection;
   readonly table = new JobTable();
   readonly jobs: JobStreams;
-  readonly desk: JobFrontDesk;
+  readonly desk: JobIntake;
   readonly operators: OperatorView;
-  readonly keeper: TermKeeper;
+  readonly keeper: CoordinatorElection;
   readonly parts: CoordinatorParts;
   coordinator: Coordinator | undefined;
 
@@ -140,7 +140,7 @@
       clock,
       logger,
     );
-    this.desk = new JobFrontDesk(
+    this.desk = new JobIntake(
       this.table,
       this.jobs,
       submissions,
@@ -154,7 +154,7 @@
       log: this.store,
       formats: new PlainFormats(),
       workers: this.workers,
-      machines: deployment.fleet,
+      vmGateway: deployment.fleet,
       operators: this.operators,
       table: this.table,
       jobs: this.jobs,
@@ -163,7 +163,7 @@
       logger,
       metrics: new MemoryMetrics(),
     };
-    this.keeper = new TermKeeper(
+    this.keeper = new CoordinatorElection(
       this.store,
       {
         node,
@@ -226,7 +226,7 @@
   /** What a worker does to all that runs on it. */
   readonly workerBehaviours = new Map<string, Partial<TaskBehaviour>>();
   /** Set before the workers are added. */
-  workersGuardRoom = true;
+  workersEnforceCapacity = true;
   /** Undefined for a deployment that knows none. */
   organisations: readonly Organisation[] | undefined;
   private incarnations = 0;
@@ -274,7 +274,7 @@
         services: pools.map(name => ({
           name,
           standby: name === STANDBY,
-          enforcesRoom: this.workersGuardRoom,
+          enforcesCapacity: this.workersEnforceCapacity,
           healthPath: '',
         })),
       },
@@ -299,7 +299,7 @@
       state: VmState.Up,
       dataCentre: 'one',
       labels: ['rack-1'],
-      room: ROOM,
+      capacity: ROOM,
       workerId: name,
     });
     return worker;
@@ -313,7 +313,7 @@
   ): void {
     const worker = this.worker(id);
     if (!worker) throw new Error(`no worker ${id}`);
-    worker.room = {...worker.room, processorMillicores};
+    worker.capacity = {...worker.capacity, processorMillicores};
     this.clock.schedule(beatMilliseconds, () => this.writeEntry(worker));
   }
 
@@ -384,10 +384,10 @@
   }
 
   /** Every run that any worker began, in order. */
-  begunRuns(): BegunRun[] {
+  begunRuns(): StartedRun[] {
     return [...this.workers.byAddress.values()]
-      .flatMap(worker => worker.begun)
-      .sort((left, right) => left.begunAt - right.begunAt);
+      .flatMap(worker => worker.startedRuns)
+      .sort((left, right) => left.startedAt - right.startedAt);
   }
 
   private beginWorker(id: string, service: string): SimulatedWorker {
@@ -398,7 +398,7 @@
       this.clock,
       (task, on) => this.behaviourOf(task, on),
     );
-    worker.guardsRoom = this.workersGuardRoom;
+    worker.enforcesCapacity = this.workersEnforceCapacity;
     worker.onTaskCrash = () => this.crashWorker(id);
     return this.workers.add(worker);
   }
@@ -408,7 +408,7 @@
     return {
       durationMilliseconds: 500,
       end: RunEnd.Done,
-      room: TASK_ROOM,
+      resources: TASK_ROOM,
       ...(this.behaviours.get(task) ?? this.behaviours.get(job)),
       ...this.workerBehaviours.get(worker),
     };
@@ -460,7 +460,7 @@
   return {
     durationMilliseconds: 500,
     end: RunEnd.Done,
-    room: TASK_ROOM,
+    resources: TASK_ROOM,
     ...differences,
   };
 }
--- a/packages/coordinator/src/__tests__/dispatcher.test.ts
+++ b/packages/coordinator/src/__tests__/dispatcher.test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import {JobExecution, JobState} from '@gentiandoor/jobs';
 import {VirtualClock} from '@gentiandoor/kernel';
-import {NO_LIMIT, StandingOrder} from '@gentiandoor/organisations';
+import {NO_LIMIT, UnchangedOrder} from '@gentiandoor/organisations';
 import {FullestFirst} from '@gentiandoor/scheduling';
 import {Dispatcher} from '../dispatcher.js';
 import {ServiceDemand} from '../service-demand.js';
@@ -23,9 +23,9 @@
         },
         queueOf: () => undefined,
         mayOrder: () => true,
-        mayStart: () => true,
-        claimsOn: (_service, _waiting, pool) => ({
-          pool,
+        organisationLimitAllows: () => true,
+        poolShares: (_service, _waiting, pool) => ({
+          capacity: pool,
           totalWeight: 1,
           weightOf: () => 1,
           usedBy: () => NO_LIMIT,
@@ -33,7 +33,7 @@
         launch: () => undefined,
       },
       new FullestFirst(),
-      new StandingOrder(),
+      new UnchangedOrder(),
       new ServiceDemand(),
       clock,
     );
@@ -50,7 +50,7 @@
       0,
     );
     for (let wake = 0; wake < 100; wake++) {
-      dispatcher.wake(SERVICE);
+      dispatcher.schedulePlacement(SERVICE);
       await clock.advanceAsync(10);
     }
     const busy = rounds;
--- a/packages/coordinator/src/__tests__/job-streams.test.ts
+++ b/packages/coordinator/src/__tests__/job-streams.test.ts
@@ -9,7 +9,7 @@
   submissionPartition,
   type AppendConditions,
   type AppendResult,
-  type NewestResult,
+  type NewestByKeyResult,
   type ReadResult,
   type RecordLog,
 } from '../index.js';
@@ -41,10 +41,13 @@
     return this.log.read(stream, offset, wait, partition);
   }
 
-  async newest(stream: LogStream, partition?: number): Promise<NewestResult> {
+  async newestByKey(
+    stream: LogStream,
+    partition?: number,
+  ): Promise<NewestByKeyResult> {
     this.total++;
     this.most = Math.max(this.most, ++this.underWay);
-    const result = await this.log.newest(stream, partition);
+    const result = await this.log.newestByKey(stream, partition);
     this.underWay--;
     return result;
   }
@@ -65,7 +68,7 @@
   // over the same link and store; none is done within its bound, all begin again, for good.
   it('reads one stream after the other at the start, whoever asks', async () => {
     const {clock, log, jobs} = streams();
-    void jobs.keepWarm();
+    void jobs.refreshStale();
     void jobs.refresh();
     for (const id of ['a', 'b', 'c', 'd']) void jobs.refreshJob(id);
     await clock.advanceAsync(1_000);
--- a/packages/coordinator/src/__tests__/learned-figures.test.ts
+++ b/packages/coordinator/src/__tests__/learned-demand-store.test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import {LogEvent, VirtualClock} from '@gentiandoor/kernel';
 import {LogStream} from '../index.js';
-import {LearnedFigures} from '../learned-figures.js';
+import {LearnedDemandStore} from '../learned-demand-store.js';
 import {ServiceDemand} from '../service-demand.js';
 import {MemoryStore, StoreFault} from '../stand-ins/index.js';
 import {EventCounts, job, step} from './deployment.js';
@@ -19,7 +19,7 @@
     const demand = new ServiceDemand();
     const connection = store.connect();
     const parts = {log: connection, clock, logger};
-    return {demand, connection, learned: new LearnedFigures(parts, demand)};
+    return {demand, connection, learned: new LearnedDemandStore(parts, demand)};
   };
   return {clock, store, logger, coordinator};
 }
--- a/packages/coordinator/src/__tests__/run-watch.test.ts
+++ b/packages/coordinator/src/__tests__/observed-run.test.ts
@@ -3,7 +3,7 @@
 import {JobExecution, JobState} from '@gentiandoor/jobs';
 import {isStalled} from '@gentiandoor/scheduling';
 import {RunStatus, newLiveRun, type LiveRun} from '../index.js';
-import {canStall, watchedRun} from '../run-watch.js';
+import {canStall, toObservedRun} from '../observed-run.js';
 import {job, step} from './deployment.js';
 
 function liveRun(
@@ -20,10 +20,10 @@
     plannedAt: 0,
     weight: 1,
     expectedMilliseconds: 500,
-    isWatched: true,
+    stopsOnStall: true,
     isIsolated: false,
     status: RunStatus.Ordered,
-    settledAt: Infinity,
+    orderAnsweredAt: Infinity,
   });
   return {...planned, ...differences};
 }
@@ -34,20 +34,20 @@
   // stopped at once, and its sound worker taken for a suspect.
   it('counts from its order, not from its plan', () => {
     const run = liveRun({orderedAt: 1_646});
-    assert.equal(isStalled(watchedRun(run, 1_656)), false);
-    assert.equal(isStalled(watchedRun(run, 3_300)), true);
+    assert.equal(isStalled(toObservedRun(run, 1_656)), false);
+    assert.equal(isStalled(toObservedRun(run, 3_300)), true);
   });
 
   it('counts from its last progress', () => {
-    const run = liveRun({orderedAt: 10, percent: 40, progressedAt: 2_000});
-    assert.equal(isStalled(watchedRun(run, 2_300)), false);
-    assert.equal(isStalled(watchedRun(run, 2_700)), true);
+    const run = liveRun({orderedAt: 10, percent: 40, percentChangedAt: 2_000});
+    assert.equal(isStalled(toObservedRun(run, 2_300)), false);
+    assert.equal(isStalled(toObservedRun(run, 2_700)), true);
   });
 
   it('is none that lasts, is slowed on purpose, is being stopped or waits for its gang', () => {
     assert.equal(canStall(liveRun({})), true);
-    assert.equal(canStall(liveRun({isWatched: false})), false);
-    assert.equal(canStall(liveRun({stopAsked: true})), false);
+    assert.equal(canStall(liveRun({stopsOnStall: false})), false);
+    assert.equal(canStall(liveRun({stopRequested: true})), false);
     assert.equal(canStall(liveRun({}, step({longRunning: true}))), false);
     assert.equal(canStall(liveRun({}, step({bestEffort: true}))), false);
     assert.equal(canStall(liveRun({}, step({gang: true}))), false);
--- a/packages/coordinator/src/__tests__/organisation-limit.test.ts
+++ b/packages/coordinator/src/__tests__/organisation-limit.test.ts
@@ -3,7 +3,11 @@
 import {JobState, type JobSubmission} from '@gentiandoor/jobs';
 import {digestKey, type Organisation} from '@gentiandoor/organisations';
 import {LogStream, SubmitAnswer} from '../index.js';
-import {StoreFault, WorkerFault, mostAtOnce} from '../stand-ins/index.js';
+import {
+  StoreFault,
+  WorkerFault,
+  maximumConcurrentRuns,
+} from '../stand-ins/index.js';
 import {
   QUEUE,
   TestDeployment,
@@ -19,7 +23,7 @@
 function organisation(name: string, cores: number): Organisation {
   return {
     name,
-    keys: [digestKey(`key of ${name}`)],
+    keyDigests: [digestKey(`key of ${name}`)],
     weight: 1,
     limit: {
       processorMillicores: cores * MILLICORES,
@@ -63,7 +67,7 @@
   /** Most tasks of jobs whose id begins with `prefix` that ran at the same time. */
   mostOf(prefix: string, from = 0): number {
     const runs = this.begunRuns().filter(run => run.task.startsWith(prefix));
-    return mostAtOnce(runs, from);
+    return maximumConcurrentRuns(runs, from);
   }
 }
 
--- a/packages/coordinator/src/__tests__/random-faults.ts
+++ b/packages/coordinator/src/__tests__/random-faults.ts
@@ -5,11 +5,11 @@
 import {
   StoreFault,
   WorkerFault,
-  mostAtOnce,
+  maximumConcurrentRuns,
   overlappingRuns,
   pairsOfRuns,
   startsAfterCrashes,
-  type BegunRun,
+  type StartedRun,
 } from '../stand-ins/index.js';
 import {
   TestDaemon,
@@ -94,7 +94,7 @@
       ...NO_LIMIT,
       processorMillicores: taskLimit * TASK_MILLICORES,
     };
-    const organisation = {name: ORGANISATION, keys: [], weight: 1, limit};
+    const organisation = {name: ORGANISATION, keyDigests: [], weight: 1, limit};
     this.deployment.organisations = [organisation];
     this.deployment.publishConfiguration(2);
   }
@@ -259,7 +259,7 @@
     };
   }
 
-  private runsAfterDone(runs: readonly BegunRun[]): string[] {
+  private runsAfterDone(runs: readonly StartedRun[]): string[] {
     return pairsOfRuns(runs)
       .filter(
         ([one, other]) => one.end === RunEnd.Done && this.isKnown(one, other),
@@ -272,23 +272,23 @@
    * good. One that was not is lost with its worker's incarnation, and by a lease that runs out behind a
    * cut: nobody could have known of it, and the task must go on elsewhere.
    */
-  private isKnown(one: BegunRun, other: BegunRun): boolean {
+  private isKnown(one: StartedRun, other: StartedRun): boolean {
     const acknowledged = one.acknowledgedAt ?? Infinity;
-    if (acknowledged <= other.begunAt) return true;
+    if (acknowledged <= other.startedAt) return true;
     if (!this.outlived(one)) return false;
     const lapses = this.deployment.worker(one.worker)?.lapses ?? [];
     const endedAt = one.endedAt ?? Infinity;
-    return !lapses.some(at => at >= endedAt && at <= other.begunAt);
+    return !lapses.some(at => at >= endedAt && at <= other.startedAt);
   }
 
   /** An end that died with its worker says nothing. */
-  private outlived(run: BegunRun): boolean {
+  private outlived(run: StartedRun): boolean {
     return !(this.deployment.worker(run.worker)?.isDead ?? true);
   }
 
   /** Runs that began after as many ends as failed that count as the queue allows. */
-  private tooManyAttempts(runs: readonly BegunRun[]): string[] {
-    const knownFailures = new Map<BegunRun, number>();
+  private tooManyAttempts(runs: readonly StartedRun[]): string[] {
+    const knownFailures = new Map<StartedRun, number>();
     for (const [one, other] of pairsOfRuns(runs))
       if (one.end === RunEnd.Failed && this.isKnown(one, other))
         knownFailures.set(other, (knownFailures.get(other) ?? 0) + 1);
@@ -299,7 +299,7 @@
       );
   }
 
-  private tooManyCrashes(runs: readonly BegunRun[]): string[] {
+  private tooManyCrashes(runs: readonly StartedRun[]): string[] {
     const crashing = [...this.deployment.behaviours].filter(
       ([, {crashesAfterMilliseconds}]) => crashesAfterMilliseconds,
     );
@@ -311,16 +311,16 @@
     });
   }
 
-  private overLimit(runs: readonly BegunRun[]): string[] {
+  private overLimit(runs: readonly StartedRun[]): string[] {
     const {taskLimit = Infinity} = this;
     const owned = runs.filter(run => this.owned.has(run.task.split('.')[0]));
-    const most = mostAtOnce(owned);
+    const most = maximumConcurrentRuns(owned);
     return most > taskLimit
       ? [`${most} tasks of the organisation at once, limit ${taskLimit}`]
       : [];
   }
 
-  private refusedAndRun(runs: readonly BegunRun[]): string[] {
+  private refusedAndRun(runs: readonly StartedRun[]): string[] {
     return this.submitted
       .filter(one => one.attempts === one.answers.length)
       .filter(one => one.answers.every(a => a === SubmitAnswer.Refused))
@@ -329,7 +329,7 @@
   }
 
   /** So many crashes under one task are reason enough. */
-  private wasGivenUp(own: readonly BegunRun[]): boolean {
+  private wasGivenUp(own: readonly StartedRun[]): boolean {
     const crashes = new Map<string, number>();
     for (const {task, end} of own)
       if (end === RunEnd.Crashed)
@@ -337,7 +337,7 @@
     return Math.max(0, ...crashes.values()) >= CRASHES_COUNTED;
   }
 
-  private unfinished(one: Submitted, runs: readonly BegunRun[]): string[] {
+  private unfinished(one: Submitted, runs: readonly StartedRun[]): string[] {
     const own = runs.filter(run => run.task.startsWith(`${one.id}.`));
     const failed = own.filter(run => run.end === RunEnd.Failed).length >= 3;
     if (failed || this.wasGivenUp(own)) return [];
--- a/packages/coordinator/src/__tests__/shrinking-room.test.ts
+++ b/packages/coordinator/src/__tests__/shrinking-capacity.test.ts
@@ -38,7 +38,7 @@
   daemon: TestDaemon;
 }> {
   const deployment = new TestDeployment(0);
-  deployment.workersGuardRoom = false;
+  deployment.workersEnforceCapacity = false;
   deployment.publishConfiguration(2);
   for (const id of WORKERS) deployment.addWorker(id, SERVICE);
   prepare(deployment);
@@ -48,7 +48,7 @@
 
 function startsOverRoom(deployment: TestDeployment, since: number): number[] {
   return WORKERS.flatMap(
-    id => deployment.worker(id)?.startsOverRoom ?? [],
+    id => deployment.worker(id)?.startsOverCapacity ?? [],
   ).filter(at => at >= since);
 }
 
@@ -173,7 +173,7 @@
       .begunRuns()
       .filter(({task}) => task.startsWith('after.'));
     assert.equal(started.length, 4);
-    const last = Math.max(...started.map(({begunAt}) => begunAt));
+    const last = Math.max(...started.map(({startedAt: begunAt}) => begunAt));
     const waited = last - submittedAt;
     assert.ok(waited < 500, `${waited} ms`);
   });
--- a/packages/coordinator/src/__tests__/stream-follower.test.ts
+++ b/packages/coordinator/src/__tests__/stream-follower.test.ts
@@ -99,9 +99,9 @@
 
   append: RecordLog['append'] = (...call) => this.inner.append(...call);
 
-  newest: RecordLog['newest'] = async stream => {
+  newestByKey: RecordLog['newestByKey'] = async stream => {
     await sleep(this.clock, 700);
-    return this.inner.newest(stream);
+    return this.inner.newestByKey(stream);
   };
 
   read: RecordLog['read'] = async (...call) => {
--- a/packages/coordinator/src/__tests__/submission-log.test.ts
+++ b/packages/coordinator/src/__tests__/submission-log.test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import {VirtualClock} from '@gentiandoor/kernel';
 import {
-  KeepOutcome,
+  BatchedAppendOutcome,
   LogStream,
   SUBMISSION_PARTITIONS,
   SubmissionLog,
@@ -31,15 +31,17 @@
       connection.answerMilliseconds = 150;
       return new SubmissionLog(connection, clock);
     });
-    const kept: Array<Promise<KeepOutcome>> = [];
+    const kept: Array<Promise<BatchedAppendOutcome>> = [];
     for (let count = 0; count < 500; count++) {
       const id = `job-${count}`;
-      kept.push(logs[count % DAEMONS].keep(id, record(id), PATIENCE, BOUND));
+      kept.push(logs[count % DAEMONS].append(id, record(id), PATIENCE, BOUND));
       await clock.advanceAsync(10);
     }
     await clock.advanceAsync(5_000);
     const outcomes = await Promise.all(kept);
-    const refused = outcomes.filter(outcome => outcome !== KeepOutcome.Kept);
+    const refused = outcomes.filter(
+      outcome => outcome !== BatchedAppendOutcome.Appended,
+    );
     assert.ok(refused.length <= 5, `${refused.length} of 500 not taken`);
   });
 
@@ -49,8 +51,8 @@
     const store = new MemoryStore(clock);
     const one = new SubmissionLog(store.connect(), clock);
     const other = new SubmissionLog(store.connect(), clock);
-    void one.keep('a', record('a'), PATIENCE, BOUND);
-    void other.keep('a', {key: 'c/a', value: undefined}, PATIENCE, BOUND);
+    void one.append('a', record('a'), PATIENCE, BOUND);
+    void other.append('a', {key: 'c/a', value: undefined}, PATIENCE, BOUND);
     await clock.advanceAsync(100);
     const partition = submissionPartition('a');
     const connection = store.connect();
@@ -77,14 +79,16 @@
     const connection = new MemoryStore(clock).connect();
     const log = new SubmissionLog(connection, clock);
     connection.setFault(StoreFault.Silent);
-    const first = log.keep('first', record('first'), PATIENCE, BOUND);
+    const first = log.append('first', record('first'), PATIENCE, BOUND);
     await clock.advanceAsync(1_600);
     const others = Array.from({length: 12}, (_, index) =>
-      log.keep(`job-${index}`, record(`job-${index}`), PATIENCE, BOUND),
+      log.append(`job-${index}`, record(`job-${index}`), PATIENCE, BOUND),
     );
     await clock.advanceAsync(3_000);
-    assert.equal(await first, KeepOutcome.Unknown);
+    assert.equal(await first, BatchedAppendOutcome.Unknown);
     const outcomes = await Promise.all(others);
-    assert.ok(outcomes.every(outcome => outcome === KeepOutcome.NotKept));
+    assert.ok(
+      outcomes.every(outcome => outcome === BatchedAppendOutcome.NotAppended),
+    );
   });
 });
--- a/packages/coordinator/src/__tests__/vm-orders.test.ts
+++ b/packages/coordinator/src/__tests__/vm-orders.test.ts
@@ -26,7 +26,7 @@
     {
       settings: simulatedSettings('two'),
       log: store.connect(),
-      machines: new SimulatedFleet(clock),
+      vmGateway: new SimulatedFleet(clock),
       clock,
       logger: new EventCounts(),
       metrics: new MemoryMetrics(),
--- a/packages/coordinator/src/__tests__/weak-vms.test.ts
+++ b/packages/coordinator/src/__tests__/weak-vms.test.ts
@@ -53,7 +53,7 @@
 ): number {
   return deployment
     .begunRuns()
-    .filter(run => run.begunAt >= from && run.begunAt < until).length;
+    .filter(run => run.startedAt >= from && run.startedAt < until).length;
 }
 
 describe('a coordinator that lags', () => {
@@ -130,7 +130,7 @@
       .begunRuns()
       .filter(run => run.task.startsWith('lasting'));
     assert.equal(begun.length, 2);
-    assert.ok(begun[1].begunAt - (begun[0].endedAt ?? 0) < 3_000);
+    assert.ok(begun[1].startedAt - (begun[0].endedAt ?? 0) < 3_000);
   });
 });
 
--- a/packages/coordinator/src/signal.ts
+++ b/packages/coordinator/src/auto-reset-event.ts
@@ -1,7 +1,7 @@
 import {type Clock, type Timer} from '@gentiandoor/kernel';
 
 /** Wakes one waiting task; a notification without a waiter is kept for the next wait. */
-export class Signal {
+export class AutoResetEvent {
   private notified = false;
   private wake: (() => void) | undefined;
 
--- a/packages/coordinator/src/grouped-appender.ts
+++ b/packages/coordinator/src/batching-appender.ts
@@ -4,10 +4,10 @@
 import {AppendOutcome, type LogStream, type RecordLog} from './record-log.js';
 
 /** What became of a record that was handed in for appending. */
-export enum KeepOutcome {
-  Kept = 'kept',
+export enum BatchedAppendOutcome {
+  Appended = 'kept',
   /** It is certain that the record was not and will not be appended. */
-  NotKept = 'not_kept',
+  NotAppended = 'not_kept',
   /** It may have been appended, and may still be. */
   Unknown = 'unknown',
 }
@@ -25,10 +25,10 @@
 interface WaitingRecord {
   readonly record: KeyedRecord;
   /** Refused for certain after this. */
-  readonly refuseAt: number;
+  readonly unsentDeadline: number;
   /** Left in doubt after this. */
-  readonly giveUpAt: number;
-  readonly resolve: (outcome: KeepOutcome) => void;
+  readonly outcomeDeadline: number;
+  readonly resolve: (outcome: BatchedAppendOutcome) => void;
   /** An append that carried it got no answer. */
   inDoubt: boolean;
 }
@@ -37,7 +37,7 @@
  * Appends records of many callers with one call at a time: while one is under way the next ones
  * gather. A record may be appended twice when an answer was lost; readers take the same key twice.
  */
-export class GroupedAppender {
+export class BatchingAppender {
   private queue: WaitingRecord[] = [];
   private running = false;
 
@@ -53,17 +53,17 @@
    * Appends a record. `patienceMilliseconds` bounds the wait while nothing was sent;
    * `boundMilliseconds` bounds it while the outcome is in doubt.
    */
-  keep(
+  append(
     record: KeyedRecord,
     patienceMilliseconds: number,
     boundMilliseconds: number,
-  ): Promise<KeepOutcome> {
+  ): Promise<BatchedAppendOutcome> {
     const now = this.clock.monotonicMilliseconds();
     return new Promise(resolve => {
       const waiting: WaitingRecord = {
         record,
-        refuseAt: now + Math.min(patienceMilliseconds, boundMilliseconds),
-        giveUpAt: now + boundMilliseconds,
+        unsentDeadline: now + Math.min(patienceMilliseconds, boundMilliseconds),
+        outcomeDeadline: now + boundMilliseconds,
         resolve,
         inDoubt: false,
       };
@@ -79,7 +79,7 @@
     const index = this.queue.indexOf(waiting);
     if (index < 0 || waiting.inDoubt) return;
     this.queue.splice(index, 1);
-    waiting.resolve(KeepOutcome.NotKept);
+    waiting.resolve(BatchedAppendOutcome.NotAppended);
   }
 
   /** An append that hangs must not hold the answer past the time that the caller waits. */
@@ -87,7 +87,11 @@
     const index = this.queue.indexOf(waiting);
     if (index >= 0) this.queue.splice(index, 1);
     const isUnsent = index >= 0 && !waiting.inDoubt;
-    waiting.resolve(isUnsent ? KeepOutcome.NotKept : KeepOutcome.Unknown);
+    waiting.resolve(
+      isUnsent
+        ? BatchedAppendOutcome.NotAppended
+        : BatchedAppendOutcome.Unknown,
+    );
   }
 
   private async run(): Promise<void> {
@@ -108,7 +112,8 @@
       if (isProbe) this.health.endProbe();
       if (result.outcome === AppendOutcome.Appended) {
         this.health.noteSuccess();
-        for (const waiting of batch) waiting.resolve(KeepOutcome.Kept);
+        for (const waiting of batch)
+          waiting.resolve(BatchedAppendOutcome.Appended);
         continue;
       }
       this.health.noteFailure();
@@ -138,10 +143,14 @@
   private staysAfterFailure(waiting: WaitingRecord, inDoubt: boolean): boolean {
     waiting.inDoubt ||= inDoubt;
     const now = this.clock.monotonicMilliseconds();
-    const until = waiting.inDoubt ? waiting.giveUpAt : waiting.refuseAt;
+    const until = waiting.inDoubt
+      ? waiting.outcomeDeadline
+      : waiting.unsentDeadline;
     if (now + RETRY_MILLISECONDS < until) return true;
     waiting.resolve(
-      waiting.inDoubt ? KeepOutcome.Unknown : KeepOutcome.NotKept,
+      waiting.inDoubt
+        ? BatchedAppendOutcome.Unknown
+        : BatchedAppendOutcome.NotAppended,
     );
     return false;
   }
--- a/packages/coordinator/src/best-effort-pacer.ts
+++ b/packages/coordinator/src/best-effort-throttle.ts
@@ -1,4 +1,4 @@
-import {BestEffortPace} from '@gentiandoor/scheduling';
+import {BestEffortSpeedController} from '@gentiandoor/scheduling';
 import type {LiveRun} from './live-run.js';
 import {
   OrderOutcome,
@@ -7,17 +7,20 @@
 } from './worker-gateway.js';
 
 /** Steps of speed under this are not worth a call. */
-const PACE_STEP_PERCENT = 10;
+const MINIMUM_SPEED_STEP_PERCENT = 10;
 const FULL_PERCENT = 100;
 
 /** Sends the order that lets a run work at a share of its speed. */
-export type PaceOrder = (run: LiveRun, percent: number) => Promise<OrderResult>;
+export type ThrottleOrder = (
+  run: LiveRun,
+  percent: number,
+) => Promise<OrderResult>;
 
 /** Slows best-effort tasks on one worker down where what serves beside them is over its target. */
-export class BestEffortPacer {
-  private readonly pace = new BestEffortPace();
+export class BestEffortThrottle {
+  private readonly pace = new BestEffortSpeedController();
 
-  constructor(private readonly order: PaceOrder) {}
+  constructor(private readonly order: ThrottleOrder) {}
 
   /** Takes the figures of one poll. */
   adjust(
@@ -29,7 +32,7 @@
     for (const listed of running) {
       const run = runs.get(listed.task);
       if (!run) continue;
-      const step = run.taskOfJob.specification;
+      const step = run.executableTask.specification;
       if (step.bestEffort) bestEffort.push(run);
       else if (step.targetMilliseconds > 0)
         worst = Math.max(worst, listed.load / step.targetMilliseconds);
@@ -40,13 +43,13 @@
   }
 
   private send(run: LiveRun, percent: number): void {
-    const before = run.pacePercent;
-    const isSmall = Math.abs(percent - before) < PACE_STEP_PERCENT;
+    const before = run.speedPercent;
+    const isSmall = Math.abs(percent - before) < MINIMUM_SPEED_STEP_PERCENT;
     if (percent === before || (isSmall && percent !== FULL_PERCENT)) return;
-    run.pacePercent = percent;
+    run.speedPercent = percent;
     void this.order(run, percent).then(result => {
       // Not done: the next poll tries again from the speed before.
-      if (result.outcome !== OrderOutcome.Done) run.pacePercent = before;
+      if (result.outcome !== OrderOutcome.Done) run.speedPercent = before;
     });
   }
 }
--- a/packages/coordinator/src/term-keeper.ts
+++ b/packages/coordinator/src/coordinator-election.ts
@@ -15,26 +15,26 @@
 } from './record-log.js';
 
 /** Term length, counted from the sending of the last renewal that succeeded. */
-const LEAST_TERM_MILLISECONDS = 800;
+const MINIMUM_TERM_MILLISECONDS = 800;
 /** Term length while the store responds slowly. */
-const MOST_TERM_MILLISECONDS = 1_300;
+const MAXIMUM_TERM_MILLISECONDS = 1_300;
 /** Store response times per term length: two renewals must fit. */
-const ANSWERS_IN_TERM = 4;
+const RESPONSE_TIMES_PER_TERM = 4;
 /** Renewal interval; one renewal per term may be lost. */
 const RENEWAL_MILLISECONDS = 250;
 /** Allowance for clock drift and local processing delays when a term expires. */
-const TAKEOVER_SLACK_MILLISECONDS = 150;
+const TERM_EXPIRY_MARGIN_MILLISECONDS = 150;
 /** Jitter of candidates. */
-const TAKEOVER_SPREAD_MILLISECONDS = 120;
-const WATCH_MILLISECONDS = 1_000;
+const CANDIDACY_JITTER_MILLISECONDS = 120;
+const WATCH_TIMEOUT_MILLISECONDS = 1_000;
 const RETRY_MILLISECONDS = 100;
 /** Delay for which a weaker daemon gives precedence to a stronger one. */
-const DEFERENCE_MILLISECONDS = 400;
+const STRONGER_CANDIDATE_PRECEDENCE_MILLISECONDS = 400;
 /**
  * A weak daemon looks at the term this seldom while a stronger one could take it. Without it each of forty
  * daemons reads every renewal, which together is most of what the store is asked on a calm day.
  */
-const WEAK_WATCH_GAP_MILLISECONDS = 500;
+const WEAK_CANDIDATE_POLL_INTERVAL_MILLISECONDS = 500;
 /** On the first start of a deployment candidates wait this long for each other's records. */
 const FIRST_START_MILLISECONDS = 700;
 /** A larger advance of the wall clock than of the steady clock means that the VM was suspended. */
@@ -74,21 +74,21 @@
  * stream still ends where its writer has read it. Among those that could take the next term the
  * strongest go first.
  */
-export class TermKeeper {
+export class CoordinatorElection {
   private endOffset = 0;
   private current: TermRecord | undefined;
   private changedAt = 0;
   private validUntil = -Infinity;
   /** What the newest write to the store took. */
-  private answerMilliseconds = 0;
-  private clockOffset = 0;
-  private holding = false;
+  private writeResponseMilliseconds = 0;
+  private wallClockOffset = 0;
+  private isHolder = false;
   private stopping = false;
   private finished: Promise<void> | undefined;
   private startedAt = 0;
   private readonly roster: DaemonRoster;
   /** The change of the term before which the roster was read. */
-  private rosterReadFor: number | undefined;
+  private rosterReadAtChange: number | undefined;
 
   constructor(
     private readonly log: RecordLog,
@@ -104,9 +104,9 @@
 
   /** Whether an order may be given now. */
   get isValid(): boolean {
-    if (!this.holding) return false;
+    if (!this.isHolder) return false;
     if (this.clock.monotonicMilliseconds() >= this.validUntil) return false;
-    const drift = Math.abs(this.wallOffset() - this.clockOffset);
+    const drift = Math.abs(this.wallOffset() - this.wallClockOffset);
     return drift < CLOCK_DRIFT_MILLISECONDS;
   }
 
@@ -126,10 +126,10 @@
     while (!this.stopping && !(await this.readCurrent()))
       await this.pause(RETRY_MILLISECONDS);
     while (!this.stopping) {
-      if (this.holding) await this.renew();
+      if (this.isHolder) await this.renew();
       else await this.watch();
     }
-    if (this.holding) await this.release();
+    if (this.isHolder) await this.release();
   }
 
   private async renew(): Promise<void> {
@@ -149,11 +149,11 @@
       await this.watchFor(left);
       return;
     }
-    if (this.rosterReadFor !== this.changedAt) {
+    if (this.rosterReadAtChange !== this.changedAt) {
       if (!(await this.readRoster())) await this.pause(RETRY_MILLISECONDS);
       return;
     }
-    if (this.roster.knowsStronger && !(await this.staysVacant())) return;
+    if (this.roster.hasStrongerDaemon && !(await this.staysVacant())) return;
     const term = (this.current?.term ?? 0) + 1;
     const written = await this.write({
       term,
@@ -166,41 +166,48 @@
   }
 
   private async watchFor(left: number): Promise<void> {
-    if (this.roster.knowsStronger)
-      await this.pause(Math.min(left, WEAK_WATCH_GAP_MILLISECONDS));
+    if (this.roster.hasStrongerDaemon)
+      await this.pause(
+        Math.min(left, WEAK_CANDIDATE_POLL_INTERVAL_MILLISECONDS),
+      );
     else if (this.isRosterDue()) await this.readRoster();
-    await this.readNext(Math.min(left, WATCH_MILLISECONDS));
+    await this.readNext(Math.min(left, WATCH_TIMEOUT_MILLISECONDS));
   }
 
   /** Once, when all that started with this daemon have told their strength. */
   private isRosterDue(): boolean {
     const age = this.clock.monotonicMilliseconds() - this.startedAt;
-    return this.rosterReadFor === undefined && age > FIRST_START_MILLISECONDS;
+    return (
+      this.rosterReadAtChange === undefined && age > FIRST_START_MILLISECONDS
+    );
   }
 
   /** False when the store did not answer. */
   private async readRoster(): Promise<boolean> {
     if (!(await this.roster.refresh())) return false;
-    this.rosterReadFor = this.changedAt;
+    this.rosterReadAtChange = this.changedAt;
     return true;
   }
 
   /** Short terms end soon after their holder is lost; a slow store can't renew them. */
   private termMilliseconds(): number {
-    const answers = ANSWERS_IN_TERM * this.answerMilliseconds;
-    return Math.min(MOST_TERM_MILLISECONDS, LEAST_TERM_MILLISECONDS + answers);
+    const answers = RESPONSE_TIMES_PER_TERM * this.writeResponseMilliseconds;
+    return Math.min(
+      MAXIMUM_TERM_MILLISECONDS,
+      MINIMUM_TERM_MILLISECONDS + answers,
+    );
   }
 
   /** When this daemon may try to take the next term. */
   private candidacyAt(): number {
     const {current, roster} = this;
     if (!current) return this.firstCandidacyAt();
-    const spread = this.random.nextFraction() * TAKEOVER_SPREAD_MILLISECONDS;
+    const spread = this.random.nextFraction() * CANDIDACY_JITTER_MILLISECONDS;
     if (current.released) return this.changedAt + spread / 4;
     // One machine runs one daemon: an earlier incarnation of this one gives no orders any more.
-    if (current.holder === this.candidate.node && !roster.knowsStronger)
+    if (current.holder === this.candidate.node && !roster.hasStrongerDaemon)
       return -Infinity;
-    const over = current.validMilliseconds + TAKEOVER_SLACK_MILLISECONDS;
+    const over = current.validMilliseconds + TERM_EXPIRY_MARGIN_MILLISECONDS;
     return this.changedAt + over + spread;
   }
 
@@ -210,7 +217,9 @@
    */
   private async staysVacant(): Promise<boolean> {
     const before = this.endOffset;
-    const result = await this.readNext(DEFERENCE_MILLISECONDS);
+    const result = await this.readNext(
+      STRONGER_CANDIDATE_PRECEDENCE_MILLISECONDS,
+    );
     return result === ReadOutcome.Read && this.endOffset === before;
   }
 
@@ -224,56 +233,63 @@
     const sentAt = this.clock.monotonicMilliseconds();
     const offset = this.wallOffset();
     const result = await this.log.append(LogStream.Terms, [encode(record)], {
-      atOffset: this.endOffset,
+      expectedEndOffset: this.endOffset,
     });
     if (result.outcome === AppendOutcome.Appended) {
-      this.answerMilliseconds = this.clock.monotonicMilliseconds() - sentAt;
+      this.writeResponseMilliseconds =
+        this.clock.monotonicMilliseconds() - sentAt;
       this.endOffset = result.endOffset;
       this.changedAt = sentAt;
-      this.hold(record, sentAt, offset);
+      this.acceptTerm(record, sentAt, offset);
       return true;
     }
     // A lost answer may hide a success, and a moved end another's term: the stream says which.
-    if (result.outcome !== AppendOutcome.Refused) await this.settle(sentAt);
+    if (result.outcome !== AppendOutcome.Refused)
+      await this.resolveFailedWrite(sentAt);
     return false;
   }
 
-  private async settle(sentAt: number): Promise<void> {
+  private async resolveFailedWrite(sentAt: number): Promise<void> {
     const before = this.endOffset;
     if (!(await this.readCurrent()) || this.endOffset === before) return;
     const {current} = this;
     if (!current || !this.isOwn(current))
-      this.lose('another daemon has taken it');
-    else if (!current.released) this.hold(current, sentAt, this.wallOffset());
+      this.loseTerm('another daemon has taken it');
+    else if (!current.released)
+      this.acceptTerm(current, sentAt, this.wallOffset());
   }
 
-  private hold(record: TermRecord, sentAt: number, clockOffset: number): void {
-    const isNew = !this.holding;
+  private acceptTerm(
+    record: TermRecord,
+    sentAt: number,
+    clockOffset: number,
+  ): void {
+    const isNew = !this.isHolder;
     this.current = record;
-    this.holding = true;
+    this.isHolder = true;
     this.validUntil = sentAt + record.validMilliseconds;
-    this.clockOffset = clockOffset;
+    this.wallClockOffset = clockOffset;
     if (!isNew) return;
     this.logger.info(LogEvent.TermTaken, {term: record.term});
     this.listener.termBegan(record.term);
   }
 
-  private lose(reason: string): void {
-    if (!this.holding) return;
-    this.holding = false;
+  private loseTerm(reason: string): void {
+    if (!this.isHolder) return;
+    this.isHolder = false;
     this.logger.warn(LogEvent.TermLost, {reason, term: this.current?.term});
     this.listener.termEnded();
   }
 
   private async release(): Promise<void> {
     const {current} = this;
-    this.holding = false;
+    this.isHolder = false;
     this.listener.termEnded();
     if (!current) return;
     const result = await this.log.append(
       LogStream.Terms,
       [encode({...current, released: true})],
-      {atOffset: this.endOffset},
+      {expectedEndOffset: this.endOffset},
     );
     this.logger.info(LogEvent.TermReleased, {
       term: current.term,
@@ -283,7 +299,7 @@
 
   /** Reads the newest term; false when the store did not answer. */
   private async readCurrent(): Promise<boolean> {
-    const result = await this.log.newest(LogStream.Terms);
+    const result = await this.log.newestByKey(LogStream.Terms);
     if (result.outcome !== ReadOutcome.Read) return false;
     const newest = result.records.find(record => record.key === TERM_KEY);
     this.endOffset = result.endOffset;
@@ -346,7 +362,7 @@
     const term = JSON.parse(record.value.toString('utf8')) as TermRecord;
     if (!Number.isSafeInteger(term.term)) return undefined;
     // A daemon of an earlier version writes no length; its terms were never longer than this.
-    const {validMilliseconds = MOST_TERM_MILLISECONDS} = term;
+    const {validMilliseconds = MAXIMUM_TERM_MILLISECONDS} = term;
     return {...term, validMilliseconds};
   } catch {
     // The caller logs the key; the term before it stays in force.
--- a/packages/coordinator/src/coordinator.ts
+++ b/packages/coordinator/src/coordinator.ts
@@ -10,7 +10,7 @@
   JobState,
   type RunEnd,
   copyProgress,
-  dropJobRecords,
+  jobRecordTombstones,
   type ExecutableTask,
   type JobSubmission,
   type JobTable,
@@ -18,27 +18,27 @@
 } from '@gentiandoor/jobs';
 import {
   FullestFirst,
-  OrderWindow,
-  PROVEN_MILLISECONDS,
-  WorkerTrust,
+  OrderConcurrencyLimiter,
+  CRASH_RISK_MILLISECONDS,
+  WorkerReliability,
 } from '@gentiandoor/scheduling';
 import {
-  BeyondShareBehind,
-  type PoolClaims,
-  type RoomAmount,
+  OverShareLast,
+  type PoolShares,
+  type Resources,
 } from '@gentiandoor/organisations';
 import {Dispatcher, type DispatchHost} from './dispatcher.js';
 import type {EntrySettings} from './entry-settings.js';
-import {FleetKeeper, type FleetHost} from './fleet-keeper.js';
-import {LearnedFigures} from './learned-figures.js';
+import {FleetController, type FleetHost} from './fleet-controller.js';
+import {LearnedDemandStore} from './learned-demand-store.js';
 import {RunStatus, newLiveRun, taskName, type LiveRun} from './live-run.js';
-import {KeepOutcome} from './grouped-appender.js';
+import {BatchedAppendOutcome} from './batching-appender.js';
 import {JobRetention} from './job-retention.js';
 import type {JobStreams} from './job-streams.js';
-import type {MachineGateway} from './machine-gateway.js';
+import type {VmGateway} from './vm-gateway.js';
 import type {Queue} from './operator-records.js';
 import type {OperatorView} from './operator-view.js';
-import {OrganisationRooms} from './organisation-rooms.js';
+import {OrganisationLimits} from './organisation-limits.js';
 import {OrphanRuns} from './orphan-runs.js';
 import {ProgressWriter} from './progress-writer.js';
 import type {RecordFormats} from './record-formats.js';
@@ -50,7 +50,7 @@
 import type {EndedRun, OrderRefusal, WorkerGateway} from './worker-gateway.js';
 import {WorkerRegistry} from './worker-registry.js';
 import type {SessionHost} from './session-host.js';
-import {newAnswerBound, type WorkerSession} from './worker-session.js';
+import {newResponseTimeout, type WorkerSession} from './worker-session.js';
 import {WorkerSuspicion} from './worker-suspicion.js';
 
 /** What a coordinator is built from; all parts outlive it. */
@@ -59,7 +59,7 @@
   readonly log: RecordLog;
   readonly formats: RecordFormats;
   readonly workers: WorkerGateway;
-  readonly machines: MachineGateway;
+  readonly vmGateway: VmGateway;
   readonly operators: OperatorView;
   readonly table: JobTable;
   readonly jobs: JobStreams;
@@ -71,7 +71,7 @@
 
 /** Runs survive a network partition shorter than this. */
 const LEASE_MILLISECONDS = 8_000;
-const RETRY_MILLISECONDS = 100;
+const RECOVERY_RETRY_MILLISECONDS = 100;
 const DROP_TIMEOUT_MILLISECONDS = 15_000;
 /** Longest age of a job computed from the wall clocks of two daemons. */
 const MAXIMUM_AGE_MILLISECONDS = 60_000;
@@ -81,21 +81,21 @@
   implements SessionHost, DispatchHost, FleetHost, OutcomeHost
 {
   readonly leaseMilliseconds: number;
-  readonly beganAt: number;
+  readonly termStartedAt: number;
   readonly registry: WorkerRegistry;
-  readonly trust = new WorkerTrust();
+  readonly trust = new WorkerReliability();
   private readonly log: RunLog;
-  private readonly answers = newAnswerBound();
-  private readonly window = new OrderWindow();
+  private readonly responseTimeout = newResponseTimeout();
+  private readonly window = new OrderConcurrencyLimiter();
   private readonly executions = new Map<string, JobExecution>();
   private readonly outcomes: RunOutcomes;
   private readonly retention: JobRetention;
   private readonly orphans: OrphanRuns;
   private readonly writer: ProgressWriter;
   private readonly dispatcher: Dispatcher;
-  private readonly rooms: OrganisationRooms;
-  private readonly learned: LearnedFigures;
-  private readonly fleet: FleetKeeper;
+  private readonly organisationLimits: OrganisationLimits;
+  private readonly learned: LearnedDemandStore;
+  private readonly fleet: FleetController;
   private closed = false;
   private recovered = false;
   private configurationVersion = 0;
@@ -106,7 +106,7 @@
     private readonly termIsValid: () => boolean,
   ) {
     const {settings, clock} = parts;
-    this.beganAt = clock.monotonicMilliseconds();
+    this.termStartedAt = clock.monotonicMilliseconds();
     this.log = new RunLog(parts);
     this.leaseMilliseconds = Math.min(
       LEASE_MILLISECONDS,
@@ -115,23 +115,23 @@
     this.writer = new ProgressWriter(parts.log, clock, term, () =>
       this.fenced(),
     );
-    this.rooms = new OrganisationRooms({
+    this.organisationLimits = new OrganisationLimits({
       operators: parts.operators,
-      inForce: settings.limits.configurationInForce,
+      configurationInForceMilliseconds: settings.limits.configurationInForce,
       clock,
       logger: parts.logger,
       metrics: parts.metrics,
-      wake: service => this.dispatcher.wake(service),
+      schedulePlacement: service => this.dispatcher.schedulePlacement(service),
     });
     const demand = new ServiceDemand();
     this.dispatcher = new Dispatcher(
       this,
       new FullestFirst(),
-      new BeyondShareBehind(),
+      new OverShareLast(),
       demand,
       clock,
     );
-    this.learned = new LearnedFigures(parts, demand);
+    this.learned = new LearnedDemandStore(parts, demand);
     this.retention = new JobRetention(clock, settings.limits.stateKept, jobId =>
       this.dropJob(jobId),
     );
@@ -148,14 +148,14 @@
         log: this.log,
         suspicion: new WorkerSuspicion(this.trust, clock, parts.logger),
         dispatcher: this.dispatcher,
-        rooms: this.rooms,
+        organisationLimits: this.organisationLimits,
         writer: this.writer,
         registry: this.registry,
         clock,
       },
       this,
     );
-    this.fleet = new FleetKeeper(
+    this.fleet = new FleetController(
       term,
       parts,
       this.registry,
@@ -168,10 +168,10 @@
   /** Learns what the coordinator before had ordered, then goes on with it. */
   async run(): Promise<void> {
     const {logger, clock} = this.parts;
-    if (!(await this.writer.open())) return;
+    if (!(await this.writer.fenceEarlierTerms())) return;
     // The log is closed to earlier terms: what a read brings from now on is all that they ordered.
     while (!this.closed && !(await this.parts.jobs.refresh()))
-      await sleep(this.parts.clock, RETRY_MILLISECONDS);
+      await sleep(this.parts.clock, RECOVERY_RETRY_MILLISECONDS);
     await Promise.all([this.registry.load(), this.learned.load()]);
     if (this.closed) return;
     this.parts.table.listen({
@@ -184,7 +184,7 @@
       term: this.term,
       jobs: this.executions.size,
       workers: this.registry.size,
-      milliseconds: clock.monotonicMilliseconds() - this.beganAt,
+      milliseconds: clock.monotonicMilliseconds() - this.termStartedAt,
     });
     this.registry.start();
     this.fleet.start();
@@ -225,17 +225,17 @@
     return this.parts.operators.queue(execution.job.queue);
   }
 
-  get answerBoundMilliseconds(): number {
-    return this.answers.milliseconds;
+  get responseTimeoutMilliseconds(): number {
+    return this.responseTimeout.milliseconds;
   }
 
-  get lagMilliseconds(): number {
-    return this.answers.meanMilliseconds;
+  get meanResponseMilliseconds(): number {
+    return this.responseTimeout.meanResponseMilliseconds;
   }
 
-  noteAnswerTime(milliseconds: number): void {
-    this.answers.noteAnswer(milliseconds);
-    this.window.noteAnswer(
+  noteResponseTime(milliseconds: number): void {
+    this.responseTimeout.recordResponse(milliseconds);
+    this.window.recordResponse(
       milliseconds,
       this.parts.clock.monotonicMilliseconds(),
     );
@@ -245,30 +245,30 @@
     return this.window.allows(count);
   }
 
-  mayStart(
+  organisationLimitAllows(
     execution: JobExecution,
     tasks: readonly ExecutableTask[],
     service: string,
   ): boolean {
-    return this.rooms.mayStart(execution, tasks, service);
+    return this.organisationLimits.mayStart(execution, tasks, service);
   }
 
-  claimsOn(
+  poolShares(
     service: string,
     waiting: ReadonlySet<string>,
-    pool: RoomAmount,
-  ): PoolClaims {
-    return this.rooms.claimsOn(service, waiting, pool);
+    pool: Resources,
+  ): PoolShares {
+    return this.organisationLimits.poolShares(service, waiting, pool);
   }
 
   launch(session: WorkerSession, run: LiveRun): void {
     this.window.begin();
-    session.expect(run);
-    this.rooms.begin(run);
+    session.addRun(run);
+    this.organisationLimits.countRun(run);
     this.writer.store(run.execution, () => {
       this.log.ordered(run, session.id, this.term);
-      if (!this.rooms.mayBeOrdered(run)) run.stopAsked = true;
-      void session.order(run).finally(() => {
+      if (!this.organisationLimits.mayBeOrdered(run)) run.stopRequested = true;
+      void session.startRun(run).finally(() => {
         this.window.end();
         this.dispatcher.orderSettled();
         this.wakeAfterIsolation(session, run);
@@ -282,8 +282,8 @@
     {isIsolated}: LiveRun,
   ): void {
     if (!isIsolated) return;
-    this.parts.clock.schedule(PROVEN_MILLISECONDS, () =>
-      this.dispatcher.wake(entry.service),
+    this.parts.clock.schedule(CRASH_RISK_MILLISECONDS, () =>
+      this.dispatcher.schedulePlacement(entry.service),
     );
   }
 
@@ -300,7 +300,7 @@
     this.outcomes.ended(session, run, end, checkpoint);
   }
 
-  lateEnd(ended: EndedRun): void {
+  lateRunEnded(ended: EndedRun): void {
     const dot = ended.task.indexOf('.');
     const execution = this.executions.get(ended.task.slice(0, dot));
     const task = execution?.task(ended.task.slice(dot + 1));
@@ -324,8 +324,9 @@
   }
 
   sessionChanged(session: WorkerSession): void {
-    if (session.isDraining) this.leaveDraining(session);
-    if (session.takesStarts) this.dispatcher.wake(session.entry.service);
+    if (session.isDraining) this.evacuateLongRunningTasks(session);
+    if (session.acceptsStarts)
+      this.dispatcher.schedulePlacement(session.entry.service);
   }
 
   /** A cut takes a data centre at a time: the first silent worker gives the others away. */
@@ -335,7 +336,7 @@
         void session.probe();
   }
 
-  sessionOver(session: WorkerSession): void {
+  sessionEnded(session: WorkerSession): void {
     this.trust.forgetWorker(session.id);
     this.registry.remove(session);
   }
@@ -343,11 +344,11 @@
   /** A worker has come: runs that were ordered there may be alive. */
   sessionAdded(session: WorkerSession): void {
     for (const run of this.orphans.take(session.id)) {
-      session.expect(run);
+      session.addRun(run);
       // Its job may have ended while there was nobody to order about: the run would go on for good,
       // its lease renewed. Every run enters a session here or where it is ordered, so none is missed.
-      if (run.execution.ended || run.taskOfJob.progress.done)
-        void session.stop(run);
+      if (run.execution.ended || run.executableTask.progress.done)
+        void session.stopRun(run);
     }
   }
 
@@ -355,11 +356,11 @@
     this.orphans.noteIncarnations(alive);
   }
 
-  guardsRoom(service: string): boolean {
-    return this.parts.operators.service(service)?.enforcesRoom === true;
+  enforcesCapacity(service: string): boolean {
+    return this.parts.operators.service(service)?.enforcesCapacity === true;
   }
 
-  knowsRooms(): boolean {
+  areCapacitiesFresh(): boolean {
     return this.registry.isFresh;
   }
 
@@ -370,11 +371,11 @@
   private followJobs(): Promise<void> {
     return this.parts.jobs.followSubmissions(
       () => this.closed,
-      () => this.noticeConfiguration(),
+      () => this.detectConfigurationChange(),
     );
   }
 
-  private noticeConfiguration(): void {
+  private detectConfigurationChange(): void {
     const version = this.parts.operators.configuration?.version ?? 0;
     if (version === this.configurationVersion) return;
     this.configurationVersion = version;
@@ -386,7 +387,7 @@
     if (this.executions.has(submission.id)) return;
     const execution = new JobExecution(submission, copyProgress(job.progress));
     this.executions.set(submission.id, execution);
-    this.adoptRuns(execution);
+    this.recoverRuns(execution);
     if (job.cancelled) this.cancelJob(submission.id);
     const age = this.ageOf(submission);
     if (execution.ended) {
@@ -402,22 +403,22 @@
     return Math.min(Math.max(0, age), MAXIMUM_AGE_MILLISECONDS);
   }
 
-  private adoptRuns(execution: JobExecution): void {
+  private recoverRuns(execution: JobExecution): void {
     for (const task of execution.liveTasks()) {
       const run = newLiveRun(execution, task, {
         run: task.progress.run,
         plannedAt: this.parts.clock.monotonicMilliseconds(),
         weight: 1,
         expectedMilliseconds: this.dispatcher.expectedTime(execution, task),
-        isWatched: true,
+        stopsOnStall: true,
         isIsolated: this.dispatcher.mustIsolate(execution, task),
         status: RunStatus.Recovered,
-        settledAt: -Infinity,
+        orderAnsweredAt: -Infinity,
       });
-      this.rooms.begin(run);
+      this.organisationLimits.countRun(run);
       const session = this.registry.find(task.progress.worker);
-      if (session) session.expect(run);
-      else this.orphans.keep(task.progress.worker, run);
+      if (session) session.addRun(run);
+      else this.orphans.add(task.progress.worker, run);
     }
   }
 
@@ -425,12 +426,12 @@
     const execution = this.executions.get(jobId);
     if (!execution || execution.ended) return;
     execution.cancel();
-    this.finish(execution);
+    this.jobEnded(execution);
     this.writer.store(execution);
   }
 
   /** Notes that a job has come to its end. */
-  finish(execution: JobExecution): void {
+  jobEnded(execution: JobExecution): void {
     const {state} = execution.progress;
     this.log.jobEnded({
       job: execution.job.id,
@@ -455,10 +456,10 @@
    * be taken for a new job by the next coordinator, and run a second time.
    */
   private async dropRecords(jobId: string): Promise<void> {
-    const {progress, submission} = dropJobRecords(jobId);
+    const {progress, submission} = jobRecordTombstones(jobId);
     const outcomes = await Promise.all(
       submission.map(record =>
-        this.parts.submissions.keep(
+        this.parts.submissions.append(
           jobId,
           record,
           DROP_TIMEOUT_MILLISECONDS,
@@ -466,8 +467,10 @@
         ),
       ),
     );
-    const areGone = outcomes.every(outcome => outcome === KeepOutcome.Kept);
-    if (areGone && !this.closed) this.writer.drop([progress]);
+    const areGone = outcomes.every(
+      outcome => outcome === BatchedAppendOutcome.Appended,
+    );
+    if (areGone && !this.closed) this.writer.appendTombstones([progress]);
   }
 
   /** Stops what runs of a job, or of one task of it that is done. */
@@ -476,13 +479,14 @@
       if (only && (task !== only || !task.progress.done)) continue;
       const session = this.registry.find(task.progress.worker);
       const run = session?.runs.get(taskName(execution.job.id, task));
-      if (session && run) void session.stop(run);
+      if (session && run) void session.stopRun(run);
     }
   }
 
   /** Long-running tasks leave a worker that is leaving: they would be lost with it, and stay away until that is certain. */
-  private leaveDraining(session: WorkerSession): void {
+  private evacuateLongRunningTasks(session: WorkerSession): void {
     for (const run of session.runs.values())
-      if (run.taskOfJob.specification.longRunning) void session.stop(run);
+      if (run.executableTask.specification.longRunning)
+        void session.stopRun(run);
   }
 }
--- a/packages/coordinator/src/daemon-readiness.ts
+++ b/packages/coordinator/src/daemon-readiness.ts
@@ -1,10 +1,10 @@
-import type {JobFrontDesk} from './job-front-desk.js';
+import type {JobIntake} from './job-intake.js';
 import type {OperatorView} from './operator-view.js';
 
 /** A daemon whose last read of the store is older than this is not ready. */
-const STORE_AGE_MILLISECONDS = 2_000;
+const MAXIMUM_READ_AGE_MILLISECONDS = 2_000;
 /** A daemon whose calls to the store have failed this long is not ready. */
-const FAILING_MILLISECONDS = 300;
+const OUTAGE_MILLISECONDS = 300;
 
 /**
  * Whether callers are better served by another daemon.
@@ -15,7 +15,7 @@
 export class DaemonReadiness {
   constructor(
     private readonly operators: OperatorView,
-    private readonly desk: JobFrontDesk,
+    private readonly jobIntake: JobIntake,
     private readonly isStopping: () => boolean,
   ) {}
 
@@ -25,16 +25,16 @@
     return (
       operators.configuration !== undefined &&
       !this.isStopping() &&
-      operators.follower.ageMilliseconds < STORE_AGE_MILLISECONDS &&
-      operators.unreachableMilliseconds < FAILING_MILLISECONDS &&
-      !this.takesNothing
+      operators.follower.ageMilliseconds < MAXIMUM_READ_AGE_MILLISECONDS &&
+      operators.unreachableMilliseconds < OUTAGE_MILLISECONDS &&
+      !this.areAppendsFailing
     );
   }
 
   /** Appends fail and nothing was read since: without callers no append would show that the store is back. */
-  private get takesNothing(): boolean {
-    const {operators, desk} = this;
-    const isFailing = desk.failingMilliseconds >= FAILING_MILLISECONDS;
+  private get areAppendsFailing(): boolean {
+    const {operators, jobIntake: desk} = this;
+    const isFailing = desk.failingMilliseconds >= OUTAGE_MILLISECONDS;
     const readSince =
       operators.follower.ageMilliseconds < desk.sinceFailureMilliseconds;
     return isFailing && !readSince;
--- a/packages/coordinator/src/daemon-roster.ts
+++ b/packages/coordinator/src/daemon-roster.ts
@@ -9,7 +9,7 @@
 
 const RETRY_MILLISECONDS = 250;
 /** Daemons within this share of the strongest one count as equal to it. */
-const EQUAL_SHARE = 0.75;
+const EQUAL_STRENGTH_SHARE = 0.75;
 
 /** What each daemon has told of the size of its VM; kept for good, so it also names daemons that are gone. */
 export class DaemonRoster {
@@ -25,8 +25,8 @@
   ) {}
 
   /** Whether a clearly stronger daemon than this one has ever started. */
-  get knowsStronger(): boolean {
-    return this.strength < EQUAL_SHARE * this.strongest;
+  get hasStrongerDaemon(): boolean {
+    return this.strength < EQUAL_STRENGTH_SHARE * this.strongest;
   }
 
   /** Tells the others of this daemon; returns once that is stored or `isOver`. */
@@ -43,7 +43,7 @@
 
   /** Reads what the others have told; false when the store did not answer. */
   async refresh(): Promise<boolean> {
-    const result = await this.log.newest(LogStream.Daemons);
+    const result = await this.log.newestByKey(LogStream.Daemons);
     if (result.outcome !== ReadOutcome.Read) return false;
     for (const {key, value} of result.records)
       this.strongest = Math.max(this.strongest, this.strengthIn(key, value));
--- a/packages/coordinator/src/deployment-view.ts
+++ b/packages/coordinator/src/deployment-view.ts
@@ -6,9 +6,9 @@
 } from '@gentiandoor/jobs';
 import {groupBy} from '@gentiandoor/kernel';
 import {
-  sum,
+  sumResources,
   type Organisation,
-  type RoomAmount,
+  type Resources,
 } from '@gentiandoor/organisations';
 import type {
   Configuration,
@@ -18,7 +18,7 @@
 import type {RecordFormats} from './record-formats.js';
 import {LogStream, ReadOutcome, type RecordLog} from './record-log.js';
 import {SUBMISSION_PARTITIONS} from './submission-log.js';
-import {TERM_KEY, decodeTerm, type TermRecord} from './term-keeper.js';
+import {TERM_KEY, decodeTerm, type TermRecord} from './coordinator-election.js';
 import type {WorkerEntry} from './worker-gateway.js';
 
 /** Jobs of one queue by state. */
@@ -34,7 +34,7 @@
   /** Undefined for one that has left the configuration. */
   readonly settings: Organisation | undefined;
   /** What its runs take, as far as they may be alive. */
-  readonly running: RoomAmount;
+  readonly running: Resources;
   /** Jobs of which nothing has run yet. */
   readonly queued: number;
 }
@@ -66,10 +66,10 @@
   ];
   const partitions = Array.from(
     {length: SUBMISSION_PARTITIONS},
-    (_, partition) => log.newest(LogStream.Submissions, partition),
+    (_, partition) => log.newestByKey(LogStream.Submissions, partition),
   );
   const results = await Promise.all([
-    ...streams.map(stream => log.newest(stream)),
+    ...streams.map(stream => log.newestByKey(stream)),
     ...partitions,
   ]);
   const read = results.flatMap(result =>
@@ -173,14 +173,14 @@
     return {
       name,
       settings: settings.get(name),
-      running: sum(own.flatMap(amountsUnderWay)),
+      running: sumResources(own.flatMap(amountsUnderWay)),
       queued: queued.length,
     };
   });
 }
 
 /** Of each run that may be alive. */
-function amountsUnderWay({submission, progress}: StoredJob): RoomAmount[] {
+function amountsUnderWay({submission, progress}: StoredJob): Resources[] {
   return [...progress.tasks]
     .filter(([, task]) => task.worker !== '')
     .flatMap(([key]) => submission?.steps[Number(key.split('.')[1])] ?? []);
--- a/packages/coordinator/src/dispatcher.ts
+++ b/packages/coordinator/src/dispatcher.ts
@@ -1,17 +1,17 @@
 import {groupBy, type Clock, type Timer} from '@gentiandoor/kernel';
 import type {ExecutableTask, JobExecution} from '@gentiandoor/jobs';
 import {
-  sum,
-  type PoolClaims,
-  type RoomAmount,
-  type ShareOrder,
+  sumResources,
+  type PoolShares,
+  type Resources,
+  type SharePolicy,
 } from '@gentiandoor/organisations';
 import {
-  ServiceTurns,
-  largestRoom,
+  LeastRecentlyServedOrder,
+  largestCapacity,
   orderWaiting,
-  placementGap,
-  type PoolRoom,
+  placementDelayMilliseconds,
+  type PoolMillicores,
   type WorkerChoice,
 } from '@gentiandoor/scheduling';
 import {
@@ -22,12 +22,12 @@
   type LiveRun,
 } from './live-run.js';
 import type {Queue} from './operator-records.js';
-import {PlacementRound, type PlacementWish} from './placement-round.js';
+import {PlacementRound, type TaskPlacementRequest} from './placement-round.js';
 import type {ServiceDemand} from './service-demand.js';
-import {LoadCount, NO_LOAD, type ServiceLoad} from './service-load.js';
-import {BAR_MILLISECONDS, TaskFailures} from './task-failures.js';
+import {WaitingLoadCounter, NO_LOAD, type ServiceLoad} from './service-load.js';
+import {AVOIDANCE_MILLISECONDS, TaskFailures} from './task-failures.js';
 import {groupsOf} from './task-groups.js';
-import {WaitingJobs, type Candidate} from './waiting-jobs.js';
+import {WaitingJobs, type PlacementCandidate} from './waiting-jobs.js';
 import type {WorkerSession} from './worker-session.js';
 
 /** What a dispatcher needs of the coordinator. */
@@ -37,17 +37,17 @@
   /** Whether `count` orders may be begun together; more would wait behind each other at this daemon. */
   mayOrder(count: number): boolean;
   /** Whether the limit of the job's organisation lets these tasks start together. */
-  mayStart(
+  organisationLimitAllows(
     execution: JobExecution,
     tasks: readonly ExecutableTask[],
     service: string,
   ): boolean;
   /** Claims of organisations on the pool of a service, of those that wait at least. */
-  claimsOn(
+  poolShares(
     service: string,
     waiting: ReadonlySet<string>,
-    pool: RoomAmount,
-  ): PoolClaims;
+    pool: Resources,
+  ): PoolShares;
   /** Stores the run, then orders it. */
   launch(session: WorkerSession, run: LiveRun): void;
 }
@@ -55,7 +55,7 @@
 /** Placement of a round ends after so many steps found no room. */
 const MISSES_BEFORE_GIVING_UP = 12;
 /** Longest timer for a step that is due later, since wall clocks may jump. */
-const LONGEST_SLEEP_MILLISECONDS = 1_000;
+const MAXIMUM_DUE_TIMER_MILLISECONDS = 1_000;
 const ISOLATION_RETRY_MILLISECONDS = 200;
 
 /** Places the ready tasks of all jobs on workers. */
@@ -63,25 +63,25 @@
   private readonly jobs: WaitingJobs;
   private readonly failures: TaskFailures;
   private readonly loads = new Map<string, ServiceLoad>();
-  private readonly due = new Set<string>();
+  private readonly servicesDue = new Set<string>();
   /** Services with work that has room and waits until fewer orders are under way. */
-  private readonly held = new Set<string>();
-  private readonly turns = new ServiceTurns();
+  private readonly servicesAwaitingOrders = new Set<string>();
+  private readonly turns = new LeastRecentlyServedOrder();
   /** Millicores of VMs that are on their way into the pool of a service. */
   private readonly arriving = new Map<string, number>();
   /** One timer for each service with a job that is due later. */
-  private readonly sleeps = new Map<string, Timer>();
+  private readonly dueTimers = new Map<string, Timer>();
   /** Services with a task that waits to be kept apart. */
-  private readonly retries = new Set<string>();
+  private readonly isolationRetries = new Set<string>();
   private scheduled = false;
   private placedAt = -Infinity;
-  private restMilliseconds = 0;
+  private placementDelayMilliseconds = 0;
   private closed = false;
 
   constructor(
     private readonly host: DispatchHost,
     private readonly choice: WorkerChoice,
-    private readonly shares: ShareOrder,
+    private readonly shares: SharePolicy,
     private readonly demand: ServiceDemand,
     private readonly clock: Clock,
   ) {
@@ -96,7 +96,7 @@
   /** Adds a job that is `ageMilliseconds` old. */
   add(execution: JobExecution, ageMilliseconds: number): void {
     this.noteDemand(execution, ageMilliseconds);
-    this.wake(this.jobs.add(execution, ageMilliseconds));
+    this.schedulePlacement(this.jobs.add(execution, ageMilliseconds));
   }
 
   /** Notes that a job was handed in so long ago, whatever became of it: turns are learned from it. */
@@ -107,9 +107,9 @@
 
   /** Notes how long a run that ended well took. */
   noteDuration(run: LiveRun, milliseconds: number): void {
-    const {specification} = run.taskOfJob;
-    if (run.beganAt !== undefined)
-      this.demand.noteStartDelay(run.beganAt - run.plannedAt);
+    const {specification} = run.executableTask;
+    if (run.startConfirmedAt !== undefined)
+      this.demand.noteStartDelay(run.startConfirmedAt - run.plannedAt);
     const {longRunning, estimatedMilliseconds} = specification;
     if (longRunning || estimatedMilliseconds <= 0) return;
     const {queue} = run.execution.job;
@@ -131,7 +131,9 @@
   noteFailure(run: LiveRun, workerId: string): void {
     this.failures.note(run.task, workerId);
     const service = this.jobs.serviceOf(run.execution);
-    this.clock.schedule(BAR_MILLISECONDS, () => this.wake(service));
+    this.clock.schedule(AVOIDANCE_MILLISECONDS, () =>
+      this.schedulePlacement(service),
+    );
   }
 
   /** Notes that a worker crashed under a run of a task, so that the next try goes apart. */
@@ -166,61 +168,67 @@
   }
 
   /** Places what waits for `service` in the next turn. */
-  wake(service: string): void {
-    this.due.add(service);
+  schedulePlacement(service: string): void {
+    this.servicesDue.add(service);
     if (this.scheduled || this.closed) return;
     this.scheduled = true;
     const rested = this.clock.monotonicMilliseconds() - this.placedAt;
-    if (rested >= this.restMilliseconds) setImmediate(() => this.runDue());
+    if (rested >= this.placementDelayMilliseconds)
+      setImmediate(() => this.placeDueServices());
     else
-      this.clock.schedule(this.restMilliseconds - rested, () => this.runDue());
+      this.clock.schedule(this.placementDelayMilliseconds - rested, () =>
+        this.placeDueServices(),
+      );
   }
 
   /** The fate of an order is known: others may be begun. */
   orderSettled(): void {
-    for (const service of this.held) this.wake(service);
-    this.held.clear();
+    for (const service of this.servicesAwaitingOrders)
+      this.schedulePlacement(service);
+    this.servicesAwaitingOrders.clear();
   }
 
   /** After a new configuration queues may have other services. */
   regroup(): void {
-    for (const service of this.jobs.regroup()) this.wake(service);
+    for (const service of this.jobs.regroup()) this.schedulePlacement(service);
   }
 
   close(): void {
     this.closed = true;
-    for (const timer of this.sleeps.values()) timer.cancel();
+    for (const timer of this.dueTimers.values()) timer.cancel();
   }
 
-  private runDue(): void {
+  private placeDueServices(): void {
     this.scheduled = false;
     if (this.closed) return;
     const began = this.clock.monotonicMilliseconds();
-    const services = this.turns.order(this.due);
-    this.due.clear();
-    for (const service of services) this.place(service);
+    const services = this.turns.order(this.servicesDue);
+    this.servicesDue.clear();
+    for (const service of services) this.placeService(service);
     this.placedAt = this.clock.monotonicMilliseconds();
-    this.restMilliseconds = placementGap(this.placedAt - began);
+    this.placementDelayMilliseconds = placementDelayMilliseconds(
+      this.placedAt - began,
+    );
   }
 
-  private place(service: string): void {
+  private placeService(service: string): void {
     const now = this.clock.monotonicMilliseconds();
     const sessions = this.host
       .sessionsOf(service)
-      .filter(session => session.takesStarts);
+      .filter(session => session.acceptsStarts);
     const {candidates, nextDue} = this.jobs.readyFor(service, now);
-    this.sleepUntil(service, nextDue);
-    const room = largestRoom(sessions.map(({entry}) => entry.room));
-    this.demand.noteRoom(room);
+    this.scheduleAtDueTime(service, nextDue);
+    const room = largestCapacity(sessions.map(({entry}) => entry.capacity));
+    this.demand.noteVmCapacity(room);
     const round = new PlacementRound(sessions, this.choice, now);
-    const count = new LoadCount(room);
+    const count = new WaitingLoadCounter(room);
     const ordered = orderWaiting(
       candidates,
-      this.roomOf(service, sessions),
+      this.poolCapacityOf(service, sessions),
       now,
     );
     let misses = 0;
-    for (const candidate of this.arrange(service, ordered, sessions)) {
+    for (const candidate of this.orderByShares(service, ordered, sessions)) {
       const gaveUp = misses >= MISSES_BEFORE_GIVING_UP;
       misses += this.placeCandidate(
         {service, round, count, now, gaveUp},
@@ -231,11 +239,11 @@
   }
 
   /** Each class of what jobs are still worth in the order of shares: by shares alone late jobs would go ahead of ones that can be in time. */
-  private *arrange(
+  private *orderByShares(
     service: string,
-    ordered: readonly Candidate[],
+    ordered: readonly PlacementCandidate[],
     sessions: readonly WorkerSession[],
-  ): Iterable<Candidate> {
+  ): Iterable<PlacementCandidate> {
     const waiting = new Set<string>();
     for (const {organisation, weight} of ordered)
       if (organisation !== undefined && weight > 0) waiting.add(organisation);
@@ -243,24 +251,28 @@
       yield* ordered;
       return;
     }
-    const pool = sum(sessions.map(({entry}) => entry.room));
-    const claims = this.host.claimsOn(service, waiting, pool);
+    const pool = sumResources(sessions.map(({entry}) => entry.capacity));
+    const claims = this.host.poolShares(service, waiting, pool);
     for (const jobs of groupBy(ordered, ({rank}) => rank).values())
-      yield* this.shares.arrange(jobs, claims);
+      yield* this.shares.order(jobs, claims);
   }
 
   /** Places what of a job has room; returns how many of its steps found none. */
-  private placeCandidate(turn: PlacementTurn, candidate: Candidate): number {
+  private placeCandidate(
+    turn: ServicePlacement,
+    candidate: PlacementCandidate,
+  ): number {
     const {service, round, count, now, gaveUp} = turn;
     const {execution, weight} = candidate;
     const full = new Set<string>();
     for (const tasks of groupsOf(candidate.ready)) {
       if (!this.mayOrder(tasks)) {
-        this.held.add(service);
+        this.servicesAwaitingOrders.add(service);
         continue;
       }
       // More VMs would not help: what waits for a limit asks for none.
-      if (!this.host.mayStart(execution, tasks, service)) continue;
+      if (!this.host.organisationLimitAllows(execution, tasks, service))
+        continue;
       const key = stepName(execution.job.id, tasks[0]);
       const placed =
         !gaveUp &&
@@ -277,15 +289,15 @@
   /** What a task that is kept apart waits for passes with time, and no event tells of it. */
   private retryIsolated(
     service: string,
-    {execution}: Candidate,
+    {execution}: PlacementCandidate,
     tasks: readonly ExecutableTask[],
   ): void {
     const waits = tasks.some(task => this.mustIsolate(execution, task));
-    if (!waits || this.retries.has(service)) return;
-    this.retries.add(service);
+    if (!waits || this.isolationRetries.has(service)) return;
+    this.isolationRetries.add(service);
     this.clock.schedule(ISOLATION_RETRY_MILLISECONDS, () => {
-      this.retries.delete(service);
-      this.wake(service);
+      this.isolationRetries.delete(service);
+      this.schedulePlacement(service);
     });
   }
 
@@ -295,35 +307,37 @@
     return longRunning || this.host.mayOrder(tasks.length);
   }
 
-  private roomOf(
+  private poolCapacityOf(
     service: string,
     sessions: readonly WorkerSession[],
-  ): PoolRoom {
+  ): PoolMillicores {
     return {
       usableMillicores: sessions.reduce(
-        (sum, {entry}) => sum + entry.room.processorMillicores,
+        (sum, {entry}) => sum + entry.capacity.processorMillicores,
         0,
       ),
-      arrivingMillicores: this.arriving.get(service) ?? 0,
+      incomingMillicores: this.arriving.get(service) ?? 0,
     };
   }
 
   /** Replaces the service's timer: with one for each round and job, busy rounds would lead to as many later ones for good. */
-  private sleepUntil(service: string, dueAt: number): void {
-    this.sleeps.get(service)?.cancel();
-    this.sleeps.delete(service);
+  private scheduleAtDueTime(service: string, dueAt: number): void {
+    this.dueTimers.get(service)?.cancel();
+    this.dueTimers.delete(service);
     if (dueAt === Infinity) return;
     const left = dueAt - this.clock.wallMilliseconds();
-    const wait = Math.min(left, LONGEST_SLEEP_MILLISECONDS);
-    const timer = this.clock.schedule(wait, () => this.wake(service));
-    this.sleeps.set(service, timer);
+    const wait = Math.min(left, MAXIMUM_DUE_TIMER_MILLISECONDS);
+    const timer = this.clock.schedule(wait, () =>
+      this.schedulePlacement(service),
+    );
+    this.dueTimers.set(service, timer);
   }
 
-  private wishOf(
+  private placementRequestOf(
     execution: JobExecution,
     task: ExecutableTask,
     now: number,
-  ): PlacementWish {
+  ): TaskPlacementRequest {
     const name = taskName(execution.job.id, task);
     return {
       stepKey: stepName(execution.job.id, task),
@@ -337,22 +351,22 @@
   /** Places all of `tasks` or none. */
   private placeTogether(
     round: PlacementRound,
-    {execution, weight}: Candidate,
+    {execution, weight}: PlacementCandidate,
     tasks: readonly ExecutableTask[],
     now: number,
   ): boolean {
     const chosen: Array<{session: WorkerSession; isIsolated: boolean}> = [];
     for (const task of tasks) {
-      const wish = this.wishOf(execution, task, now);
-      const session = round.take(wish);
+      const wish = this.placementRequestOf(execution, task, now);
+      const session = round.reserve(wish);
       if (!session) {
-        round.giveBack();
+        round.rollBack();
         return false;
       }
       chosen.push({session, isIsolated: wish.isIsolated});
     }
-    round.keep();
-    this.turns.noteTurn(this.jobs.serviceOf(execution));
+    round.commit();
+    this.turns.recordServed(this.jobs.serviceOf(execution));
     const together = tasks[0].specification.gang
       ? 1 + Math.max(...tasks.map(task => task.progress.run))
       : undefined;
@@ -363,10 +377,12 @@
         plannedAt: now,
         weight,
         expectedMilliseconds: this.expectedTime(execution, task),
-        isWatched: this.failures.isWatched(taskName(execution.job.id, task)),
+        stopsOnStall: this.failures.stopsOnStall(
+          taskName(execution.job.id, task),
+        ),
         isIsolated,
         status: RunStatus.Planned,
-        settledAt: Infinity,
+        orderAnsweredAt: Infinity,
       });
       this.host.launch(session, planned);
     });
@@ -375,11 +391,11 @@
 }
 
 /** One round of placement for a service. */
-interface PlacementTurn {
+interface ServicePlacement {
   readonly service: string;
   readonly round: PlacementRound;
   /** Adds up what finds no room. */
-  readonly count: LoadCount;
+  readonly count: WaitingLoadCounter;
   readonly now: number;
   /** Too many steps have found no room: the rest only counts as waiting. */
   readonly gaveUp: boolean;
--- a/packages/coordinator/src/end-cursor.ts
+++ b/packages/coordinator/src/end-cursor.ts
@@ -26,7 +26,7 @@
   }
 
   /** Notes that an end was read; false when it had been before. */
-  isNew(number: number): boolean {
+  markRead(number: number): boolean {
     if (number <= this.newestRead) return false;
     this.newestRead = number;
     return true;
--- a/packages/coordinator/src/fleet-keeper.ts
+++ b/packages/coordinator/src/fleet-controller.ts
@@ -1,23 +1,23 @@
 import {sleep} from '@gentiandoor/kernel';
 import {
-  fleetListGap,
-  largestRoom,
+  vmListDelayMilliseconds,
+  largestCapacity,
   planPools,
-  planningGap,
+  planningDelayMilliseconds,
   type PlannedPool,
   type PlannedVm,
 } from '@gentiandoor/scheduling';
 import type {Dispatcher} from './dispatcher.js';
 import {IncarnationEnd} from './incarnation-end.js';
 import type {JobStreams} from './job-streams.js';
-import {VmOrderOutcome, VmState, type ListedVm} from './machine-gateway.js';
+import {VmOrderOutcome, VmState, type ListedVm} from './vm-gateway.js';
 import type {ServicePool} from './operator-records.js';
 import type {OperatorView} from './operator-view.js';
-import {PoolLog} from './pool-log.js';
+import {PoolSizeLog} from './pool-size-log.js';
 import type {RecordFormats} from './record-formats.js';
 import type {ServiceDemand} from './service-demand.js';
 import {VmOrders, type VmOrderParts, type VmOrderRequest} from './vm-orders.js';
-import {WaveKeeper} from './wave-keeper.js';
+import {MaintenanceController} from './maintenance-controller.js';
 import type {WorkerRegistry} from './worker-registry.js';
 import type {WorkerSession} from './worker-session.js';
 
@@ -36,19 +36,19 @@
 }
 
 /** Pools are not resized on job data older than this: without arrivals they would be emptied. */
-const DEMAND_AGE_MILLISECONDS = 1_000;
+const MAXIMUM_DEMAND_AGE_MILLISECONDS = 1_000;
 /** Why a VM takes no new starts before it changes its pool. */
 const POOL_CHANGE = 'pool change';
 
 /** Moves VMs between pools and through maintenance. */
-export class FleetKeeper {
+export class FleetController {
   private readonly orders: VmOrders;
   private readonly impossibleMoves = new Set<string>();
-  private readonly idleFrom = new Map<string, number>();
+  private readonly idleSince = new Map<string, number>();
   /** The incarnation that each VM was last seen to carry. */
   private readonly incarnations = new Map<string, string>();
-  private readonly waves: WaveKeeper;
-  private readonly poolLog: PoolLog;
+  private readonly waves: MaintenanceController;
+  private readonly poolLog: PoolSizeLog;
   private vms: readonly ListedVm[] = [];
   private listDueAt = -Infinity;
   private closed = false;
@@ -61,9 +61,9 @@
     private readonly demand: ServiceDemand,
     private readonly host: FleetHost,
   ) {
-    this.poolLog = new PoolLog(parts.clock, parts.logger);
+    this.poolLog = new PoolSizeLog(parts.clock, parts.logger);
     this.orders = new VmOrders(term, parts, () => host.ordersAllowed());
-    this.waves = new WaveKeeper(parts, registry, this.orders);
+    this.waves = new MaintenanceController(parts, registry, this.orders);
   }
 
   start(): void {
@@ -79,12 +79,12 @@
   private async run(): Promise<void> {
     await this.orders.load();
     while (!this.closed) {
-      if (this.now() >= this.listDueAt) await this.readList();
+      if (this.now() >= this.listDueAt) await this.refreshVmList();
       await this.waves.load();
       const began = this.now();
       const requests = this.canPlan ? this.plan() : [];
-      const gap = planningGap(this.now() - began);
-      await this.orders.give(requests);
+      const gap = planningDelayMilliseconds(this.now() - began);
+      await this.orders.issue(requests);
       await sleep(this.parts.clock, gap);
     }
   }
@@ -93,10 +93,11 @@
     return this.vms.length > 0 && this.host.ordersAllowed();
   }
 
-  private async readList(): Promise<void> {
+  private async refreshVmList(): Promise<void> {
     const listedFrom = this.now();
-    const vms = await this.parts.machines.list();
-    this.listDueAt = this.now() + fleetListGap(this.now() - listedFrom);
+    const vms = await this.parts.vmGateway.list();
+    this.listDueAt =
+      this.now() + vmListDelayMilliseconds(this.now() - listedFrom);
     if (this.closed || !vms || vms.length === 0) return;
     this.vms = vms;
     this.orders.noteListed(listedFrom);
@@ -124,8 +125,8 @@
     const now = this.now();
     for (const vm of this.vms) {
       const session = this.sessionOn(vm);
-      if (session && session.runs.size > 0) this.idleFrom.delete(vm.name);
-      else if (!this.idleFrom.has(vm.name)) this.idleFrom.set(vm.name, now);
+      if (session && session.runs.size > 0) this.idleSince.delete(vm.name);
+      else if (!this.idleSince.has(vm.name)) this.idleSince.set(vm.name, now);
     }
   }
 
@@ -133,23 +134,26 @@
   private plan(): VmOrderRequest[] {
     this.noteIdle();
     const pools = this.plannedPools();
-    for (const {service, arriving, vmMillicores} of pools)
+    for (const {service, incomingVms: arriving, vmMillicores} of pools)
       this.dispatcher.noteArriving(service, arriving * vmMillicores);
     this.poolLog.note(pools, this.parts.jobs.submissionAgeMilliseconds);
     const requests: VmOrderRequest[] = [];
     for (const wave of this.parts.operators.waves.values())
-      requests.push(...this.waves.step(wave, this.vms, pools));
+      requests.push(...this.waves.planOrders(wave, this.vms, pools));
     const taken = new Set(requests.map(request => request.vm.name));
-    for (const request of this.stepPools(pools))
+    for (const request of this.planMoves(pools))
       if (!taken.has(request.vm.name)) requests.push(request);
     return requests;
   }
 
-  private stepPools(pools: readonly PlannedPool[]): VmOrderRequest[] {
-    if (this.parts.jobs.submissionAgeMilliseconds > DEMAND_AGE_MILLISECONDS)
+  private planMoves(pools: readonly PlannedPool[]): VmOrderRequest[] {
+    if (
+      this.parts.jobs.submissionAgeMilliseconds >
+      MAXIMUM_DEMAND_AGE_MILLISECONDS
+    )
       return [];
     const step = planPools(pools);
-    this.emptyForMoves(new Set(step.empty));
+    this.cordonForMoves(new Set(step.cordon));
     return step.moves.flatMap(move => {
       const vm = this.vms.find(listed => listed.name === move.vm);
       const barred = this.impossibleMoves.has(`${move.vm}>${move.to}`);
@@ -162,7 +166,7 @@
       vm,
       order: {kind: 'move', to: pool},
       session: this.sessionOn(vm),
-      settled: outcome => {
+      onOutcome: outcome => {
         if (outcome === VmOrderOutcome.Impossible)
           this.impossibleMoves.add(`${vm.name}>${pool}`);
       },
@@ -170,14 +174,14 @@
   }
 
   /** Keeps new starts away from the VMs that are to move, and lets them back where the need has passed. */
-  private emptyForMoves(names: ReadonlySet<string>): void {
+  private cordonForMoves(names: ReadonlySet<string>): void {
     for (const vm of this.vms) {
       const session = this.sessionOn(vm);
       if (!session) continue;
       if (names.has(vm.name)) {
-        if (session.reservation === undefined) session.reserve(POOL_CHANGE);
-      } else if (session.reservation === POOL_CHANGE && session.runs.size > 0)
-        session.reserve(undefined);
+        if (session.cordonReason === undefined) session.cordon(POOL_CHANGE);
+      } else if (session.cordonReason === POOL_CHANGE && session.runs.size > 0)
+        session.cordon(undefined);
     }
   }
 
@@ -193,13 +197,14 @@
     const sessions = this.registry
       .ofService(name)
       .filter(
-        session => session.takesStarts || session.reservation === POOL_CHANGE,
+        session =>
+          session.acceptsStarts || session.cordonReason === POOL_CHANGE,
       );
     return {
       service: name,
       standby,
       usedMillicores: sessions.reduce(
-        (sum, session) => sum + session.valuedMillicores,
+        (sum, session) => sum + session.weightedMillicores,
         0,
       ),
       waitingMillicores: load.waitingMillicores,
@@ -207,17 +212,17 @@
         load.waitingSince === undefined
           ? 0
           : Math.max(1, now - load.waitingSince),
-      spreadVms: load.spreadVms,
-      arrivingMillicores: this.demand.arrivingMillicores(name, now),
-      chanceMillicores: this.demand.chanceMillicores(name, now),
-      arriving: this.arrivingAt(name, members),
-      usable: sessions.length,
+      spreadConstraintVms: load.spreadVms,
+      offeredLoadMillicores: this.demand.offeredLoadMillicores(name, now),
+      standardErrorMillicores: this.demand.standardErrorMillicores(name, now),
+      incomingVms: this.arrivingAt(name, members),
+      usableVms: sessions.length,
       vms: members
         .filter(vm => this.isMovable(vm, standby))
         .map(vm => this.plannedVm(vm, now)),
       vmMillicores:
-        largestRoom(
-          (members.length > 0 ? members : this.vms).map(vm => vm.room),
+        largestCapacity(
+          (members.length > 0 ? members : this.vms).map(vm => vm.capacity),
         )?.processorMillicores ?? 0,
     };
   }
@@ -227,12 +232,12 @@
     const busy = session !== undefined && session.runs.size > 0;
     return {
       name: vm.name,
-      millicores: vm.room.processorMillicores,
+      millicores: vm.capacity.processorMillicores,
       idleMilliseconds: busy
         ? undefined
-        : now - (this.idleFrom.get(vm.name) ?? now),
-      emptying: session?.reservation === POOL_CHANGE,
-      usedMillicores: session?.valuedMillicores ?? 0,
+        : now - (this.idleSince.get(vm.name) ?? now),
+      isCordoned: session?.cordonReason === POOL_CHANGE,
+      usedMillicores: session?.weightedMillicores ?? 0,
     };
   }
 
@@ -241,12 +246,12 @@
     for (const [, order] of this.orders.all())
       if (order.kind === 'move' && order.to === service) count++;
     for (const vm of members)
-      if (!this.orders.openOrder(vm.name) && this.isComing(vm)) count++;
+      if (!this.orders.openOrder(vm.name) && this.isArriving(vm)) count++;
     return count;
   }
 
   /** On its way, or up with a worker that has not been polled yet. */
-  private isComing(vm: ListedVm): boolean {
+  private isArriving(vm: ListedVm): boolean {
     if (vm.state === VmState.Moving || vm.state === VmState.Maintenance)
       return true;
     if (vm.state !== VmState.Up) return false;
@@ -261,7 +266,8 @@
     if (!session) return standby;
     if (session.isDraining || session.hasLongRunningTask) return false;
     const reserved =
-      session.reservation !== undefined && session.reservation !== POOL_CHANGE;
+      session.cordonReason !== undefined &&
+      session.cordonReason !== POOL_CHANGE;
     if (reserved) return false;
     return standby || session.silentFrom === undefined;
   }
@@ -278,5 +284,7 @@
 /** How the incarnation ended that a VM no longer carries. */
 function endOnVm({state}: ListedVm): IncarnationEnd {
   const isAway = state === VmState.Moving || state === VmState.Maintenance;
-  return isAway ? IncarnationEnd.VmAway : IncarnationEnd.LeftVm;
+  return isAway
+    ? IncarnationEnd.VmMovingOrInMaintenance
+    : IncarnationEnd.LeftVm;
 }
--- a/packages/coordinator/src/incarnation-end.ts
+++ b/packages/coordinator/src/incarnation-end.ts
@@ -9,7 +9,7 @@
   /** This coordinator ordered it. */
   Maintained = 'maintain',
   /** An earlier coordinator ordered it. */
-  VmAway = 'its VM is being moved or maintained',
+  VmMovingOrInMaintenance = 'its VM is being moved or maintained',
 }
 
 const UNPLANNED: ReadonlySet<IncarnationEnd> = new Set([
--- a/packages/coordinator/src/job-front-desk.ts
+++ b/packages/coordinator/src/job-intake.ts
@@ -15,14 +15,14 @@
 } from '@gentiandoor/jobs';
 import {
   NO_LIMIT,
-  OrganisationLabels,
+  OrganisationMetricLabels,
   canEverRun,
-  maySee,
+  mayAccessJob,
   type Caller,
-  type OrganisationBook,
-  type RoomAmount,
+  type OrganisationRegistry,
+  type Resources,
 } from '@gentiandoor/organisations';
-import {KeepOutcome} from './grouped-appender.js';
+import {BatchedAppendOutcome} from './batching-appender.js';
 import type {JobStreams} from './job-streams.js';
 import type {SubmissionLog} from './submission-log.js';
 
@@ -46,27 +46,27 @@
   | {readonly kind: 'unavailable'};
 
 /** A submission whose appends fail is refused after this, so that the caller can retry at another daemon. */
-const PATIENCE_MILLISECONDS = 450;
+const UNSENT_TIMEOUT_MILLISECONDS = 450;
 /** Time reserved for sending the answer before the caller's deadline. */
 const ANSWER_MARGIN_MILLISECONDS = 250;
 /** Submissions are refused at once when the store has been unavailable this long. */
 const LASTING_OUTAGE_MILLISECONDS = 1_000;
 /** A job state is answered without a read of the store up to this age. */
-const STATE_AGE_MILLISECONDS = 80;
+const MAXIMUM_STATE_AGE_MILLISECONDS = 80;
 /** The number of pending jobs is answered without a read up to this age. */
-const COUNT_AGE_MILLISECONDS = 1_500;
+const MAXIMUM_COUNT_AGE_MILLISECONDS = 1_500;
 
 /** Takes jobs in, and answers for them, at any daemon: the store is the only memory. */
-export class JobFrontDesk {
+export class JobIntake {
   /** Jobs whose submission through this daemon got no answer from the store. */
   private readonly inDoubt = new Set<string>();
-  private readonly labels = new OrganisationLabels();
+  private readonly labels = new OrganisationMetricLabels();
 
   constructor(
     private readonly table: JobTable,
     private readonly streams: JobStreams,
     private readonly submissions: SubmissionLog,
-    private readonly organisations: OrganisationBook,
+    private readonly organisations: OrganisationRegistry,
     private readonly clock: Clock,
     private readonly logger: Logger,
     private readonly metrics: Metrics,
@@ -105,20 +105,20 @@
       return SubmitAnswer.OverLimit;
     }
     const started = this.clock.monotonicMilliseconds();
-    const outcome = await this.submissions.keep(
+    const outcome = await this.submissions.append(
       job.id,
       encodeJobRecord({kind: JobRecordKind.Submission, job}),
-      PATIENCE_MILLISECONDS,
+      UNSENT_TIMEOUT_MILLISECONDS,
       boundMilliseconds - ANSWER_MARGIN_MILLISECONDS,
     );
-    const answer = this.settleSubmission(job.id, outcome);
+    const answer = this.submissionAnswer(job.id, outcome);
     const milliseconds = this.clock.monotonicMilliseconds() - started;
     this.metrics.timing(MetricName.JobIntakeDuration, milliseconds);
     this.noteAnswer(job, answer, milliseconds);
     return answer;
   }
 
-  private limitOf({organisation}: JobSubmission): RoomAmount {
+  private limitOf({organisation}: JobSubmission): Resources {
     return organisation === undefined
       ? NO_LIMIT
       : this.organisations.limitOf(organisation);
@@ -133,7 +133,7 @@
     this.metrics.increment(MetricName.JobSubmissions, {answer});
     if (organisation !== undefined)
       this.metrics.increment(MetricName.OrganisationJobs, {
-        organisation: this.labels.of(organisation),
+        organisation: this.labels.labelFor(organisation),
         answer,
       });
     const fields = {job: id, queue, organisation, answer, milliseconds};
@@ -146,16 +146,17 @@
   async state(jobId: string, caller: Caller): Promise<JobAnswer> {
     const known = this.table.find(jobId);
     // The same answer as for a job that does not exist: it tells nothing of what others run.
-    if (known && !maySee(known.submission, caller)) return {kind: 'absent'};
+    if (known && !mayAccessJob(known.submission, caller))
+      return {kind: 'absent'};
     if (known && isFinal(this.table.stateOf(known)))
       return {kind: 'state', state: this.table.stateOf(known)};
     // What was read a moment ago may show a job's state, but never that there is no such job: its
     // submission may have been answered since, here or elsewhere.
     const fresh = known
-      ? await this.ensureProgress()
+      ? await this.ensureFreshProgress()
       : await this.streams.refreshJob(jobId);
     const job = this.table.find(jobId);
-    if (job && !maySee(job.submission, caller)) return {kind: 'absent'};
+    if (job && !mayAccessJob(job.submission, caller)) return {kind: 'absent'};
     if (job) return {kind: 'state', state: this.table.stateOf(job)};
     return fresh && !this.inDoubt.has(jobId)
       ? {kind: 'absent'}
@@ -172,14 +173,14 @@
     if (found.kind !== 'state') return found;
     if (found.state === JobState.Cancelled) return found;
     if (isFinal(found.state)) return {kind: 'absent'};
-    const outcome = await this.submissions.keep(
+    const outcome = await this.submissions.append(
       jobId,
       encodeJobRecord({kind: JobRecordKind.Cancellation, jobId}),
       boundMilliseconds - ANSWER_MARGIN_MILLISECONDS,
       boundMilliseconds - ANSWER_MARGIN_MILLISECONDS,
     );
     this.logger.info(LogEvent.JobCancelAsked, {job: jobId, outcome});
-    return outcome === KeepOutcome.Kept
+    return outcome === BatchedAppendOutcome.Appended
       ? {kind: 'state', state: JobState.Cancelled}
       : {kind: 'unavailable'};
   }
@@ -189,16 +190,19 @@
     const {submissionAgeMilliseconds, progressAgeMilliseconds} = this.streams;
     const age = Math.max(submissionAgeMilliseconds, progressAgeMilliseconds);
     const fresh =
-      age <= COUNT_AGE_MILLISECONDS || (await this.streams.refresh());
+      age <= MAXIMUM_COUNT_AGE_MILLISECONDS || (await this.streams.refresh());
     return fresh ? this.table.pendingCount(queue) : undefined;
   }
 
-  private settleSubmission(jobId: string, outcome: KeepOutcome): SubmitAnswer {
-    if (outcome === KeepOutcome.Kept) {
+  private submissionAnswer(
+    jobId: string,
+    outcome: BatchedAppendOutcome,
+  ): SubmitAnswer {
+    if (outcome === BatchedAppendOutcome.Appended) {
       this.inDoubt.delete(jobId);
       return SubmitAnswer.Taken;
     }
-    if (outcome === KeepOutcome.Unknown) this.inDoubt.add(jobId);
+    if (outcome === BatchedAppendOutcome.Unknown) this.inDoubt.add(jobId);
     // An earlier try that may still be carried out makes a refusal untrue.
     return this.inDoubt.has(jobId)
       ? SubmitAnswer.Unknown
@@ -206,8 +210,8 @@
   }
 
   /** A known job's state changes with its progress only, and with a cancellation that the coordinator soon stores there. */
-  private async ensureProgress(): Promise<boolean> {
-    if (this.streams.progressAgeMilliseconds <= STATE_AGE_MILLISECONDS)
+  private async ensureFreshProgress(): Promise<boolean> {
+    if (this.streams.progressAgeMilliseconds <= MAXIMUM_STATE_AGE_MILLISECONDS)
       return true;
     return this.streams.refreshProgress();
   }
--- a/packages/coordinator/src/job-retention.ts
+++ b/packages/coordinator/src/job-retention.ts
@@ -1,8 +1,8 @@
 import type {Clock} from '@gentiandoor/kernel';
 
-const ROUND_MILLISECONDS = 10_000;
+const SWEEP_INTERVAL_MILLISECONDS = 10_000;
 /** A repeated submission may arrive late and must still be recognised. */
-const KEPT_FACTOR = 2;
+const RETENTION_FACTOR = 2;
 
 /** Lets ended jobs be dropped once nobody may ask for their state any more. */
 export class JobRetention {
@@ -17,9 +17,9 @@
   ) {}
 
   start(): void {
-    this.clock.schedule(ROUND_MILLISECONDS, () => {
+    this.clock.schedule(SWEEP_INTERVAL_MILLISECONDS, () => {
       if (this.closed) return;
-      this.dropOld();
+      this.dropExpired();
       this.start();
     });
   }
@@ -32,10 +32,10 @@
     this.endedAt.set(jobId, this.clock.monotonicMilliseconds());
   }
 
-  private dropOld(): void {
+  private dropExpired(): void {
     const oldest =
       this.clock.monotonicMilliseconds() -
-      KEPT_FACTOR * this.stateKeptMilliseconds;
+      RETENTION_FACTOR * this.stateKeptMilliseconds;
     for (const [jobId, endedAt] of this.endedAt) {
       if (endedAt > oldest) continue;
       this.endedAt.delete(jobId);
--- a/packages/coordinator/src/job-streams.ts
+++ b/packages/coordinator/src/job-streams.ts
@@ -9,8 +9,8 @@
 const FOLLOW_GAP_MILLISECONDS = 20;
 const RETRY_MILLISECONDS = 100;
 /** Must stay below the retention time of the store. */
-const SUBMISSION_AGE_MILLISECONDS = 9_000;
-const PROGRESS_AGE_MILLISECONDS = 1_000;
+const MAXIMUM_SUBMISSION_AGE_MILLISECONDS = 9_000;
+const MAXIMUM_PROGRESS_AGE_MILLISECONDS = 1_000;
 
 /** Keeps a table of jobs up to date with the streams that tell of them. */
 export class JobStreams {
@@ -67,11 +67,11 @@
   }
 
   /** Reads what has grown old, so that this daemon can answer and take over at once. */
-  async keepWarm(): Promise<void> {
+  async refreshStale(): Promise<void> {
     const old = this.submissions.filter(
-      one => one.ageMilliseconds > SUBMISSION_AGE_MILLISECONDS,
+      one => one.ageMilliseconds > MAXIMUM_SUBMISSION_AGE_MILLISECONDS,
     );
-    if (this.progress.ageMilliseconds > PROGRESS_AGE_MILLISECONDS)
+    if (this.progress.ageMilliseconds > MAXIMUM_PROGRESS_AGE_MILLISECONDS)
       old.push(this.progress);
     await this.allAnswered(old);
   }
--- a/packages/coordinator/src/learned-figures.ts
+++ b/packages/coordinator/src/learned-demand-store.ts
@@ -9,7 +9,7 @@
 import type {LearnedDemand, ServiceDemand} from './service-demand.js';
 
 /** What learned figures are kept with. */
-export interface LearnedFigureParts {
+export interface LearnedDemandStoreParts {
   readonly log: RecordLog;
   readonly clock: Clock;
   readonly logger: Logger;
@@ -25,18 +25,18 @@
  * Without it each of them starts from callers' estimates, which are off by half: it takes jobs that can no
  * longer be in time for hopeful, and sizes pools for half of the work, until a second of runs has ended.
  */
-export class LearnedFigures {
+export class LearnedDemandStore {
   private saved = '';
   private closed = false;
 
   constructor(
-    private readonly parts: LearnedFigureParts,
+    private readonly parts: LearnedDemandStoreParts,
     private readonly demand: ServiceDemand,
   ) {}
 
   /** Takes over what was learned before; a store that does not answer leaves nothing to take. */
   async load(): Promise<void> {
-    const result = await this.parts.log.newest(LogStream.Fleet);
+    const result = await this.parts.log.newestByKey(LogStream.Fleet);
     if (result.outcome !== ReadOutcome.Read) return;
     const record = result.records.find(({key}) => key === LEARNED_KEY);
     if (record) this.restore(record);
--- a/packages/coordinator/src/live-run.ts
+++ b/packages/coordinator/src/live-run.ts
@@ -16,7 +16,7 @@
 /** A run that may be alive on a worker. */
 export interface LiveRun extends RunName {
   readonly execution: JobExecution;
-  readonly taskOfJob: ExecutableTask;
+  readonly executableTask: ExecutableTask;
   /** Names the step of the occurrence. */
   readonly stepKey: string;
   readonly ticket: string;
@@ -24,7 +24,7 @@
   /** What the VM's time for it is worth, in [0, 1]. */
   readonly weight: number;
   /** Whether it is stopped when it stands still. */
-  readonly isWatched: boolean;
+  readonly stopsOnStall: boolean;
   /** Whether it starts apart from other jobs' tasks that may crash the worker. */
   readonly isIsolated: boolean;
   /** Run time to expect, in milliseconds. */
@@ -32,49 +32,49 @@
   /** When the order to start was first sent; undefined before, and for recovered runs. */
   orderedAt: number | undefined;
   /** When this coordinator's order to start was answered; undefined before, and for recovered runs. */
-  beganAt: number | undefined;
+  startConfirmedAt: number | undefined;
   status: RunStatus;
   /** When the worker answered the order, or a stop; a poll that began later shows the truth. */
-  settledAt: number;
-  stopAsked: boolean;
+  orderAnsweredAt: number;
+  stopRequested: boolean;
   percent: number;
   /** When `percent` last changed. */
-  progressedAt: number;
+  percentChangedAt: number;
   /** Speed that was ordered last, in percent. */
-  pacePercent: number;
+  speedPercent: number;
 }
 
 /** What differs between a run that is planned here and one that an earlier coordinator ordered. */
-export type RunStart = Pick<
+export type NewRunFields = Pick<
   LiveRun,
   | 'run'
   | 'plannedAt'
   | 'weight'
   | 'expectedMilliseconds'
-  | 'isWatched'
+  | 'stopsOnStall'
   | 'isIsolated'
   | 'status'
-  | 'settledAt'
+  | 'orderAnsweredAt'
 >;
 
 /** A run of a task of which nothing has been heard yet. */
 export function newLiveRun(
   execution: JobExecution,
   task: ExecutableTask,
-  start: RunStart,
+  start: NewRunFields,
 ): LiveRun {
   return {
     execution,
-    taskOfJob: task,
+    executableTask: task,
     task: taskName(execution.job.id, task),
     stepKey: stepName(execution.job.id, task),
     ticket: '',
     orderedAt: undefined,
-    beganAt: undefined,
-    stopAsked: false,
+    startConfirmedAt: undefined,
+    stopRequested: false,
     percent: 0,
-    progressedAt: start.plannedAt,
-    pacePercent: 100,
+    percentChangedAt: start.plannedAt,
+    speedPercent: 100,
     ...start,
   };
 }
@@ -83,7 +83,10 @@
  * Since when a run is known to be alive; undefined for one that is not. A run that an earlier coordinator
  * ordered counts from when it was seen.
  */
-export function aliveSince({beganAt, settledAt}: LiveRun): number | undefined {
+export function aliveSince({
+  startConfirmedAt: beganAt,
+  orderAnsweredAt: settledAt,
+}: LiveRun): number | undefined {
   if (beganAt !== undefined) return beganAt;
   return Number.isFinite(settledAt) ? settledAt : undefined;
 }
--- a/packages/coordinator/src/wave-keeper.ts
+++ b/packages/coordinator/src/maintenance-controller.ts
@@ -1,35 +1,35 @@
 import type {ExecutableTask, JobExecution} from '@gentiandoor/jobs';
 import {planWave, type DueVm, type PlannedPool} from '@gentiandoor/scheduling';
 import {RunStatus, taskName, type LiveRun} from './live-run.js';
-import {VmOrderOutcome, VmState, type ListedVm} from './machine-gateway.js';
+import {VmOrderOutcome, VmState, type ListedVm} from './vm-gateway.js';
 import type {MaintenanceWave} from './operator-records.js';
 import type {OperatorView} from './operator-view.js';
 import type {VmOrderParts, VmOrderRequest, VmOrders} from './vm-orders.js';
-import {WaveProgress, type WaveParts} from './wave-progress.js';
+import {WaveProgress, type WaveProgressParts} from './wave-progress.js';
 import type {WorkerRegistry} from './worker-registry.js';
 import type {WorkerSession} from './worker-session.js';
 
 /** What a wave keeper is built from. */
-export interface WaveKeeperParts extends VmOrderParts, WaveParts {
+export interface MaintenanceParts extends VmOrderParts, WaveProgressParts {
   readonly operators: OperatorView;
 }
 
 /** Time between a maintenance and the return to service, besides the maintenance itself. */
 const MAINTENANCE_OVERHEAD_MILLISECONDS = 1_000;
 /** Exceeds the longest lease: no run can be alive on a worker without an entry for this long. */
-const UNKNOWN_WORKER_MILLISECONDS = 10_500;
+const MISSING_ENTRY_IDLE_MILLISECONDS = 10_500;
 const FULL_PERCENT = 100;
 /** Begins the reason why a VM takes no new starts before its maintenance. */
 const WAVE_PREFIX = 'wave ';
 
 /** Takes the VMs of waves through their maintenance, and long-running tasks off them before. */
-export class WaveKeeper {
+export class MaintenanceController {
   private readonly progress: WaveProgress;
   /** Since when each incarnation on a VM has had no entry. */
-  private readonly unknownFrom = new Map<string, number>();
+  private readonly entryMissingSince = new Map<string, number>();
 
   constructor(
-    private readonly parts: WaveKeeperParts,
+    private readonly parts: MaintenanceParts,
     private readonly registry: WorkerRegistry,
     private readonly orders: VmOrders,
   ) {
@@ -42,7 +42,7 @@
   }
 
   /** Empties VMs of a wave; returns the maintenance orders to give now. */
-  step(
+  planOrders(
     wave: MaintenanceWave,
     vms: readonly ListedVm[],
     pools: readonly PlannedPool[],
@@ -52,14 +52,14 @@
     const {limits} = this.parts.settings;
     const step = planWave({
       due: this.dueVms(wave, listed, pools),
-      away: this.awayOf(wave, listed),
+      inMaintenance: this.countInMaintenance(wave, listed),
       maximumAtOnce: wave.maximumAtOnce,
-      leftMilliseconds: this.progress.leftMilliseconds(wave),
+      remainingMilliseconds: this.progress.leftMilliseconds(wave),
       maintenanceMilliseconds:
         limits.maintenance + MAINTENANCE_OVERHEAD_MILLISECONDS,
-      workWaits: pools.some(pool => pool.waitingMillicores > 0),
+      hasWaitingWork: pools.some(pool => pool.waitingMillicores > 0),
     });
-    for (const name of step.empty) this.empty(listed.get(name), wave);
+    for (const name of step.evacuate) this.evacuate(listed.get(name), wave);
     return step.maintain.flatMap(name => {
       const vm = listed.get(name);
       return vm ? [this.maintenanceOf(vm, wave)] : [];
@@ -71,7 +71,7 @@
       vm,
       order: {kind: 'maintain', to: String(wave.number)},
       session: this.sessionOn(vm),
-      settled: outcome => {
+      onOutcome: outcome => {
         const over =
           outcome === VmOrderOutcome.Done ||
           outcome === VmOrderOutcome.Impossible;
@@ -101,7 +101,7 @@
   }
 
   /** VMs of a wave that are in maintenance, or may be. */
-  private awayOf(
+  private countInMaintenance(
     wave: MaintenanceWave,
     listed: ReadonlyMap<string, ListedVm>,
   ): number {
@@ -114,15 +114,15 @@
 
   private dueVm(vm: ListedVm, inDemand: boolean): DueVm {
     const session = this.sessionOn(vm);
-    if (session) this.unknownFrom.delete(vm.workerId);
+    if (session) this.entryMissingSince.delete(vm.workerId);
     const runs = [...(session?.runs.values() ?? [])];
     const longRunning = runs.filter(
-      run => run.taskOfJob.specification.longRunning,
+      run => run.executableTask.specification.longRunning,
     ).length;
     return {
       name: vm.name,
-      idle: session ? runs.length === 0 : this.isSurelyEmpty(vm),
-      emptying: session?.reservation?.startsWith(WAVE_PREFIX) ?? false,
+      idle: session ? runs.length === 0 : this.isCertainlyIdle(vm),
+      isEvacuating: session?.cordonReason?.startsWith(WAVE_PREFIX) ?? false,
       shortTasks: runs.length - longRunning,
       longRunningTasks: longRunning,
       inDemand,
@@ -134,39 +134,42 @@
    * on, and a coordinator that began its term since knows of no session with it: taken for idle, the VM
    * would be maintained and its tasks ended. An entry is back seconds after the cut, or the worker is gone.
    */
-  private isSurelyEmpty(vm: ListedVm): boolean {
+  private isCertainlyIdle(vm: ListedVm): boolean {
     if (this.parts.operators.service(vm.pool)?.standby) return true;
-    const from = this.unknownFrom.get(vm.workerId) ?? this.now();
-    this.unknownFrom.set(vm.workerId, from);
-    return this.now() - from >= UNKNOWN_WORKER_MILLISECONDS;
+    const from = this.entryMissingSince.get(vm.workerId) ?? this.now();
+    this.entryMissingSince.set(vm.workerId, from);
+    return this.now() - from >= MISSING_ENTRY_IDLE_MILLISECONDS;
   }
 
-  private empty(vm: ListedVm | undefined, wave: MaintenanceWave): void {
+  private evacuate(vm: ListedVm | undefined, wave: MaintenanceWave): void {
     const session = vm && this.sessionOn(vm);
     if (!session) return;
-    session.reserve(`${WAVE_PREFIX}${wave.number}`);
+    session.cordon(`${WAVE_PREFIX}${wave.number}`);
     for (const run of session.runs.values())
-      if (this.mayEvacuate(run)) void session.stop(run);
+      if (this.mayEvacuate(run)) void session.stopRun(run);
   }
 
   /** A long-running task may be taken away while no other of its step is. */
   private mayEvacuate(run: LiveRun): boolean {
-    const step = run.taskOfJob.specification;
-    if (!step.longRunning || run.stopAsked) return false;
+    const step = run.executableTask.specification;
+    if (!step.longRunning || run.stopRequested) return false;
     const away = run.execution
-      .tasksOfStep(run.taskOfJob.occurrence, run.taskOfJob.step)
-      .filter(task => task !== run.taskOfJob)
-      .filter(task => !this.isAtWork(run.execution, task)).length;
+      .tasksOfStep(run.executableTask.occurrence, run.executableTask.step)
+      .filter(task => task !== run.executableTask)
+      .filter(task => !this.isFullyRunning(run.execution, task)).length;
     return away < Math.max(1, step.mayMiss);
   }
 
-  private isAtWork(execution: JobExecution, task: ExecutableTask): boolean {
+  private isFullyRunning(
+    execution: JobExecution,
+    task: ExecutableTask,
+  ): boolean {
     const session = this.registry.find(task.progress.worker);
     const run = session?.runs.get(taskName(execution.job.id, task));
     return (
       run !== undefined &&
       run.status === RunStatus.Confirmed &&
-      !run.stopAsked &&
+      !run.stopRequested &&
       run.percent >= FULL_PERCENT &&
       !this.mayBeStopping(run)
     );
@@ -178,8 +181,8 @@
    * the worker has seen this term's token no earlier order is taken, so the longest stop bounds it.
    */
   private mayBeStopping(run: LiveRun): boolean {
-    const isOfEarlierTerm = run.beganAt === undefined;
-    const seenFor = this.now() - run.settledAt;
+    const isOfEarlierTerm = run.startConfirmedAt === undefined;
+    const seenFor = this.now() - run.orderAnsweredAt;
     return isOfEarlierTerm && seenFor < this.parts.settings.limits.stop;
   }
 
--- a/packages/coordinator/src/operator-records.ts
+++ b/packages/coordinator/src/operator-records.ts
@@ -26,7 +26,7 @@
   /** Its VMs are off and cost nothing. */
   readonly standby: boolean;
   /** Its workers refuse what does not fit. */
-  readonly enforcesRoom: boolean;
+  readonly enforcesCapacity: boolean;
   readonly healthPath: string;
 }
 
--- a/packages/coordinator/src/operator-view.ts
+++ b/packages/coordinator/src/operator-view.ts
@@ -1,9 +1,9 @@
 import {LogEvent, sleep, type Clock, type Logger} from '@gentiandoor/kernel';
 import type {KeyedRecord} from '@gentiandoor/jobs';
 import {
-  OrganisationBook,
-  type KeyRing,
-  type KeySource,
+  OrganisationRegistry,
+  type KeyOwnerIndex,
+  type KeyConfiguration,
   type OrganisationList,
 } from '@gentiandoor/organisations';
 import type {
@@ -21,9 +21,9 @@
 const RETRY_MILLISECONDS = 150;
 
 /** What operators ask for: the newest configuration and the waves of maintenance. */
-export class OperatorView implements StreamSink, KeySource {
+export class OperatorView implements StreamSink, KeyConfiguration {
   readonly follower: StreamFollower;
-  readonly organisations = new OrganisationBook();
+  readonly organisations = new OrganisationRegistry();
   readonly waves = new Map<number, MaintenanceWave>();
   private newest: Configuration | undefined;
   private queuesByName = new Map<string, Queue>();
@@ -53,8 +53,8 @@
     return this.clock.monotonicMilliseconds() - this.unreachableFrom;
   }
 
-  get keys(): KeyRing {
-    return this.organisations.keys;
+  get keyOwners(): KeyOwnerIndex {
+    return this.organisations.keyOwners;
   }
 
   /** Since the configuration at hand was the newest one for certain. */
@@ -139,7 +139,7 @@
         organisation: name,
         reason,
       });
-    const {conflicts} = this.organisations.keys;
+    const {conflictingOrganisations: conflicts} = this.organisations.keyOwners;
     if (conflicts.length > 0)
       this.logger.warn(LogEvent.OrganisationKeyShared, {
         organisations: conflicts,
--- a/packages/coordinator/src/orphan-runs.ts
+++ b/packages/coordinator/src/orphan-runs.ts
@@ -1,6 +1,6 @@
 import {RunEnd} from '@gentiandoor/jobs';
 import type {Clock} from '@gentiandoor/kernel';
-import {longestLease} from '@gentiandoor/scheduling';
+import {worstCaseLeaseMilliseconds} from '@gentiandoor/scheduling';
 import type {LiveRun} from './live-run.js';
 
 /** Allowance for local processing delays. */
@@ -23,11 +23,12 @@
     ) => void,
   ) {}
 
-  keep(worker: string, run: LiveRun): void {
+  add(worker: string, run: LiveRun): void {
     let runs = this.byWorker.get(worker);
     if (!runs) {
       this.byWorker.set(worker, (runs = new Set()));
-      const bound = longestLease(this.leaseMilliseconds) + SLACK_MILLISECONDS;
+      const bound =
+        worstCaseLeaseMilliseconds(this.leaseMilliseconds) + SLACK_MILLISECONDS;
       this.clock.schedule(bound, () => this.endAll(worker, RunEnd.Lost));
     }
     runs.add(run);
--- a/packages/coordinator/src/placement-round.ts
+++ b/packages/coordinator/src/placement-round.ts
@@ -6,13 +6,13 @@
 import type {WorkerSession} from './worker-session.js';
 
 /** A task to place, as far as the round does not know it itself. */
-export type PlacementWish = Omit<PlacementRequest, 'now'>;
+export type TaskPlacementRequest = Omit<PlacementRequest, 'now'>;
 
 /** Room of a service's workers while one round of placement goes on. */
 export class PlacementRound {
   private readonly sessions = new Map<string, WorkerSession>();
   private views: PlacementWorker[];
-  private before: PlacementWorker[];
+  private committedViews: PlacementWorker[];
 
   constructor(
     sessions: readonly WorkerSession[],
@@ -21,11 +21,11 @@
   ) {
     for (const session of sessions) this.sessions.set(session.id, session);
     this.views = sessions.map(session => session.placementView(now));
-    this.before = [...this.views];
+    this.committedViews = [...this.views];
   }
 
   /** Takes room for a task; undefined where there is none. */
-  take(wish: PlacementWish): WorkerSession | undefined {
+  reserve(wish: TaskPlacementRequest): WorkerSession | undefined {
     const request: PlacementRequest = {...wish, now: this.now};
     const worker = this.choice.choose(request, this.views);
     if (!worker) return undefined;
@@ -35,12 +35,12 @@
   }
 
   /** Undoes what was taken since `keep`. */
-  giveBack(): void {
-    this.views = [...this.before];
+  rollBack(): void {
+    this.views = [...this.committedViews];
   }
 
-  keep(): void {
-    this.before = [...this.views];
+  commit(): void {
+    this.committedViews = [...this.views];
   }
 }
 
@@ -55,11 +55,13 @@
     freeMegabytes: worker.freeMegabytes - step.memoryMegabytes,
     freeAccelerators: worker.freeAccelerators - step.accelerators,
     tasks: worker.tasks + 1,
-    servingTasks: worker.servingTasks + (step.targetMilliseconds > 0 ? 1 : 0),
+    latencySensitiveTaskCount:
+      worker.latencySensitiveTaskCount + (step.targetMilliseconds > 0 ? 1 : 0),
     bestEffortTasks: worker.bestEffortTasks + (step.bestEffort ? 1 : 0),
-    countOf: key => worker.countOf(key) + (key === stepKey ? 1 : 0),
+    taskCountOfStep: key =>
+      worker.taskCountOfStep(key) + (key === stepKey ? 1 : 0),
     isolatedJob: now => (isIsolated ? job : worker.isolatedJob(now)),
-    hasUnprovenOther: (other, now) =>
-      other !== job || worker.hasUnprovenOther(other, now),
+    hasCrashRiskFromOtherJob: (other, now) =>
+      other !== job || worker.hasCrashRiskFromOtherJob(other, now),
   };
 }
--- a/packages/coordinator/src/pool-log.ts
+++ b/packages/coordinator/src/pool-size-log.ts
@@ -2,7 +2,7 @@
 import {wantedVms, type PlannedPool} from '@gentiandoor/scheduling';
 
 /** Minimum interval between two log lines about one pool. */
-const LEAST_GAP_MILLISECONDS = 500;
+const MINIMUM_LOG_INTERVAL_MILLISECONDS = 500;
 
 interface LastLine {
   readonly at: number;
@@ -10,7 +10,7 @@
 }
 
 /** Logs what the size of each pool is decided from, when it changes. */
-export class PoolLog {
+export class PoolSizeLog {
   private readonly last = new Map<string, LastLine>();
 
   constructor(
@@ -27,8 +27,8 @@
   private noteOne(pool: PlannedPool, demandAgeMilliseconds: number): void {
     const at = this.clock.monotonicMilliseconds();
     const before = this.last.get(pool.service);
-    if (before && at - before.at < LEAST_GAP_MILLISECONDS) return;
-    const fields = standing(pool);
+    if (before && at - before.at < MINIMUM_LOG_INTERVAL_MILLISECONDS) return;
+    const fields = logFieldsOf(pool);
     const text = JSON.stringify(fields);
     if (before?.text === text) return;
     this.last.set(pool.service, {at, text});
@@ -39,18 +39,18 @@
   }
 }
 
-function standing(pool: PlannedPool): Readonly<Record<string, unknown>> {
+function logFieldsOf(pool: PlannedPool): Readonly<Record<string, unknown>> {
   const inVms = (millicores: number) =>
     Math.round((10 * millicores) / Math.max(1, pool.vmMillicores)) / 10;
   return {
     service: pool.service,
-    usable: pool.usable,
-    arriving: pool.arriving,
+    usable: pool.usableVms,
+    arriving: pool.incomingVms,
     movable: pool.vms.length,
     wanted: wantedVms(pool),
     usedVms: inVms(pool.usedMillicores),
     waitingVms: inVms(pool.waitingMillicores),
-    arrivingWorkVms: inVms(pool.arrivingMillicores),
+    arrivingWorkVms: inVms(pool.offeredLoadMillicores),
     waitingMilliseconds: Math.round(pool.waitingMilliseconds),
   };
 }
--- a/packages/coordinator/src/progress-writer.ts
+++ b/packages/coordinator/src/progress-writer.ts
@@ -22,7 +22,7 @@
 export class ProgressWriter {
   private dirty = new Set<JobExecution>();
   private actions: StoredAction[] = [];
-  private extra: KeyedRecord[] = [];
+  private tombstones: KeyedRecord[] = [];
   private sequence = 0;
   private running = false;
   private closed = false;
@@ -36,7 +36,7 @@
   ) {}
 
   /** Keeps every writer of an earlier term out; false when this one is out itself. */
-  async open(): Promise<boolean> {
+  async fenceEarlierTerms(): Promise<boolean> {
     while (!this.closed) {
       const result = await this.log.append(LogStream.Jobs, [], {
         writer: {name: WRITER, term: this.term, sequence: 0},
@@ -63,8 +63,8 @@
   }
 
   /** Drops keys. */
-  drop(records: readonly KeyedRecord[]): void {
-    this.extra.push(...records);
+  appendTombstones(records: readonly KeyedRecord[]): void {
+    this.tombstones.push(...records);
     this.wake();
   }
 
@@ -92,13 +92,15 @@
 
   private hasWork(): boolean {
     return (
-      this.dirty.size > 0 || this.extra.length > 0 || this.actions.length > 0
+      this.dirty.size > 0 ||
+      this.tombstones.length > 0 ||
+      this.actions.length > 0
     );
   }
 
   private takeBatch(): {records: KeyedRecord[]; actions: StoredAction[]} {
-    const records = this.extra;
-    this.extra = [];
+    const records = this.tombstones;
+    this.tombstones = [];
     let bytes = 0;
     for (const execution of this.dirty) {
       const record = encodeJobRecord({
--- a/packages/coordinator/src/record-log.ts
+++ b/packages/coordinator/src/record-log.ts
@@ -26,7 +26,7 @@
   /** The store said that it did nothing; the same call may succeed later. */
   Refused = 'refused',
   /** The stream did not end at the offset asked for. */
-  Moved = 'moved',
+  EndOffsetMismatch = 'moved',
   /** A writer with a higher term has written. */
   Fenced = 'fenced',
   /** The sequence number does not follow the last one. */
@@ -42,7 +42,10 @@
       readonly offset: number;
       readonly endOffset: number;
     }
-  | {readonly outcome: AppendOutcome.Moved; readonly endOffset: number}
+  | {
+      readonly outcome: AppendOutcome.EndOffsetMismatch;
+      readonly endOffset: number;
+    }
   | {readonly outcome: AppendOutcome.OutOfSequence; readonly expected: number}
   | {
       readonly outcome:
@@ -55,7 +58,7 @@
   /** Of the stream; 0 where nothing is said. */
   readonly partition?: number;
   /** Append only if the partition ends here. */
-  readonly atOffset?: number;
+  readonly expectedEndOffset?: number;
   /** A repeat of an append with the same numbers is not done twice; a lower term is fenced. */
   readonly writer?: {
     readonly name: string;
@@ -89,7 +92,7 @@
   | {readonly outcome: ReadOutcome.Unavailable; readonly reason: string};
 
 /** The newest record of each key. */
-export type NewestResult =
+export type NewestByKeyResult =
   | {
       readonly outcome: ReadOutcome.Read;
       readonly records: readonly LoggedRecord[];
@@ -112,5 +115,8 @@
     waitMilliseconds: number,
     partition?: number,
   ): Promise<ReadResult>;
-  newest(stream: LogStream, partition?: number): Promise<NewestResult>;
+  newestByKey(
+    stream: LogStream,
+    partition?: number,
+  ): Promise<NewestByKeyResult>;
 }
--- a/packages/coordinator/src/run-log.ts
+++ b/packages/coordinator/src/run-log.ts
@@ -5,7 +5,12 @@
   type Logger,
   type Metrics,
 } from '@gentiandoor/kernel';
-import type {CrashCount, EndEffect, JobState, RunEnd} from '@gentiandoor/jobs';
+import type {
+  CrashCount,
+  RunEndEffect,
+  JobState,
+  RunEnd,
+} from '@gentiandoor/jobs';
 import type {LiveRun} from './live-run.js';
 import type {OrderRefusal, RunName} from './worker-gateway.js';
 
@@ -46,7 +51,7 @@
     {task, run}: RunName,
     worker: string,
     end: RunEnd,
-    effect: EndEffect,
+    effect: RunEndEffect,
   ): void {
     const fields = {task, run, worker, end, effect};
     this.parts.logger.info(LogEvent.RunEnded, fields);
@@ -81,7 +86,7 @@
       run: run.run,
       worker,
       percent: run.percent,
-      stillMilliseconds: Math.round(this.now() - run.progressedAt),
+      stillMilliseconds: Math.round(this.now() - run.percentChangedAt),
       expectedMilliseconds: Math.round(run.expectedMilliseconds),
     });
     this.parts.metrics.increment(MetricName.RunsStalled);
--- a/packages/coordinator/src/run-orders.ts
+++ b/packages/coordinator/src/run-orders.ts
@@ -7,58 +7,58 @@
   type WorkerEntry,
   type WorkerGateway,
 } from './worker-gateway.js';
-import type {WorkerPresence} from './worker-presence.js';
+import type {WorkerLiveness} from './worker-liveness.js';
 
 /** What orders about runs need of their session. */
 export interface RunOrderHost {
   readonly term: number;
   readonly entry: WorkerEntry;
   /** How long any worker may take to answer a call that does not wait there. */
-  readonly answerBoundMilliseconds: number;
+  readonly responseTimeoutMilliseconds: number;
   /** Whether the run may be alive here, as far as is known. */
   isExpected(run: LiveRun): boolean;
   /** Whether the worker still has room for a run that was placed there. */
-  hasRoomFor(run: LiveRun): boolean;
+  hasCapacityFor(run: LiveRun): boolean;
   /** Waits while the term is being renewed; false when the session is over. */
   waitUntilAllowed(): Promise<boolean>;
   /** Asks for an answer beside the poll that waits. */
   probe(): Promise<void>;
   /** A call that does not wait there was answered; it was sent at `sentAt`. */
-  noteSpeed(sentAt: number): void;
+  noteResponseTime(sentAt: number): void;
   noteAnswer(clockMilliseconds: number): void;
   /** Whether an answer was a refusal that concerns the whole session, which it then has dealt with. */
   handledRefusal(result: OrderResult): boolean;
   /** The order to start never went out. */
-  neverStarted(run: LiveRun): void;
+  runNeverStarted(run: LiveRun): void;
   startRefused(run: LiveRun, refusal: OrderRefusal): void;
   /** The fate of a run can be read with the next poll. */
-  settled(): void;
+  outcomeReadable(): void;
 }
 
 const RETRY_MILLISECONDS = 200;
-const START_TRIES = 3;
+const MAXIMUM_START_ATTEMPTS = 3;
 
 /** Orders to start and stop runs on one worker, each until its fate is known. */
 export class RunOrders {
   constructor(
     private readonly host: RunOrderHost,
-    private readonly presence: WorkerPresence,
+    private readonly liveness: WorkerLiveness,
     private readonly gateway: WorkerGateway,
     private readonly clock: Clock,
   ) {}
 
   /** Sends the order to start. */
   async start(run: LiveRun): Promise<void> {
-    for (let attempt = 0; attempt < START_TRIES; attempt++) {
+    for (let attempt = 0; attempt < MAXIMUM_START_ATTEMPTS; attempt++) {
       if (!this.host.isExpected(run)) return;
-      if (run.stopAsked && attempt === 0) {
-        this.host.neverStarted(run);
+      if (run.stopRequested && attempt === 0) {
+        this.host.runNeverStarted(run);
         return;
       }
       if (!(await this.host.waitUntilAllowed())) return;
-      if (!this.host.hasRoomFor(run)) {
+      if (!this.host.hasCapacityFor(run)) {
         if (attempt > 0) break;
-        this.host.neverStarted(run);
+        this.host.runNeverStarted(run);
         return;
       }
       if (await this.sendStart(run, attempt > 0)) return;
@@ -70,8 +70,8 @@
 
   /** Asks the worker to stop a run. */
   async stop(run: LiveRun): Promise<void> {
-    if (run.stopAsked) return;
-    run.stopAsked = true;
+    if (run.stopRequested) return;
+    run.stopRequested = true;
     if (run.status === RunStatus.Planned) return;
     while (this.host.isExpected(run)) {
       if (!(await this.host.waitUntilAllowed())) return;
@@ -79,8 +79,8 @@
       const result = await this.gateway.stop(entry, run, term);
       if (result.outcome !== OrderOutcome.Unknown) {
         if (this.host.handledRefusal(result)) return;
-        run.settledAt = this.clock.monotonicMilliseconds();
-        this.host.settled();
+        run.orderAnsweredAt = this.clock.monotonicMilliseconds();
+        this.host.outcomeReadable();
         return;
       }
       await sleep(this.clock, RETRY_MILLISECONDS);
@@ -93,16 +93,17 @@
     run.status = RunStatus.Ordered;
     run.orderedAt ??= now;
     const result = await this.call(run, now);
-    if (result.outcome !== OrderOutcome.Unknown) this.host.noteSpeed(now);
+    if (result.outcome !== OrderOutcome.Unknown)
+      this.host.noteResponseTime(now);
     if (!this.host.isExpected(run)) return true;
     if (result.outcome === OrderOutcome.Unknown) return false;
     if (this.host.handledRefusal(result)) return true;
     if (result.outcome === OrderOutcome.Done) {
       this.host.noteAnswer(result.clockMilliseconds);
       run.status = RunStatus.Confirmed;
-      run.settledAt = this.clock.monotonicMilliseconds();
-      run.beganAt = run.settledAt;
-      this.host.settled();
+      run.orderAnsweredAt = this.clock.monotonicMilliseconds();
+      run.startConfirmedAt = run.orderAnsweredAt;
+      this.host.outcomeReadable();
       return true;
     }
     // A refusal of a second try says nothing of the first, which may still be carried out.
@@ -113,16 +114,16 @@
 
   private async call(run: LiveRun, now: number): Promise<OrderResult> {
     const doubt = this.clock.schedule(
-      this.host.answerBoundMilliseconds,
+      this.host.responseTimeoutMilliseconds,
       () => void this.host.probe(),
     );
     const result = await this.gateway.start(this.host.entry, {
       task: run.task,
       run: run.run,
       payload: run.execution.job.payload,
-      leaseEndMilliseconds: this.presence.giveLease(now),
+      leaseEndMilliseconds: this.liveness.grantLease(now),
       fencingToken: this.host.term,
-      checkpoint: run.taskOfJob.progress.checkpoint,
+      checkpoint: run.executableTask.progress.checkpoint,
       ticket: run.ticket,
     });
     doubt.cancel();
--- a/packages/coordinator/src/run-outcomes.ts
+++ b/packages/coordinator/src/run-outcomes.ts
@@ -1,6 +1,6 @@
 import {
   CRASH_AT_START_MILLISECONDS,
-  EndEffect,
+  RunEndEffect,
   RunEnd,
   type ExecutableTask,
   type JobExecution,
@@ -9,10 +9,10 @@
 import type {Dispatcher} from './dispatcher.js';
 import type {LiveRun} from './live-run.js';
 import type {Queue} from './operator-records.js';
-import type {OrganisationRooms} from './organisation-rooms.js';
+import type {OrganisationLimits} from './organisation-limits.js';
 import type {ProgressWriter} from './progress-writer.js';
 import type {RunLog} from './run-log.js';
-import {FULL_MILLISECONDS} from './session-runs.js';
+import {CAPACITY_REFUSAL_MILLISECONDS} from './session-runs.js';
 import {OrderRefusal, type EndedRun} from './worker-gateway.js';
 import type {WorkerRegistry} from './worker-registry.js';
 import type {WorkerSession} from './worker-session.js';
@@ -23,7 +23,7 @@
   readonly log: RunLog;
   readonly suspicion: WorkerSuspicion;
   readonly dispatcher: Dispatcher;
-  readonly rooms: OrganisationRooms;
+  readonly organisationLimits: OrganisationLimits;
   readonly writer: ProgressWriter;
   readonly registry: WorkerRegistry;
   readonly clock: Clock;
@@ -33,7 +33,7 @@
 export interface OutcomeHost {
   queueOf(execution: JobExecution): Queue | undefined;
   /** A job has come to its end. */
-  finish(execution: JobExecution): void;
+  jobEnded(execution: JobExecution): void;
   /** Stops what runs of a task that is done. */
   stopRuns(execution: JobExecution, task: ExecutableTask): void;
 }
@@ -66,15 +66,15 @@
   ): void {
     const {suspicion, dispatcher} = this.parts;
     suspicion.noteEnd(session, run, end);
-    if (end === RunEnd.Done && run.beganAt !== undefined)
-      dispatcher.noteDuration(run, this.now() - run.beganAt);
+    if (end === RunEnd.Done && run.startConfirmedAt !== undefined)
+      dispatcher.noteDuration(run, this.now() - run.startConfirmedAt);
     this.endRun(run, {
       end,
       checkpoint,
       worker: session.id,
       silentFrom: session.silentFrom,
     });
-    dispatcher.wake(session.entry.service);
+    dispatcher.schedulePlacement(session.entry.service);
   }
 
   /** A run that was given up has ended after all. */
@@ -83,24 +83,24 @@
     task: ExecutableTask,
     ended: EndedRun,
   ): void {
-    const effect = execution.noteLateEnd(
+    const effect = execution.applyLateRunEnd(
       task,
       ended.run,
       ended.end,
       this.maximumAttempts(execution),
     );
-    if (effect === EndEffect.Stale) return;
+    if (effect === RunEndEffect.Stale) return;
     this.parts.log.ended(ended, '', ended.end, effect);
     this.host.stopRuns(execution, task);
-    if (effect === EndEffect.JobEnded) this.host.finish(execution);
+    if (effect === RunEndEffect.JobEnded) this.host.jobEnded(execution);
     this.parts.writer.store(execution);
-    this.parts.dispatcher.wake(execution.job.service);
+    this.parts.dispatcher.schedulePlacement(execution.job.service);
   }
 
   /** A run of an earlier coordinator is over on a worker that has no entry. */
   orphaned(worker: string, run: LiveRun, end: RunEnd): void {
     this.endRun(run, {end, checkpoint: '', worker});
-    this.parts.dispatcher.wake(run.execution.job.service);
+    this.parts.dispatcher.schedulePlacement(run.execution.job.service);
   }
 
   /** A worker did not take the order to start. */
@@ -109,10 +109,10 @@
     log.refused(run, session.id, refusal);
     if (refusal === OrderRefusal.Unhealthy) suspicion.suspect(session, refusal);
     this.endRun(run, {end: RunEnd.Lost, checkpoint: '', worker: session.id});
-    const wake = () => dispatcher.wake(session.entry.service);
+    const wake = () => dispatcher.schedulePlacement(session.entry.service);
     clock.schedule(REFUSAL_PAUSE_MILLISECONDS, wake);
-    if (refusal === OrderRefusal.NoRoom)
-      clock.schedule(FULL_MILLISECONDS, wake);
+    if (refusal === OrderRefusal.InsufficientCapacity)
+      clock.schedule(CAPACITY_REFUSAL_MILLISECONDS, wake);
   }
 
   /** A stall is attributed to the worker: tasks at fault end as failed. */
@@ -120,26 +120,27 @@
     this.parts.log.stalled(run, session.id);
     this.parts.suspicion.suspect(session, 'run stalled');
     this.parts.dispatcher.noteFailure(run, session.id);
-    void session.stop(run);
+    void session.stopRun(run);
   }
 
   /** A run has lived for long. */
-  survived({execution, taskOfJob}: LiveRun): void {
-    if (execution.noteSurvival(taskOfJob)) this.parts.writer.store(execution);
+  survived({execution, executableTask: taskOfJob}: LiveRun): void {
+    if (execution.clearCrashes(taskOfJob)) this.parts.writer.store(execution);
   }
 
   private endRun(run: LiveRun, ending: RunEnding): void {
-    const {log, rooms, writer} = this.parts;
+    const {log, organisationLimits: rooms, writer} = this.parts;
     const {execution} = run;
     const {end, worker} = ending;
-    rooms.end(run);
+    rooms.releaseRun(run);
     const wasEnded = execution.ended;
     const effect = this.effectOf(run, ending);
     log.ended(run, worker, end, effect);
-    if (effect === EndEffect.Stale) return;
-    if (effect === EndEffect.Again) this.noteForNextTry(run, ending);
-    if (effect === EndEffect.JobEnded && !wasEnded) this.finishJob(run, ending);
-    if (run.taskOfJob.specification.gang && end === RunEnd.Done)
+    if (effect === RunEndEffect.Stale) return;
+    if (effect === RunEndEffect.Retry) this.noteForNextTry(run, ending);
+    if (effect === RunEndEffect.JobEnded && !wasEnded)
+      this.finishJob(run, ending);
+    if (run.executableTask.specification.gang && end === RunEnd.Done)
       this.dropGang(run);
     writer.store(execution);
   }
@@ -151,14 +152,14 @@
   }
 
   private finishJob(run: LiveRun, {end, worker}: RunEnding): void {
-    const {execution, taskOfJob} = run;
+    const {execution, executableTask: taskOfJob} = run;
     if (end === RunEnd.Crashed)
       this.parts.log.givenUp(run, worker, taskOfJob.progress.crashes);
-    this.host.finish(execution);
+    this.host.jobEnded(execution);
   }
 
-  private effectOf(run: LiveRun, ending: RunEnding): EndEffect {
-    const {execution, taskOfJob} = run;
+  private effectOf(run: LiveRun, ending: RunEnding): RunEndEffect {
+    const {execution, executableTask: taskOfJob} = run;
     if (ending.end === RunEnd.Crashed)
       return execution.crashRun(taskOfJob, run.run, {
         isAtStart: endedAtStart(run, ending.silentFrom ?? this.now()),
@@ -176,7 +177,7 @@
   /** The other members are over with the one that is done. */
   private dropGang(run: LiveRun): void {
     for (const member of this.parts.registry.dropRunsOfStep(run))
-      this.parts.rooms.end(member);
+      this.parts.organisationLimits.releaseRun(member);
   }
 
   private maximumAttempts(execution: JobExecution): number {
@@ -189,7 +190,10 @@
 }
 
 /** A start without an answer may have met a worker that had crashed before. */
-function endedAtStart({beganAt}: LiveRun, endedAt: number): boolean {
+function endedAtStart(
+  {startConfirmedAt: beganAt}: LiveRun,
+  endedAt: number,
+): boolean {
   return (
     beganAt !== undefined && endedAt - beganAt < CRASH_AT_START_MILLISECONDS
   );
--- a/packages/coordinator/src/service-demand.ts
+++ b/packages/coordinator/src/service-demand.ts
@@ -1,20 +1,20 @@
 import type {JobSubmission, StepSpecification} from '@gentiandoor/jobs';
 import {
-  DemandMeter,
+  ArrivalRateEstimator,
   DurationModel,
-  PeakHold,
+  SlidingMaximum,
   RunningMean,
-  SiblingSpread,
-  occupiedMillicores,
+  StragglerModel,
+  dominantResourceMillicores,
   type DurationSnapshot,
   type MeanSnapshot,
-  type VmRoom,
+  type VmCapacity,
 } from '@gentiandoor/scheduling';
 
 /** Jobs over which the mean work of a queue is taken. */
-const MEMORY_JOBS = 30;
+const MEAN_WORK_JOBS = 30;
 /** Demand is held at its peak this long, so that VMs do not leave in a short lull. */
-const HOLD_MILLISECONDS = 1_500;
+const PEAK_HOLD_MILLISECONDS = 1_500;
 
 /**
  * Share of the slowest sibling's excess that counts. Run times are seen with the delays of polls, more so
@@ -23,12 +23,12 @@
 const SLOWEST_SHARE = 0.5;
 
 /** Runs over which the delay from placement to start is averaged. */
-const MEMORY_STARTS = 200;
+const START_DELAY_SAMPLES = 200;
 
 /** Work that arrives for a service. */
 interface ServiceRate {
-  readonly meter: DemandMeter;
-  readonly hold: PeakHold;
+  readonly meter: ArrivalRateEstimator;
+  readonly hold: SlidingMaximum;
 }
 
 /** What is learned of the work, by queue. */
@@ -42,34 +42,34 @@
 /** What is learned of the work that comes for each service. */
 export class ServiceDemand {
   private readonly durations = new Map<string, DurationModel>();
-  private readonly spreads = new Map<string, SiblingSpread>();
-  private room: VmRoom | undefined;
+  private readonly spreads = new Map<string, StragglerModel>();
+  private vmCapacity: VmCapacity | undefined;
   private readonly rates = new Map<string, ServiceRate>();
   /** Milliseconds for which a run takes room before it begins. */
-  private readonly startDelay = new RunningMean(MEMORY_STARTS);
+  private readonly startDelay = new RunningMean(START_DELAY_SAMPLES);
   private readonly meanWork = new Map<string, RunningMean>();
 
   /** Notes the room of the workers: what a task takes away depends on it. */
-  noteRoom(room: VmRoom | undefined): void {
-    this.room = room ?? this.room;
+  noteVmCapacity(room: VmCapacity | undefined): void {
+    this.vmCapacity = room ?? this.vmCapacity;
   }
 
   /** Notes a job that was handed in at `at`. */
   note(service: string, job: JobSubmission, at: number): void {
     const work = this.workOf(job);
     const {meter} = this.rateOf(service);
-    meter.note(this.meanWorkOf(job.queue).note(work), at);
+    meter.observe(this.meanWorkOf(job.queue).observe(work), at);
   }
 
   /** Millicores that work which arrives keeps busy. */
-  arrivingMillicores(service: string, now: number): number {
+  offeredLoadMillicores(service: string, now: number): number {
     const {meter, hold} = this.rateOf(service);
-    return hold.note(meter.millicores(now), now);
+    return hold.observe(meter.offeredLoadMillicores(now), now);
   }
 
   /** Millicores by which that lies off by chance. */
-  chanceMillicores(service: string, now: number): number {
-    return this.rateOf(service).meter.chanceMillicores(now);
+  standardErrorMillicores(service: string, now: number): number {
+    return this.rateOf(service).meter.standardErrorMillicores(now);
   }
 
   /** Notes how long a task of `step` took that ended well; `stepKey` names its step of the occurrence. */
@@ -79,27 +79,29 @@
     stepKey: string,
     milliseconds: number,
   ): void {
-    this.durationsOf(queue).note(step.estimatedMilliseconds, milliseconds);
-    this.spreadOf(queue).note(stepKey, step.taskCount, milliseconds);
+    this.durationsOf(queue).observe(step.estimatedMilliseconds, milliseconds);
+    this.spreadOf(queue).observe(stepKey, step.taskCount, milliseconds);
   }
 
   /** Notes how long a run took room before it began: its record was stored, its order sent. */
   noteStartDelay(milliseconds: number): void {
-    this.startDelay.note(milliseconds);
+    this.startDelay.observe(milliseconds);
   }
 
   /** Time to expect until all tasks of `step` have ended that start together, in milliseconds. */
   stepTime(queue: string, step: StepSpecification): number {
-    const slowest = this.spreadOf(queue).slowestFactor(step.taskCount);
+    const slowest = this.spreadOf(queue).stragglerFactor(step.taskCount);
     const factor = 1 + SLOWEST_SHARE * (slowest - 1);
     return factor * this.expectedTime(queue, step);
   }
 
   /** Millicores times milliseconds to expect of a task of `step`. */
   taskWork(queue: string, step: StepSpecification): number {
-    const mean = this.durationsOf(queue).mean(step.estimatedMilliseconds);
+    const mean = this.durationsOf(queue).meanMilliseconds(
+      step.estimatedMilliseconds,
+    );
     const time = mean + this.startDelay.value;
-    return occupiedMillicores(step, this.room) * time;
+    return dominantResourceMillicores(step, this.vmCapacity) * time;
   }
 
   /** What was learned so far, for a successor. */
@@ -128,12 +130,14 @@
 
   /** Run time to expect of a task of `step`, in milliseconds. */
   expectedTime(queue: string, step: StepSpecification): number {
-    return this.durationsOf(queue).expected(step.estimatedMilliseconds);
+    return this.durationsOf(queue).medianMilliseconds(
+      step.estimatedMilliseconds,
+    );
   }
 
-  private spreadOf(queue: string): SiblingSpread {
+  private spreadOf(queue: string): StragglerModel {
     let spread = this.spreads.get(queue);
-    if (!spread) this.spreads.set(queue, (spread = new SiblingSpread()));
+    if (!spread) this.spreads.set(queue, (spread = new StragglerModel()));
     return spread;
   }
 
@@ -141,8 +145,8 @@
     let rate = this.rates.get(service);
     if (!rate) {
       rate = {
-        meter: new DemandMeter(),
-        hold: new PeakHold(HOLD_MILLISECONDS),
+        meter: new ArrivalRateEstimator(),
+        hold: new SlidingMaximum(PEAK_HOLD_MILLISECONDS),
       };
       this.rates.set(service, rate);
     }
@@ -151,7 +155,8 @@
 
   private meanWorkOf(queue: string): RunningMean {
     let mean = this.meanWork.get(queue);
-    if (!mean) this.meanWork.set(queue, (mean = new RunningMean(MEMORY_JOBS)));
+    if (!mean)
+      this.meanWork.set(queue, (mean = new RunningMean(MEAN_WORK_JOBS)));
     return mean;
   }
 
--- a/packages/coordinator/src/service-load.ts
+++ b/packages/coordinator/src/service-load.ts
@@ -1,9 +1,9 @@
 import type {ExecutableTask, JobExecution} from '@gentiandoor/jobs';
 import {
-  occupiedMillicores,
-  vmsForSpread,
-  type SpreadStep,
-  type VmRoom,
+  dominantResourceMillicores,
+  vmsForSpreadConstraint,
+  type SpreadConstrainedStep,
+  type VmCapacity,
 } from '@gentiandoor/scheduling';
 import {stepName} from './live-run.js';
 
@@ -27,12 +27,12 @@
 };
 
 /** Adds up what one round of placement leaves waiting. */
-export class LoadCount {
+export class WaitingLoadCounter {
   private millicores = 0;
   private tasks = 0;
-  private readonly spreads = new Map<string, SpreadStep>();
+  private readonly spreads = new Map<string, SpreadConstrainedStep>();
 
-  constructor(private readonly room: VmRoom | undefined) {}
+  constructor(private readonly vmCapacity: VmCapacity | undefined) {}
 
   /** Tasks of one step wait; `weight`: what VMs for them are worth, in [0, 1]. */
   note(
@@ -42,7 +42,8 @@
   ): void {
     this.tasks += tasks.length;
     for (const {specification} of tasks)
-      this.millicores += weight * occupiedMillicores(specification, this.room);
+      this.millicores +=
+        weight * dominantResourceMillicores(specification, this.vmCapacity);
     this.noteSpread(execution, tasks);
   }
 
@@ -51,7 +52,7 @@
     return {
       waitingMillicores: this.millicores,
       waitingTasks: this.tasks,
-      spreadVms: vmsForSpread(this.spreads.values()),
+      spreadVms: vmsForSpreadConstraint(this.spreads.values()),
       waitingSince: this.tasks > 0 ? (before.waitingSince ?? now) : undefined,
     };
   }
--- a/packages/coordinator/src/session-host.ts
+++ b/packages/coordinator/src/session-host.ts
@@ -1,28 +1,28 @@
 import type {RunEnd} from '@gentiandoor/jobs';
-import type {WorkerTrust} from '@gentiandoor/scheduling';
+import type {WorkerReliability} from '@gentiandoor/scheduling';
 import type {LiveRun} from './live-run.js';
 import type {EndedRun, OrderRefusal} from './worker-gateway.js';
-import type {PresenceHost} from './worker-presence.js';
+import type {LivenessHost} from './worker-liveness.js';
 import type {WorkerSession} from './worker-session.js';
 
 /** What a session needs of the coordinator. */
-export interface SessionHost extends PresenceHost {
+export interface SessionHost extends LivenessHost {
   readonly term: number;
   /** What is known of how workers fail. */
-  readonly trust: WorkerTrust;
+  readonly trust: WorkerReliability;
   /** How long any worker may take to answer a call that does not wait there: where all are slow, this daemon is. */
-  readonly answerBoundMilliseconds: number;
+  readonly responseTimeoutMilliseconds: number;
   /** How long such calls take on average: more than a few milliseconds are this daemon's own. */
-  readonly lagMilliseconds: number;
+  readonly meanResponseMilliseconds: number;
   /** Such a call was answered after so long. */
-  noteAnswerTime(milliseconds: number): void;
+  noteResponseTime(milliseconds: number): void;
   ordersAllowed(): boolean;
   /** Whether work is ever placed on workers of a service: VMs of a standby pool are off. */
   usesWorkersOf(service: string): boolean;
   /** Whether workers of a service refuse what does not fit them. */
-  guardsRoom(service: string): boolean;
+  enforcesCapacity(service: string): boolean;
   /** Whether the entries of workers were read so lately that their rooms can be relied on. */
-  knowsRooms(): boolean;
+  areCapacitiesFresh(): boolean;
   /** A worker has seen a higher fencing token. */
   fenced(): void;
   runEnded(
@@ -34,7 +34,7 @@
   /** A run has lived for long. */
   runSurvived(run: LiveRun): void;
   /** A run that was given up has ended after all. */
-  lateEnd(ended: EndedRun): void;
+  lateRunEnded(ended: EndedRun): void;
   startRefused(
     session: WorkerSession,
     run: LiveRun,
@@ -49,5 +49,5 @@
   /** The worker can take starts again, or no longer. */
   sessionChanged(session: WorkerSession): void;
   /** The incarnation of the worker is over. */
-  sessionOver(session: WorkerSession): void;
+  sessionEnded(session: WorkerSession): void;
 }
--- a/packages/coordinator/src/session-runs.ts
+++ b/packages/coordinator/src/session-runs.ts
@@ -1,14 +1,14 @@
-import {fits, type PlacementWorker} from '@gentiandoor/scheduling';
+import {fitsOnWorker, type PlacementWorker} from '@gentiandoor/scheduling';
 import {RunStatus, runName, type LiveRun} from './live-run.js';
 import {
   hasLongRunningTask,
   placementView,
-  valuedMillicores,
-} from './session-room.js';
-import type {ListedRun, Room, WorkerEntry} from './worker-gateway.js';
+  weightedMillicores,
+} from './placement-view.js';
+import type {ListedRun, Resources, WorkerEntry} from './worker-gateway.js';
 
 /** A worker that refused a run for want of room counts as full for so long, or until its entry or runs change. */
-export const FULL_MILLISECONDS = 1_000;
+export const CAPACITY_REFUSAL_MILLISECONDS = 1_000;
 
 /** Runs that may be alive on one worker. */
 export class SessionRuns {
@@ -43,22 +43,22 @@
 
   remove(run: LiveRun): void {
     this.byTask.delete(run.task);
-    this.roomChanged();
+    this.invalidateView();
   }
 
   /** The worker's entry has changed. */
   entryChanged(): void {
-    this.roomChanged();
+    this.invalidateView();
   }
 
   /** Millicores taken away from other work, weighed by what the work is still worth. */
-  valuedMillicores(room: Room): number {
-    return valuedMillicores(this.byTask.values(), room);
+  weightedMillicores(room: Resources): number {
+    return weightedMillicores(this.byTask.values(), room);
   }
 
   /** The worker refused a run for want of room: it has less than its entry says. */
-  noteNoRoom(now: number): void {
-    this.fullUntil = now + FULL_MILLISECONDS;
+  noteCapacityRefusal(now: number): void {
+    this.fullUntil = now + CAPACITY_REFUSAL_MILLISECONDS;
     this.view = undefined;
   }
 
@@ -69,23 +69,24 @@
     now: number,
   ): PlacementWorker {
     if (this.fullUntil !== undefined && now >= this.fullUntil)
-      this.roomChanged();
-    if (this.view?.trust !== trust) this.view = this.newView(entry, trust);
+      this.invalidateView();
+    if (this.view?.reliability !== trust)
+      this.view = this.newView(entry, trust);
     return this.view;
   }
 
   /** Whether a run whose order was not sent yet fits beside those that may be on the worker. */
-  hasRoomFor(run: LiveRun, entry: WorkerEntry): boolean {
+  hasCapacityFor(run: LiveRun, entry: WorkerEntry): boolean {
     const others = [...this.byTask.values()].filter(
       other => other !== run && other.status !== RunStatus.Planned,
     );
     const view = placementView(entry, others, 1);
-    return fits(view, run.taskOfJob.specification);
+    return fitsOnWorker(view, run.executableTask.specification);
   }
 
   /** Nothing was seen of the runs for a while: they have not stood still. */
-  restartStallWatch(now: number): void {
-    for (const run of this.byTask.values()) run.progressedAt = now;
+  restartStallDetection(now: number): void {
+    for (const run of this.byTask.values()) run.percentChangedAt = now;
   }
 
   /** Settled runs that a poll asked for at `requestedAt` shows neither alive nor ended: they never ran, or are long over. */
@@ -98,11 +99,13 @@
     return [...this.byTask.values()].filter(run => {
       const name = runName(run);
       if (alive.has(name) || ended.has(name)) return false;
-      return run.status === RunStatus.Recovered || run.settledAt < requestedAt;
+      return (
+        run.status === RunStatus.Recovered || run.orderAnsweredAt < requestedAt
+      );
     });
   }
 
-  private roomChanged(): void {
+  private invalidateView(): void {
     this.fullUntil = undefined;
     this.view = undefined;
   }
--- a/packages/coordinator/src/stand-ins/index.ts
+++ b/packages/coordinator/src/stand-ins/index.ts
@@ -1,4 +1,4 @@
-export * from './begun-runs.js';
+export * from './started-runs.js';
 export * from './memory-store.js';
 export * from './simulated-fleet.js';
 export * from './simulated-link.js';
--- a/packages/coordinator/src/stand-ins/memory-store.ts
+++ b/packages/coordinator/src/stand-ins/memory-store.ts
@@ -5,7 +5,7 @@
   type AppendResult,
   type LoggedRecord,
   type LogStream,
-  type NewestResult,
+  type NewestByKeyResult,
   type ReadResult,
   type RecordLog,
 } from '../index.js';
@@ -86,10 +86,10 @@
     conditions: AppendConditions,
   ): AppendResult {
     const partition = this.partition(stream, conditions.partition);
-    const {atOffset, writer} = conditions;
+    const {expectedEndOffset: atOffset, writer} = conditions;
     if (atOffset !== undefined && atOffset !== partition.records.length)
       return {
-        outcome: AppendOutcome.Moved,
+        outcome: AppendOutcome.EndOffsetMismatch,
         endOffset: partition.records.length,
       };
     if (!writer) return this.add(partition, records);
@@ -97,7 +97,7 @@
   }
 
   /** @internal Milliseconds until the partition has taken an append that reaches it now. */
-  turnMilliseconds(stream: LogStream, index = 0): number {
+  appendDelayMilliseconds(stream: LogStream, index = 0): number {
     const partition = this.partition(stream, index);
     const now = this.clock.monotonicMilliseconds();
     const begins = Math.max(now, partition.busyUntil);
@@ -106,7 +106,7 @@
   }
 
   /** @internal */
-  newest(stream: LogStream, index = 0): NewestResult {
+  newest(stream: LogStream, index = 0): NewestByKeyResult {
     const partition = this.partition(stream, index);
     const newest = new Map<string, LoggedRecord>();
     for (const record of partition.records)
@@ -252,7 +252,7 @@
       this.store.append(stream, records, conditions);
     if (fault === undefined) {
       const {partition} = conditions;
-      await sleep(clock, this.store.turnMilliseconds(stream, partition));
+      await sleep(clock, this.store.appendDelayMilliseconds(stream, partition));
       return this.store.append(stream, records, conditions);
     }
     await sleep(clock, SILENCE_MILLISECONDS);
@@ -277,13 +277,16 @@
     return this.carried(this.store.read(stream, offset, partition));
   }
 
-  async newest(stream: LogStream, partition = 0): Promise<NewestResult> {
+  async newestByKey(
+    stream: LogStream,
+    partition = 0,
+  ): Promise<NewestByKeyResult> {
     this.store.calls.newest++;
     const failure = await this.reach(stream);
     return failure ?? this.carried(this.store.newest(stream, partition));
   }
 
-  private async carried<Result extends ReadResult | NewestResult>(
+  private async carried<Result extends ReadResult | NewestByKeyResult>(
     result: Result,
   ): Promise<Result> {
     const records = 'records' in result ? result.records : [];
--- a/packages/coordinator/src/stand-ins/simulated-fleet.ts
+++ b/packages/coordinator/src/stand-ins/simulated-fleet.ts
@@ -2,7 +2,7 @@
   VmOrderOutcome,
   VmState,
   type ListedVm,
-  type MachineGateway,
+  type VmGateway,
   type OrderHolder,
 } from '../index.js';
 import {sleep, type Clock} from '@gentiandoor/kernel';
@@ -19,7 +19,7 @@
 const ANSWER_MILLISECONDS = 3;
 
 /** VMs of a test, with the orders that were carried out. */
-export class SimulatedFleet implements MachineGateway {
+export class SimulatedFleet implements VmGateway {
   readonly vms = new Map<string, ListedVm>();
   readonly orders: FleetOrder[] = [];
   /** Called when a VM leaves its worker; returns what the new incarnation is called. */
--- a/packages/coordinator/src/stand-ins/simulated-worker.ts
+++ b/packages/coordinator/src/stand-ins/simulated-worker.ts
@@ -7,7 +7,7 @@
   type PollRequest,
   type PollResult,
   type OrderResult,
-  type Room,
+  type Resources,
   type RunName,
   type StartRequest,
   type WorkerEntry,
@@ -20,7 +20,7 @@
   /** Undefined for a long-running task. */
   readonly durationMilliseconds: number | undefined;
   readonly end: RunEnd;
-  readonly room: Room;
+  readonly resources: Resources;
   /** It stops making progress here and never ends by itself. */
   readonly stallsAtPercent?: number;
   /** It crashes its worker so long after its start. */
@@ -31,9 +31,9 @@
 export type BehaviourOf = (task: string, worker: string) => TaskBehaviour;
 
 /** A run that was begun, for what a test checks afterwards. */
-export interface BegunRun extends RunName {
+export interface StartedRun extends RunName {
   readonly worker: string;
-  readonly begunAt: number;
+  readonly startedAt: number;
   endedAt: number | undefined;
   end: RunEnd | undefined;
   /** When its end was acknowledged. */
@@ -44,8 +44,8 @@
 const STOP_MILLISECONDS = 200;
 
 interface AliveRun extends RunName {
-  readonly record: BegunRun;
-  readonly room: Room;
+  readonly record: StartedRun;
+  readonly resources: Resources;
   readonly behaviour: TaskBehaviour;
   stopping: boolean;
   timer: Timer | undefined;
@@ -53,14 +53,14 @@
 
 /** One incarnation of a worker: runs tasks under a lease and guards its room. */
 export class SimulatedWorker {
-  readonly begun: BegunRun[] = [];
+  readonly startedRuns: StartedRun[] = [];
   state = WorkerState.Ready;
   /** Runs that it was told to stop. */
   stopsAsked = 0;
   /** Whether it refuses what does not fit. */
-  guardsRoom = true;
+  enforcesCapacity = true;
   /** When starts brought it over its room. */
-  readonly startsOverRoom: number[] = [];
+  readonly startsOverCapacity: number[] = [];
   /** Called when a task crashes the worker. */
   onTaskCrash: () => void = () => this.crash();
   /** How long a stop takes. */
@@ -80,7 +80,7 @@
   constructor(
     readonly id: string,
     readonly service: string,
-    public room: Room,
+    public capacity: Resources,
     private readonly clock: Clock,
     private readonly behaviourOf: BehaviourOf,
     /** The worker's clock shows this much more than ours. */
@@ -108,7 +108,7 @@
       address: this.id,
       dataCentre: 'one',
       state: this.state,
-      room: this.room,
+      capacity: this.capacity,
       labels,
     };
   }
@@ -128,7 +128,7 @@
 
   async poll(request: PollRequest): Promise<PollResult> {
     if (!this.takeToken(request.fencingToken)) return refused('fence');
-    this.acknowledge(request.endsStored);
+    this.acknowledge(request.acknowledgedEnd);
     if (request.leaseEndMilliseconds !== undefined)
       this.extendLease(request.leaseEndMilliseconds);
     if (request.waitMilliseconds > 0 && this.ended.length === 0)
@@ -156,9 +156,9 @@
     }
     if (request.run <= before || here) return refused('old');
     const behaviour = this.behaviourOf(request.task, this.id);
-    if (!this.hasRoom(behaviour.room)) {
-      if (this.guardsRoom) return refused('room');
-      this.startsOverRoom.push(this.clock.monotonicMilliseconds());
+    if (!this.hasCapacityFor(behaviour.resources)) {
+      if (this.enforcesCapacity) return refused('room');
+      this.startsOverCapacity.push(this.clock.monotonicMilliseconds());
     }
     this.extendLease(request.leaseEndMilliseconds);
     this.begin(request, behaviour);
@@ -168,7 +168,7 @@
   stop(run: RunName, fencingToken: number): OrderResult {
     if (!this.takeToken(fencingToken)) return refused('fence');
     const alive = this.alive.get(run.task);
-    this.bar(run);
+    this.noteLatestRun(run);
     if (alive && alive.run === run.run && !alive.stopping) {
       alive.stopping = true;
       this.stopsAsked++;
@@ -185,22 +185,22 @@
   }
 
   private begin(request: StartRequest, behaviour: TaskBehaviour): void {
-    const record: BegunRun = {
+    const record: StartedRun = {
       task: request.task,
       run: request.run,
       worker: this.id,
-      begunAt: this.clock.monotonicMilliseconds(),
+      startedAt: this.clock.monotonicMilliseconds(),
       endedAt: undefined,
       end: undefined,
       acknowledgedAt: undefined,
     };
-    this.begun.push(record);
-    this.bar(request);
+    this.startedRuns.push(record);
+    this.noteLatestRun(request);
     const run: AliveRun = {
       task: request.task,
       run: request.run,
       record,
-      room: behaviour.room,
+      resources: behaviour.resources,
       behaviour,
       stopping: false,
       timer: undefined,
@@ -235,16 +235,16 @@
     for (const wake of [...this.waiting]) wake();
   }
 
-  private bar(run: RunName): void {
+  private noteLatestRun(run: RunName): void {
     const before = this.lastRun.get(run.task) ?? 0;
     this.lastRun.set(run.task, Math.max(before, run.run));
   }
 
-  private hasRoom(room: Room): boolean {
+  private hasCapacityFor(room: Resources): boolean {
     let millicores = room.processorMillicores;
     for (const run of this.alive.values())
-      millicores += run.room.processorMillicores;
-    return millicores <= this.room.processorMillicores;
+      millicores += run.resources.processorMillicores;
+    return millicores <= this.capacity.processorMillicores;
   }
 
   private extendLease(leaseEnd: number): void {
@@ -261,7 +261,7 @@
     const now = this.clock.monotonicMilliseconds();
     for (const end of this.ended) {
       if (end.number > endsStored) continue;
-      const record = this.begun.find(
+      const record = this.startedRuns.find(
         run => run.task === end.task && run.run === end.run,
       );
       if (record) record.acknowledgedAt ??= now;
@@ -293,7 +293,7 @@
   private percentOf({behaviour, record}: AliveRun): number {
     const {durationMilliseconds, stallsAtPercent = 100} = behaviour;
     if (durationMilliseconds === undefined) return 100;
-    const age = this.clock.monotonicMilliseconds() - record.begunAt;
+    const age = this.clock.monotonicMilliseconds() - record.startedAt;
     const percent = Math.floor((100 * age) / durationMilliseconds);
     return Math.min(percent, stallsAtPercent);
   }
@@ -324,9 +324,9 @@
 
 const REFUSALS = {
   fence: OrderRefusal.Fenced,
-  late: OrderRefusal.Late,
-  old: OrderRefusal.OldRun,
-  room: OrderRefusal.NoRoom,
+  late: OrderRefusal.LeaseExpired,
+  old: OrderRefusal.StaleRun,
+  room: OrderRefusal.InsufficientCapacity,
 };
 
 function refused(reason: keyof typeof REFUSALS): {
--- a/packages/coordinator/src/stand-ins/simulated-workers.ts
+++ b/packages/coordinator/src/stand-ins/simulated-workers.ts
@@ -71,7 +71,7 @@
 
   async poll(worker: WorkerAddress, request: PollRequest): Promise<PollResult> {
     this.polls.set(worker.id, (this.polls.get(worker.id) ?? 0) + 1);
-    const bound = request.boundMilliseconds ?? SILENCE_MILLISECONDS;
+    const bound = request.timeoutMilliseconds ?? SILENCE_MILLISECONDS;
     const target = await this.reach(worker, POLL_BYTES, bound);
     const result = await target?.poll(request);
     // A worker that crashed while the poll waited there answers nothing.
@@ -109,7 +109,7 @@
     return target ? target.stop(run, fencingToken) : silent();
   }
 
-  async pace(
+  async throttle(
     worker: WorkerAddress,
     run: RunName,
     percent: number,
--- a/packages/coordinator/src/stand-ins/begun-runs.ts
+++ b/packages/coordinator/src/stand-ins/started-runs.ts
@@ -1,13 +1,15 @@
 import {RunEnd} from '@gentiandoor/jobs';
-import type {BegunRun} from './simulated-worker.js';
+import type {StartedRun} from './simulated-worker.js';
 
 /** Pairs of runs of one task, the earlier first. */
 export function pairsOfRuns(
-  runs: readonly BegunRun[],
-): Array<[BegunRun, BegunRun]> {
-  const sorted = [...runs].sort((one, other) => one.begunAt - other.begunAt);
-  const earlier = new Map<string, BegunRun[]>();
-  const pairs: Array<[BegunRun, BegunRun]> = [];
+  runs: readonly StartedRun[],
+): Array<[StartedRun, StartedRun]> {
+  const sorted = [...runs].sort(
+    (one, other) => one.startedAt - other.startedAt,
+  );
+  const earlier = new Map<string, StartedRun[]>();
+  const pairs: Array<[StartedRun, StartedRun]> = [];
   for (const run of sorted) {
     const same = earlier.get(run.task) ?? [];
     for (const one of same) pairs.push([one, run]);
@@ -17,9 +19,9 @@
 }
 
 /** Runs of one task that were alive at the same time, in words. */
-export function overlappingRuns(runs: readonly BegunRun[]): string[] {
+export function overlappingRuns(runs: readonly StartedRun[]): string[] {
   return pairsOfRuns(runs)
-    .filter(([one, other]) => other.begunAt < (one.endedAt ?? Infinity))
+    .filter(([one, other]) => other.startedAt < (one.endedAt ?? Infinity))
     .map(
       ([one, other]) =>
         `${one.task}: runs ${one.run} and ${other.run} at the same time`,
@@ -27,21 +29,25 @@
 }
 
 /** Most runs that were alive right after one of them began, of those that began at `from` or later. */
-export function mostAtOnce(runs: readonly BegunRun[], from = 0): number {
+export function maximumConcurrentRuns(
+  runs: readonly StartedRun[],
+  from = 0,
+): number {
   const counts = runs
-    .filter(run => run.begunAt >= from)
-    .map(({begunAt}) => aliveAt(runs, begunAt));
+    .filter(run => run.startedAt >= from)
+    .map(({startedAt: begunAt}) => aliveAt(runs, begunAt));
   return Math.max(0, ...counts);
 }
 
-function aliveAt(runs: readonly BegunRun[], at: number): number {
-  return runs.filter(run => run.begunAt <= at && at < (run.endedAt ?? Infinity))
-    .length;
+function aliveAt(runs: readonly StartedRun[], at: number): number {
+  return runs.filter(
+    run => run.startedAt <= at && at < (run.endedAt ?? Infinity),
+  ).length;
 }
 
 /** How often a task was started after `crashes` of its runs had ended with a crash of their worker. */
 export function startsAfterCrashes(
-  runs: readonly BegunRun[],
+  runs: readonly StartedRun[],
   task: string,
   crashes: number,
 ): number {
@@ -51,5 +57,5 @@
     .map(run => run.endedAt ?? Infinity)
     .sort((left, right) => left - right);
   const bound = crashedAt[crashes - 1] ?? Infinity;
-  return own.filter(run => run.begunAt >= bound).length;
+  return own.filter(run => run.startedAt >= bound).length;
 }
--- a/packages/coordinator/src/stream-follower.ts
+++ b/packages/coordinator/src/stream-follower.ts
@@ -120,7 +120,10 @@
 
   private async load(): Promise<boolean> {
     const started = this.clock.monotonicMilliseconds();
-    const result = await this.log.newest(this.stream, this.options.partition);
+    const result = await this.log.newestByKey(
+      this.stream,
+      this.options.partition,
+    );
     if (result.outcome !== ReadOutcome.Read) return false;
     for (const record of result.records) this.applyOne(record);
     this.sink.loaded?.(new Set(result.records.map(record => record.key)));
--- a/packages/coordinator/src/submission-log.ts
+++ b/packages/coordinator/src/submission-log.ts
@@ -2,7 +2,10 @@
 import type {KeyedRecord} from '@gentiandoor/jobs';
 import type {Clock} from '@gentiandoor/kernel';
 import {AppendHealth} from './append-health.js';
-import {GroupedAppender, type KeepOutcome} from './grouped-appender.js';
+import {
+  BatchingAppender,
+  type BatchedAppendOutcome,
+} from './batching-appender.js';
 import {LogStream, type RecordLog} from './record-log.js';
 
 /**
@@ -21,7 +24,7 @@
 /** Appends submissions and cancellations of jobs, those of one job always to the same partition. */
 export class SubmissionLog {
   readonly health: AppendHealth;
-  private readonly appenders: readonly GroupedAppender[];
+  private readonly appenders: readonly BatchingAppender[];
 
   constructor(log: RecordLog, clock: Clock) {
     const health = new AppendHealth(clock);
@@ -29,7 +32,7 @@
     this.appenders = Array.from(
       {length: SUBMISSION_PARTITIONS},
       (_, partition) =>
-        new GroupedAppender(
+        new BatchingAppender(
           log,
           {stream: LogStream.Submissions, partition},
           clock,
@@ -39,13 +42,13 @@
   }
 
   /** Appends a record about `jobId`; the bounds are those of `GroupedAppender.keep`. */
-  keep(
+  append(
     jobId: string,
     record: KeyedRecord,
     patienceMilliseconds: number,
     boundMilliseconds: number,
-  ): Promise<KeepOutcome> {
+  ): Promise<BatchedAppendOutcome> {
     const appender = this.appenders[submissionPartition(jobId)];
-    return appender.keep(record, patienceMilliseconds, boundMilliseconds);
+    return appender.append(record, patienceMilliseconds, boundMilliseconds);
   }
 }
--- a/packages/coordinator/src/task-failures.ts
+++ b/packages/coordinator/src/task-failures.ts
@@ -2,14 +2,14 @@
 import {mustIsolate, type Avoidance} from '@gentiandoor/scheduling';
 
 /** A task that has failed avoids the workers concerned for this long. */
-export const BAR_MILLISECONDS = 1_000;
+export const AVOIDANCE_MILLISECONDS = 1_000;
 /** After this many stalls the task itself is assumed to be slow. */
-const MOST_STALLS = 2;
+const MAXIMUM_STALLS = 2;
 
 /** Workers on which runs of a task have failed, and when the last one did. */
 interface Failures {
   readonly workers: ReadonlySet<string>;
-  readonly newestAt: number;
+  readonly lastFailedAt: number;
 }
 
 /** Remembers where tasks have failed or crashed their workers, so that the next try goes elsewhere, or apart. */
@@ -21,10 +21,10 @@
   constructor(private readonly clock: Clock) {}
 
   note(task: string, worker: string): void {
-    const before = this.byTask.get(task)?.workers ?? NOWHERE;
+    const before = this.byTask.get(task)?.workers ?? NO_WORKERS;
     this.byTask.set(task, {
       workers: new Set([...before, worker]),
-      newestAt: this.clock.monotonicMilliseconds(),
+      lastFailedAt: this.clock.monotonicMilliseconds(),
     });
   }
 
@@ -48,18 +48,18 @@
   }
 
   /** A task that has stood still or failed on several workers is left to go on: it may be far longer than its estimate. */
-  isWatched(task: string): boolean {
-    return (this.byTask.get(task)?.workers.size ?? 0) < MOST_STALLS;
+  stopsOnStall(task: string): boolean {
+    return (this.byTask.get(task)?.workers.size ?? 0) < MAXIMUM_STALLS;
   }
 
   /** Where a task goes last, or not at all for a while. */
   avoidanceOf(task: string, now: number): Avoidance {
     const failures = this.byTask.get(task);
     if (!failures) return NO_AVOIDANCE;
-    const {workers, newestAt} = failures;
-    return {workers, isBarred: now - newestAt < BAR_MILLISECONDS};
+    const {workers, lastFailedAt: newestAt} = failures;
+    return {workers, isMandatory: now - newestAt < AVOIDANCE_MILLISECONDS};
   }
 }
 
-const NOWHERE: ReadonlySet<string> = new Set();
-const NO_AVOIDANCE: Avoidance = {workers: NOWHERE, isBarred: false};
+const NO_WORKERS: ReadonlySet<string> = new Set();
+const NO_AVOIDANCE: Avoidance = {workers: NO_WORKERS, isMandatory: false};
--- a/packages/coordinator/src/stray-runs.ts
+++ b/packages/coordinator/src/unexpected-runs.ts
@@ -10,7 +10,7 @@
 export type StopOrder = (run: ListedRun) => Promise<OrderResult>;
 
 /** Runs on one worker that nobody expects there: earlier orders, which must not go on. */
-export class StrayRuns {
+export class UnexpectedRuns {
   private readonly stopping = new Set<string>();
   private listed = 0;
 
--- a/packages/coordinator/src/machine-gateway.ts
+++ b/packages/coordinator/src/vm-gateway.ts
@@ -1,4 +1,4 @@
-import type {Room} from './worker-gateway.js';
+import type {Resources} from './worker-gateway.js';
 
 /** State of a VM. */
 export enum VmState {
@@ -16,7 +16,7 @@
   readonly state: VmState;
   readonly dataCentre: string;
   readonly labels: readonly string[];
-  readonly room: Room;
+  readonly capacity: Resources;
   /** The incarnation of the worker that runs on it; empty while none does. */
   readonly workerId: string;
 }
@@ -44,7 +44,7 @@
 }
 
 /** The platform's list of VMs and the orders about them. Each call ends within a bounded time. */
-export interface MachineGateway {
+export interface VmGateway {
   /** All VMs; undefined when the list could not be read whole. */
   list(): Promise<readonly ListedVm[] | undefined>;
   move(vm: string, pool: string, holder: OrderHolder): Promise<VmOrderOutcome>;
--- a/packages/coordinator/src/vm-orders.ts
+++ b/packages/coordinator/src/vm-orders.ts
@@ -9,11 +9,7 @@
 import type {KeyedRecord} from '@gentiandoor/jobs';
 import type {EntrySettings} from './entry-settings.js';
 import {IncarnationEnd} from './incarnation-end.js';
-import {
-  VmOrderOutcome,
-  type ListedVm,
-  type MachineGateway,
-} from './machine-gateway.js';
+import {VmOrderOutcome, type ListedVm, type VmGateway} from './vm-gateway.js';
 import {
   AppendOutcome,
   LogStream,
@@ -26,7 +22,7 @@
 export interface VmOrderParts {
   readonly settings: EntrySettings;
   readonly log: RecordLog;
-  readonly machines: MachineGateway;
+  readonly vmGateway: VmGateway;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
@@ -45,13 +41,13 @@
   readonly order: VmOrder;
   readonly session: WorkerSession | undefined;
   /** Called once its fate is known. */
-  readonly settled: (outcome: VmOrderOutcome) => void;
+  readonly onOutcome: (outcome: VmOrderOutcome) => void;
 }
 
 /** Retry interval of an unanswered order; orders are idempotent. */
-const REPEAT_MILLISECONDS = 500;
+const RESEND_INTERVAL_MILLISECONDS = 500;
 /** A list requested this long after an order's answer reflects the order. */
-const SETTLE_MILLISECONDS = 300;
+const LIST_LAG_MILLISECONDS = 300;
 const RETRY_MILLISECONDS = 100;
 
 /** Begins the key of the record of a VM's last order. */
@@ -80,8 +76,8 @@
   private readonly open = new Map<string, VmOrder>();
   /** When the fate of an open order was known. */
   private readonly settledAt = new Map<string, number>();
-  private readonly barred = new Set<string>();
-  private readonly waitingUntil = new Map<string, number>();
+  private readonly fencedVms = new Set<string>();
+  private readonly blockedUntil = new Map<string, number>();
   private closed = false;
 
   constructor(
@@ -97,9 +93,9 @@
   /** Learns which VMs the holder before has ordered about. */
   async load(): Promise<void> {
     while (!this.closed) {
-      const result = await this.parts.log.newest(LogStream.Fleet);
+      const result = await this.parts.log.newestByKey(LogStream.Fleet);
       if (result.outcome === ReadOutcome.Read) {
-        this.noteBefore(
+        this.blockPredecessorOrders(
           result.records.filter(record => isVmOrderKey(record.key)),
         );
         return;
@@ -110,8 +106,8 @@
 
   /** Whether an order about the VM may be given now. */
   isFree(vm: string): boolean {
-    if (this.open.has(vm) || this.barred.has(vm)) return false;
-    const until = this.waitingUntil.get(vm);
+    if (this.open.has(vm) || this.fencedVms.has(vm)) return false;
+    const until = this.blockedUntil.get(vm);
     return (
       until === undefined || this.parts.clock.monotonicMilliseconds() >= until
     );
@@ -133,25 +129,25 @@
    */
   noteListed(listedFrom: number): void {
     for (const [vm, settledAt] of this.settledAt) {
-      if (listedFrom < settledAt + SETTLE_MILLISECONDS) continue;
+      if (listedFrom < settledAt + LIST_LAG_MILLISECONDS) continue;
       this.settledAt.delete(vm);
       this.open.delete(vm);
     }
   }
 
   /** Stores the orders, then gives them. */
-  async give(requests: readonly VmOrderRequest[]): Promise<void> {
+  async issue(requests: readonly VmOrderRequest[]): Promise<void> {
     if (requests.length === 0) return;
     for (const {vm, order, session} of requests) {
       this.open.set(vm.name, order);
-      session?.reserve(order.kind);
+      session?.cordon(order.kind);
     }
     if (!(await this.store(requests))) return;
-    for (const request of requests) void this.giveOne(request);
+    for (const request of requests) void this.issueOne(request);
   }
 
   /** One record for each VM: one of all late orders grows with the fleet and goes out with each order. */
-  private noteBefore(records: readonly KeyedRecord[]): void {
+  private blockPredecessorOrders(records: readonly KeyedRecord[]): void {
     const {clock, settings} = this.parts;
     const now = clock.monotonicMilliseconds();
     const orders = records.flatMap(record => {
@@ -166,7 +162,7 @@
       // A term's newest order may have been given just now, an older one was given that much before.
       const before = (newest.get(term) ?? at) - at;
       const left = settings.limits.holderChange - before;
-      if (left > 0) this.waitingUntil.set(vm, now + left);
+      if (left > 0) this.blockedUntil.set(vm, now + left);
     }
   }
 
@@ -208,13 +204,13 @@
     return false;
   }
 
-  private async giveOne(request: VmOrderRequest): Promise<void> {
+  private async issueOne(request: VmOrderRequest): Promise<void> {
     const {vm, order} = request;
     let outcome = VmOrderOutcome.Unknown;
     while (!this.closed && outcome === VmOrderOutcome.Unknown) {
       if (this.ordersAllowed()) outcome = await this.send(vm.name, order);
       if (outcome === VmOrderOutcome.Unknown)
-        await sleep(this.parts.clock, REPEAT_MILLISECONDS);
+        await sleep(this.parts.clock, RESEND_INTERVAL_MILLISECONDS);
     }
     if (this.closed) return;
     this.settle(request, outcome);
@@ -222,7 +218,7 @@
   }
 
   private send(vm: string, order: VmOrder): Promise<VmOrderOutcome> {
-    const {machines, settings} = this.parts;
+    const {vmGateway: machines, settings} = this.parts;
     const holder = {name: settings.node, fencingToken: this.term};
     return order.kind === 'move'
       ? machines.move(vm, order.to, holder)
@@ -242,16 +238,18 @@
       order: order.kind,
       outcome,
     });
-    if (outcome === VmOrderOutcome.Fenced) this.barred.add(vm.name);
+    if (outcome === VmOrderOutcome.Fenced) this.fencedVms.add(vm.name);
     if (outcome === VmOrderOutcome.Done)
-      session?.endIncarnation(END_BY_ORDER[order.kind]);
-    else session?.reserve(undefined);
-    request.settled(outcome);
+      session?.endIncarnation(INCARNATION_END_BY_ORDER[order.kind]);
+    else session?.cordon(undefined);
+    request.onOutcome(outcome);
   }
 }
 
 /** How an order that was carried out ends the VM's worker. */
-const END_BY_ORDER: Readonly<Record<VmOrder['kind'], IncarnationEnd>> = {
+const INCARNATION_END_BY_ORDER: Readonly<
+  Record<VmOrder['kind'], IncarnationEnd>
+> = {
   move: IncarnationEnd.Moved,
   maintain: IncarnationEnd.Maintained,
 };
--- a/packages/coordinator/src/waiting-jobs.ts
+++ b/packages/coordinator/src/waiting-jobs.ts
@@ -1,13 +1,13 @@
 import type {Clock} from '@gentiandoor/kernel';
 import type {
   ExecutableTask,
-  ExpectedTime,
+  StepEstimate,
   JobExecution,
 } from '@gentiandoor/jobs';
 import {
-  Chance,
-  RescueBudget,
-  chanceOf,
+  DeadlineFeasibility,
+  PriorityBoostBudget,
+  feasibilityOf,
   rankOf,
   type WaitingWork,
 } from '@gentiandoor/scheduling';
@@ -17,15 +17,15 @@
 /** A job is of no use to its caller after this multiple of its objective. */
 const LATE_FACTOR = 3;
 /** Worth of VMs that go on with a job: a late answer is worth little to its caller, one that nobody waits for nothing. */
-const WEIGHTS: Readonly<Record<Chance, number>> = {
-  [Chance.InTime]: 1,
-  [Chance.LastCall]: 0.3,
-  [Chance.Late]: 0.3,
-  [Chance.Lost]: 0,
+const WEIGHTS: Readonly<Record<DeadlineFeasibility, number>> = {
+  [DeadlineFeasibility.InTime]: 1,
+  [DeadlineFeasibility.AboutToExpire]: 0.3,
+  [DeadlineFeasibility.Late]: 0.3,
+  [DeadlineFeasibility.Infeasible]: 0,
 };
 
 /** A job that waits for room. */
-export interface Candidate extends WaitingWork {
+export interface PlacementCandidate extends WaitingWork {
   readonly execution: JobExecution;
   /** Undefined for a job of a public queue. */
   readonly organisation: string | undefined;
@@ -36,7 +36,7 @@
 
 /** Jobs of a service that have ready tasks. */
 export interface ReadyJobs {
-  readonly candidates: readonly Candidate[];
+  readonly candidates: readonly PlacementCandidate[];
   /** Wall-clock time at which the next of the others is due; infinite for none. */
   readonly nextDue: number;
 }
@@ -45,7 +45,7 @@
 export class WaitingJobs {
   private readonly active = new Map<string, Set<JobExecution>>();
   private readonly firstSeen = new Map<JobExecution, number>();
-  private readonly rescues = new RescueBudget();
+  private readonly rescues = new PriorityBoostBudget();
 
   constructor(
     private readonly queueOf: (execution: JobExecution) => Queue | undefined,
@@ -57,14 +57,14 @@
   add(execution: JobExecution, ageMilliseconds: number): string {
     const now = this.clock.monotonicMilliseconds();
     this.firstSeen.set(execution, now - ageMilliseconds);
-    return this.enrol(execution);
+    return this.addToService(execution);
   }
 
   /** Takes a job out that has come to its end. */
   remove(execution: JobExecution): void {
     for (const jobs of this.active.values()) jobs.delete(execution);
     this.firstSeen.delete(execution);
-    this.rescues.noteServed();
+    this.rescues.recordServed();
     this.rescues.forget(execution.job.id);
   }
 
@@ -72,7 +72,7 @@
   regroup(): Iterable<string> {
     const all = [...this.active.values()].flatMap(jobs => [...jobs]);
     this.active.clear();
-    for (const execution of all) this.enrol(execution);
+    for (const execution of all) this.addToService(execution);
     return this.active.keys();
   }
 
@@ -89,13 +89,13 @@
   /** Time from its submission within which a job's caller expects it to be done, as far as its run times are known. */
   objectiveOf(execution: JobExecution): number {
     const queue = this.queueOf(execution);
-    const chain = execution.wholeChain(this.stepTimes(execution));
+    const chain = execution.criticalPathMilliseconds(this.stepTimes(execution));
     return (queue?.stretch ?? 1) * chain + (queue?.latencyMilliseconds ?? 0);
   }
 
   /** Jobs with tasks that may start now. */
   readyFor(service: string, now: number): ReadyJobs {
-    const candidates: Candidate[] = [];
+    const candidates: PlacementCandidate[] = [];
     const wall = this.clock.wallMilliseconds();
     let nextDue = Infinity;
     for (const execution of this.active.get(service) ?? []) {
@@ -103,12 +103,15 @@
       if (ready.length > 0)
         candidates.push(this.candidate(execution, ready, now, wall));
       else
-        nextDue = Math.min(nextDue, execution.nextDueAfter(wall) ?? Infinity);
+        nextDue = Math.min(
+          nextDue,
+          execution.nextScheduledStartAfter(wall) ?? Infinity,
+        );
     }
     return {candidates, nextDue};
   }
 
-  private enrol(execution: JobExecution): string {
+  private addToService(execution: JobExecution): string {
     const service = this.serviceOf(execution);
     const jobs = this.active.get(service) ?? new Set();
     this.active.set(service, jobs.add(execution));
@@ -120,14 +123,14 @@
     ready: readonly ExecutableTask[],
     now: number,
     wall: number,
-  ): Candidate {
+  ): PlacementCandidate {
     const {occurrence} = ready[0];
-    const dueWall = execution.dueAt(occurrence);
+    const dueWall = execution.scheduledStartAt(occurrence);
     const since =
       dueWall > 0
         ? now - (wall - dueWall)
         : (this.firstSeen.get(execution) ?? now);
-    const remainingChain = execution.remainingChain(
+    const remainingChain = execution.remainingCriticalPathMilliseconds(
       occurrence,
       this.stepTimes(execution),
     );
@@ -135,22 +138,24 @@
     const waiting = {
       priority: this.queueOf(execution)?.priority ?? 0,
       dueAt: since + objective,
-      lateUntil: since + LATE_FACTOR * objective,
-      remainingChain,
+      expiresAt: since + LATE_FACTOR * objective,
+      remainingCriticalPathMilliseconds: remainingChain,
     };
-    const chance = chanceOf(waiting, now);
+    const chance = feasibilityOf(waiting, now);
     const {longRunning} = ready[0].specification;
     // A job that lasts is always older than its objective: its tasks are few, run for long, and are missed at once.
     const goesFirst =
       longRunning ||
-      (chance === Chance.LastCall && this.rescues.allows(execution.job.id));
+      (chance === DeadlineFeasibility.AboutToExpire &&
+        this.rescues.allows(execution.job.id));
     return {
       execution,
       organisation: execution.job.organisation,
       ready,
       ...waiting,
-      remainingWork: execution.remainingWork(occurrence, step =>
-        this.demand.taskWork(execution.job.queue, step),
+      remainingMillicoreMilliseconds: execution.remainingWork(
+        occurrence,
+        step => this.demand.taskWork(execution.job.queue, step),
       ),
       rank: rankOf(chance, goesFirst),
       weight: longRunning ? 1 : WEIGHTS[chance],
@@ -158,7 +163,7 @@
   }
 
   /** Run time to expect of each step of a job. */
-  private stepTimes(execution: JobExecution): ExpectedTime {
+  private stepTimes(execution: JobExecution): StepEstimate {
     const {queue} = execution.job;
     return step => this.demand.stepTime(queue, step);
   }
--- a/packages/coordinator/src/wave-progress.ts
+++ b/packages/coordinator/src/wave-progress.ts
@@ -10,7 +10,7 @@
 } from './record-log.js';
 
 /** What the progress of waves is built from. */
-export interface WaveParts {
+export interface WaveProgressParts {
   readonly log: RecordLog;
   readonly formats: RecordFormats;
   readonly clock: Clock;
@@ -35,7 +35,7 @@
   private readonly writing = new Set<number>();
   private loaded = false;
 
-  constructor(private readonly parts: WaveParts) {}
+  constructor(private readonly parts: WaveProgressParts) {}
 
   get isLoaded(): boolean {
     return this.loaded;
@@ -44,7 +44,7 @@
   /** Reads what was kept, once. */
   async load(): Promise<void> {
     if (this.loaded) return;
-    const result = await this.parts.log.newest(LogStream.Fleet);
+    const result = await this.parts.log.newestByKey(LogStream.Fleet);
     if (result.outcome !== ReadOutcome.Read) return;
     for (const record of result.records)
       if (WAVE_KEY.test(record.key)) this.restore(record);
@@ -77,7 +77,7 @@
 
   noteDone(wave: MaintenanceWave, vm: string): void {
     this.doneOf(wave).add(vm);
-    void this.keep(wave.number);
+    void this.save(wave.number);
   }
 
   private doneOf(wave: MaintenanceWave): Set<string> {
@@ -86,7 +86,7 @@
       done = new Set();
       this.done.set(wave.number, done);
       this.seenAt.set(wave.number, this.parts.clock.wallMilliseconds());
-      void this.keep(wave.number);
+      void this.save(wave.number);
     }
     return done;
   }
@@ -109,7 +109,7 @@
   }
 
   /** Keeps the newest progress; what is noted while one write is under way goes with the next. */
-  private async keep(number: number): Promise<void> {
+  private async save(number: number): Promise<void> {
     if (this.writing.has(number)) return;
     this.writing.add(number);
     let kept = -1;
--- a/packages/coordinator/src/worker-gateway.ts
+++ b/packages/coordinator/src/worker-gateway.ts
@@ -7,7 +7,7 @@
 }
 
 /** Room of a worker, or what a task takes of it. */
-export interface Room {
+export interface Resources {
   readonly processorMillicores: number;
   readonly memoryMegabytes: number;
   readonly accelerators: number;
@@ -21,7 +21,7 @@
   readonly address: string;
   readonly dataCentre: string;
   readonly state: WorkerState;
-  readonly room: Room;
+  readonly capacity: Resources;
   readonly labels: readonly string[];
 }
 
@@ -53,10 +53,10 @@
   /** It has seen a higher fencing token. */
   Fenced = 'fenced',
   /** It has seen this run or a later one of the task. */
-  OldRun = 'old_run',
+  StaleRun = 'old_run',
   /** The lease had already run out. */
-  Late = 'late',
-  NoRoom = 'no_room',
+  LeaseExpired = 'late',
+  InsufficientCapacity = 'no_room',
   /** The ticket of the advice is missing or too old. */
   NoTicket = 'no_ticket',
   /** It says that it is not well; it has done nothing. */
@@ -102,13 +102,13 @@
 export interface PollRequest {
   readonly fencingToken: number;
   /** Ends up to this number are stored and may be forgotten. */
-  readonly endsStored: number;
+  readonly acknowledgedEnd: number;
   /** End of the lease on the worker's clock; undefined leaves it. */
   readonly leaseEndMilliseconds?: number;
   /** The answer waits so long for an end. */
   readonly waitMilliseconds: number;
   /** Bound of the answer beyond that; the gateway's own where undefined. */
-  readonly boundMilliseconds?: number;
+  readonly timeoutMilliseconds?: number;
 }
 
 /** An order to start a run. */
@@ -131,7 +131,7 @@
     fencingToken: number,
   ): Promise<OrderResult>;
   /** Lets a run work at `percent` of its speed. */
-  pace(
+  throttle(
     worker: WorkerAddress,
     run: RunName,
     percent: number,
--- a/packages/coordinator/src/worker-presence.ts
+++ b/packages/coordinator/src/worker-liveness.ts
@@ -1,28 +1,28 @@
 import {LogEvent, type Clock, type Logger} from '@gentiandoor/kernel';
-import {LeaseClock, longestLease} from '@gentiandoor/scheduling';
+import {LeaseClock, worstCaseLeaseMilliseconds} from '@gentiandoor/scheduling';
 
 /** What is told of a worker's presence. */
-export interface PresenceHost {
+export interface LivenessHost {
   /** Lease that polls and starts give, in milliseconds. */
   readonly leaseMilliseconds: number;
   /** When this coordinator's term began. */
-  readonly beganAt: number;
+  readonly termStartedAt: number;
 }
 
 /** Workers that have answered this recently are not probed. */
-const ANSWERED_LATELY_MILLISECONDS = 100;
+const RECENT_ANSWER_MILLISECONDS = 100;
 /** Allowance for local processing delays. */
 const LEASE_SLACK_MILLISECONDS = 300;
 
 /** Whether a worker answers, and until when what runs on it may be alive. */
-export class WorkerPresence {
+export class WorkerLiveness {
   private readonly lease = new LeaseClock();
   private silentSince: number | undefined;
   private answeredAt = -Infinity;
 
   constructor(
     private readonly worker: string,
-    private readonly host: PresenceHost,
+    private readonly host: LivenessHost,
     private readonly clock: Clock,
     private readonly logger: Logger,
   ) {}
@@ -42,10 +42,8 @@
   }
 
   /** Whether a probe would tell nothing new. */
-  isKnownAt(now: number): boolean {
-    return (
-      this.isSilent || now - this.answeredAt < ANSWERED_LATELY_MILLISECONDS
-    );
+  isProbeRedundant(now: number): boolean {
+    return this.isSilent || now - this.answeredAt < RECENT_ANSWER_MILLISECONDS;
   }
 
   /** Notes an answer with what the worker's clock showed; true when it had been silent. */
@@ -71,9 +69,9 @@
   }
 
   /** End of a lease that an order of now gives, on the worker's clock. */
-  giveLease(now: number): number {
+  grantLease(now: number): number {
     const leaseEnd = this.lease.leaseEnd(now, this.host.leaseMilliseconds);
-    this.lease.noteGiven(leaseEnd);
+    this.lease.recordGrant(leaseEnd);
     return leaseEnd;
   }
 
@@ -81,20 +79,20 @@
   leaseForPoll(now: number): number | undefined {
     // A lease that goes on being offered to a silent worker would never be known to be over.
     if (!this.lease.isKnown || this.isSilent) return undefined;
-    return this.giveLease(now);
+    return this.grantLease(now);
   }
 
   /** The coordinator before may have given a lease as long as ours just before its term ended. */
   notePredecessorLease(): void {
-    this.giveLease(this.clock.monotonicMilliseconds());
+    this.grantLease(this.clock.monotonicMilliseconds());
   }
 
   /** Whether nothing that was ever started on the worker can be alive. */
   isLeaseOver(now: number): boolean {
     if (this.lease.isKnown) return this.lease.hasLapsed(now);
     const bound =
-      this.host.beganAt +
-      longestLease(this.host.leaseMilliseconds) +
+      this.host.termStartedAt +
+      worstCaseLeaseMilliseconds(this.host.leaseMilliseconds) +
       LEASE_SLACK_MILLISECONDS;
     return now > bound;
   }
--- a/packages/coordinator/src/worker-registry.ts
+++ b/packages/coordinator/src/worker-registry.ts
@@ -14,10 +14,10 @@
 const READ_GAP_MILLISECONDS = 30;
 const RETRY_MILLISECONDS = 150;
 /** Entries older than this are not relied on for the room of workers that do not enforce it. */
-const MOST_AGE_MILLISECONDS = 1_500;
+const MAXIMUM_ENTRY_AGE_MILLISECONDS = 1_500;
 
 /** What a registry is built from. */
-export interface RegistryParts {
+export interface WorkerRegistryParts {
   readonly log: RecordLog;
   readonly formats: RecordFormats;
   readonly workers: WorkerGateway;
@@ -26,7 +26,7 @@
 }
 
 /** Host of sessions that hears of new ones. */
-export interface RegistryHost extends SessionHost {
+export interface WorkerRegistryHost extends SessionHost {
   sessionAdded(session: WorkerSession): void;
 }
 
@@ -38,8 +38,8 @@
   private started = false;
 
   constructor(
-    private readonly parts: RegistryParts,
-    private readonly host: RegistryHost,
+    private readonly parts: WorkerRegistryParts,
+    private readonly host: WorkerRegistryHost,
   ) {
     this.follower = new StreamFollower(
       parts.log,
@@ -70,7 +70,7 @@
 
   /** Whether what the entries say of the workers' rooms can be relied on. */
   get isFresh(): boolean {
-    return this.follower.ageMilliseconds < MOST_AGE_MILLISECONDS;
+    return this.follower.ageMilliseconds < MAXIMUM_ENTRY_AGE_MILLISECONDS;
   }
 
   /** Reads all entries; returns once that has succeeded. */
