--- a/packages/coordinator/src/worker-session.ts
+++ b/packages/coordinator/src/worker-session.ts
@@ -1,21 +1,21 @@
 import {LogEvent, sleep, type Clock, type Logger} from '@gentiandoor/kernel';
-import {RunEnd, SURVIVAL_MILLISECONDS} from '@gentiandoor/jobs';
+import {RunEnd, CRASH_RESET_MILLISECONDS} from '@gentiandoor/jobs';
 import {
-  AnswerBound,
+  AdaptiveTimeout,
   isStalled,
   timeUntilOverdue,
   type PlacementWorker,
 } from '@gentiandoor/scheduling';
-import {BestEffortPacer} from './best-effort-pacer.js';
+import {BestEffortThrottle} from './best-effort-throttle.js';
 import {EndCursor} from './end-cursor.js';
 import {IncarnationEnd, isUnplanned} from './incarnation-end.js';
 import {RunStatus, aliveSince, runName, type LiveRun} from './live-run.js';
 import {RunOrders, type RunOrderHost} from './run-orders.js';
-import {canStall, watchedRun} from './run-watch.js';
+import {canStall, toObservedRun} from './observed-run.js';
 import type {SessionHost} from './session-host.js';
 import {SessionRuns} from './session-runs.js';
-import {Signal} from './signal.js';
-import {StrayRuns} from './stray-runs.js';
+import {AutoResetEvent} from './auto-reset-event.js';
+import {UnexpectedRuns} from './unexpected-runs.js';
 import {
   OrderOutcome,
   OrderRefusal,
@@ -23,11 +23,11 @@
   type EndedRun,
   type ListedRun,
   type PollResult,
-  type Room,
+  type Resources,
   type WorkerEntry,
   type WorkerGateway,
 } from './worker-gateway.js';
-import {WorkerPresence} from './worker-presence.js';
+import {WorkerLiveness} from './worker-liveness.js';
 
 /** Long-poll timeout; each poll renews the lease. */
 const POLL_WAIT_MILLISECONDS = 750;
@@ -53,8 +53,8 @@
  * Load: a turn that fills the coordinator's own link or processor. With a fixed bound every worker
  * seems silent, is asked again over new connections, and what is asked fills the link for good.
  */
-export function newAnswerBound(): AnswerBound {
-  return new AnswerBound(
+export function newResponseTimeout(): AdaptiveTimeout {
+  return new AdaptiveTimeout(
     START_TIMEOUT_MILLISECONDS,
     LONGEST_START_TIMEOUT_MILLISECONDS,
   );
@@ -63,17 +63,17 @@
 /** Everything between the coordinator and one incarnation of a worker. */
 export class WorkerSession implements RunOrderHost {
   private readonly live = new SessionRuns();
-  private readonly presence: WorkerPresence;
+  private readonly liveness: WorkerLiveness;
   private readonly orders: RunOrders;
-  private readonly pacer: BestEffortPacer;
-  private readonly signal: Signal;
-  private readonly strays: StrayRuns;
+  private readonly throttle: BestEffortThrottle;
+  private readonly signal: AutoResetEvent;
+  private readonly unexpectedRuns: UnexpectedRuns;
   private readonly ends: EndCursor;
-  private tokenShown = false;
+  private hasSeenToken = false;
   private probing = false;
   private closed = false;
   private listed = true;
-  private reservedFor: string | undefined;
+  private cordonedFor: string | undefined;
 
   constructor(
     private current: WorkerEntry,
@@ -82,19 +82,19 @@
     private readonly clock: Clock,
     private readonly logger: Logger,
   ) {
-    this.signal = new Signal(clock);
-    this.presence = new WorkerPresence(current.id, host, clock, logger);
-    this.orders = new RunOrders(this, this.presence, gateway, clock);
+    this.signal = new AutoResetEvent(clock);
+    this.liveness = new WorkerLiveness(current.id, host, clock, logger);
+    this.orders = new RunOrders(this, this.liveness, gateway, clock);
     this.ends = new EndCursor(
       then => host.afterStored(then),
       () => this.signal.notify(),
     );
-    this.strays = new StrayRuns(
+    this.unexpectedRuns = new UnexpectedRuns(
       run => gateway.stop(this.current, run, host.term),
       logger,
     );
-    this.pacer = new BestEffortPacer((run, percent) =>
-      gateway.pace(this.current, run, percent, host.term),
+    this.throttle = new BestEffortThrottle((run, percent) =>
+      gateway.throttle(this.current, run, percent, host.term),
     );
   }
 
@@ -115,13 +115,13 @@
     return this.host.term;
   }
 
-  get answerBoundMilliseconds(): number {
-    return this.host.answerBoundMilliseconds;
+  get responseTimeoutMilliseconds(): number {
+    return this.host.responseTimeoutMilliseconds;
   }
 
   /** Since when the worker does not answer; undefined while it does. */
   get silentFrom(): number | undefined {
-    return this.presence.silentFrom;
+    return this.liveness.silentFrom;
   }
 
   get isDraining(): boolean {
@@ -129,36 +129,37 @@
   }
 
   /** Whether a start may be ordered now. */
-  get takesStarts(): boolean {
+  get acceptsStarts(): boolean {
     return (
       !this.closed &&
       this.listed &&
       this.host.usesWorkersOf(this.current.service) &&
-      this.tokenShown &&
-      !this.presence.isSilent &&
-      this.reservedFor === undefined &&
+      this.hasSeenToken &&
+      !this.liveness.isSilent &&
+      this.cordonedFor === undefined &&
       !this.isDraining &&
-      (this.guardsRoom || (this.host.knowsRooms() && !this.strays.areListed))
+      (this.enforcesCapacity ||
+        (this.host.areCapacitiesFresh() && !this.unexpectedRuns.areListed))
     );
   }
 
-  private get guardsRoom(): boolean {
-    return this.host.guardsRoom(this.current.service);
+  private get enforcesCapacity(): boolean {
+    return this.host.enforcesCapacity(this.current.service);
   }
 
   /** New, and not polled yet. */
   get isStarting(): boolean {
-    return !this.tokenShown && !this.presence.isSilent;
+    return !this.hasSeenToken && !this.liveness.isSilent;
   }
 
   /** Why new starts are kept away; undefined where they are not. */
-  get reservation(): string | undefined {
-    return this.reservedFor;
+  get cordonReason(): string | undefined {
+    return this.cordonedFor;
   }
 
   /** Millicores taken away from other work, weighed by what the work is still worth. */
-  get valuedMillicores(): number {
-    return this.live.valuedMillicores(this.current.room);
+  get weightedMillicores(): number {
+    return this.live.weightedMillicores(this.current.capacity);
   }
 
   /** Whether a long-running task runs on it. */
@@ -167,9 +168,9 @@
   }
 
   /** Keeps new starts away while the VM is to be moved or maintained. */
-  reserve(purpose: string | undefined): void {
-    if (this.reservedFor === purpose) return;
-    this.reservedFor = purpose;
+  cordon(purpose: string | undefined): void {
+    if (this.cordonedFor === purpose) return;
+    this.cordonedFor = purpose;
     this.host.sessionChanged(this);
   }
 
@@ -184,25 +185,25 @@
 
   /** Takes the worker's newest entry; undefined when it has none any more. */
   update(entry: WorkerEntry | undefined): void {
-    const tookStarts = this.takesStarts;
+    const tookStarts = this.acceptsStarts;
     const hasGrown =
-      entry !== undefined && isLarger(entry.room, this.current.room);
+      entry !== undefined && isLarger(entry.capacity, this.current.capacity);
     this.listed = entry !== undefined;
     if (entry) this.current = entry;
     this.live.entryChanged();
-    if (hasGrown || tookStarts !== this.takesStarts)
+    if (hasGrown || tookStarts !== this.acceptsStarts)
       this.host.sessionChanged(this);
     this.signal.notify();
   }
 
   /** What a placement sees of the worker. */
   placementView(now: number): PlacementWorker {
-    const trust = this.host.trust.level(this.id, now);
+    const trust = this.host.trust.score(this.id, now);
     return this.live.placementView(this.current, trust, now);
   }
 
   /** Takes room for a run; the order follows with `order`. */
-  expect(run: LiveRun): void {
+  addRun(run: LiveRun): void {
     this.live.add(run);
     this.signal.notify();
   }
@@ -213,12 +214,12 @@
   }
 
   /** Sends the order to start, until its fate is known. */
-  order(run: LiveRun): Promise<void> {
+  startRun(run: LiveRun): Promise<void> {
     return this.orders.start(run);
   }
 
   /** Asks the worker to stop a run, until its fate is known. */
-  stop(run: LiveRun): Promise<void> {
+  stopRun(run: LiveRun): Promise<void> {
     return this.orders.stop(run);
   }
 
@@ -228,26 +229,27 @@
    */
   async probe(): Promise<void> {
     const now = this.clock.monotonicMilliseconds();
-    if (this.closed || this.probing || !this.tokenShown) return;
-    if (this.presence.isKnownAt(now) || !this.host.ordersAllowed()) return;
+    if (this.closed || this.probing || !this.hasSeenToken) return;
+    if (this.liveness.isProbeRedundant(now) || !this.host.ordersAllowed())
+      return;
     this.probing = true;
     const result = await this.gateway.poll(this.current, {
       fencingToken: this.host.term,
-      endsStored: this.ends.stored,
+      acknowledgedEnd: this.ends.stored,
       waitMilliseconds: 0,
-      boundMilliseconds: Math.max(
+      timeoutMilliseconds: Math.max(
         PROBE_TIMEOUT_MILLISECONDS,
-        this.host.answerBoundMilliseconds,
+        this.host.responseTimeoutMilliseconds,
       ),
     });
     this.probing = false;
     if (this.closed) return;
     if (result.outcome === OrderOutcome.Done) {
-      this.noteSpeed(now);
+      this.noteResponseTime(now);
       this.notePoll(result, now);
     } else if (
       !this.handledRefusal(result) &&
-      !this.presence.hasAnsweredSince(now)
+      !this.liveness.hasAnsweredSince(now)
     )
       this.noteSilence();
   }
@@ -265,13 +267,16 @@
     this.close();
     this.endAllRuns(hasCrashed ? RunEnd.Crashed : RunEnd.Lost);
     this.gateway.forget(this.current);
-    this.host.sessionOver(this);
+    this.host.sessionEnded(this);
   }
 
   /** Its room may have shrunk since the run was placed, and the worker may start it all the same. */
-  hasRoomFor(run: LiveRun): boolean {
-    if (this.guardsRoom) return true;
-    return this.host.knowsRooms() && this.live.hasRoomFor(run, this.current);
+  hasCapacityFor(run: LiveRun): boolean {
+    if (this.enforcesCapacity) return true;
+    return (
+      this.host.areCapacitiesFresh() &&
+      this.live.hasCapacityFor(run, this.current)
+    );
   }
 
   isExpected(run: LiveRun): boolean {
@@ -284,13 +289,13 @@
     return !this.closed;
   }
 
-  noteSpeed(sentAt: number): void {
-    this.host.noteAnswerTime(this.clock.monotonicMilliseconds() - sentAt);
+  noteResponseTime(sentAt: number): void {
+    this.host.noteResponseTime(this.clock.monotonicMilliseconds() - sentAt);
   }
 
   noteAnswer(clockMilliseconds: number): void {
-    if (!this.presence.noteAnswer(clockMilliseconds)) return;
-    this.live.restartStallWatch(this.clock.monotonicMilliseconds());
+    if (!this.liveness.noteAnswer(clockMilliseconds)) return;
+    this.live.restartStallDetection(this.clock.monotonicMilliseconds());
     this.host.sessionChanged(this);
   }
 
@@ -310,18 +315,18 @@
     return false;
   }
 
-  neverStarted(run: LiveRun): void {
-    this.end(run, RunEnd.Lost, '');
+  runNeverStarted(run: LiveRun): void {
+    this.endRun(run, RunEnd.Lost, '');
   }
 
   startRefused(run: LiveRun, refusal: OrderRefusal): void {
     this.forget(run);
-    if (refusal === OrderRefusal.NoRoom)
-      this.live.noteNoRoom(this.clock.monotonicMilliseconds());
+    if (refusal === OrderRefusal.InsufficientCapacity)
+      this.live.noteCapacityRefusal(this.clock.monotonicMilliseconds());
     this.host.startRefused(this, run, refusal);
   }
 
-  settled(): void {
+  outcomeReadable(): void {
     this.signal.notify();
   }
 
@@ -350,38 +355,38 @@
     if (count === 0 && !this.host.usesWorkersOf(this.current.service))
       return false;
     return (
-      !this.tokenShown ||
+      !this.hasSeenToken ||
       count > 0 ||
       this.ends.hasUnacknowledged ||
-      this.presence.isSilent
+      this.liveness.isSilent
     );
   }
 
   private async poll(): Promise<void> {
-    if (this.tokenShown && this.live.count === 0)
+    if (this.hasSeenToken && this.live.count === 0)
       await this.signal.wait(LAST_ACKNOWLEDGEMENT_MILLISECONDS);
     if (this.closed) return;
     const requestedAt = this.clock.monotonicMilliseconds();
-    const waits = this.live.count > 0 && this.tokenShown;
-    const endsStored = this.ends.stored;
+    const waits = this.live.count > 0 && this.hasSeenToken;
+    const acknowledgedEnd = this.ends.stored;
     const waitMilliseconds =
-      waits && !this.presence.isSilent ? this.pollWait(requestedAt) : 0;
+      waits && !this.liveness.isSilent ? this.pollWait(requestedAt) : 0;
     const result = await this.gateway.poll(this.current, {
       fencingToken: this.host.term,
-      endsStored,
+      acknowledgedEnd: acknowledgedEnd,
       leaseEndMilliseconds:
         this.live.count > 0
-          ? this.presence.leaseForPoll(requestedAt)
+          ? this.liveness.leaseForPoll(requestedAt)
           : undefined,
       waitMilliseconds,
     });
     if (this.closed) return;
     if (result.outcome === OrderOutcome.Done) {
-      if (waitMilliseconds === 0) this.noteSpeed(requestedAt);
-      this.ends.noteAcknowledged(endsStored);
+      if (waitMilliseconds === 0) this.noteResponseTime(requestedAt);
+      this.ends.noteAcknowledged(acknowledgedEnd);
       this.notePoll(result, requestedAt);
     } else if (!this.handledRefusal(result)) this.noteSilence();
-    await sleep(this.clock, this.gapAfter(result.outcome));
+    await sleep(this.clock, this.pollDelayAfter(result.outcome));
   }
 
   /** A run that should have ended is looked at soon again: its progress shows whether it stands still. */
@@ -389,14 +394,14 @@
     let wait = POLL_WAIT_MILLISECONDS;
     for (const run of this.runs.values())
       if (canStall(run))
-        wait = Math.min(wait, timeUntilOverdue(watchedRun(run, now)));
+        wait = Math.min(wait, timeUntilOverdue(toObservedRun(run, now)));
     return Math.round(Math.max(OVERDUE_POLL_WAIT_MILLISECONDS, wait));
   }
 
-  private gapAfter(outcome: OrderOutcome): number {
+  private pollDelayAfter(outcome: OrderOutcome): number {
     // A coordinator that lags reads more ends with each poll: polls cost it as much as starts.
     if (outcome === OrderOutcome.Done)
-      return POLL_GAP_MILLISECONDS + this.host.lagMilliseconds;
+      return POLL_GAP_MILLISECONDS + this.host.meanResponseMilliseconds;
     return this.live.count > 0
       ? RETRY_MILLISECONDS
       : IDLE_SILENCE_RETRY_MILLISECONDS;
@@ -407,12 +412,12 @@
     requestedAt: number,
   ): void {
     this.noteAnswer(result.clockMilliseconds);
-    const shown = this.tokenShown;
-    if (!shown) this.presence.notePredecessorLease();
-    this.tokenShown = true;
+    const shown = this.hasSeenToken;
+    if (!shown) this.liveness.notePredecessorLease();
+    this.hasSeenToken = true;
     const ended = this.noteEnds(result.ended);
-    const hadStrays = this.strays.areListed;
-    this.strays.beginList();
+    const hadStrays = this.unexpectedRuns.areListed;
+    this.unexpectedRuns.beginList();
     for (const listed of result.running) this.noteRunning(listed);
     if (result.ended.length < MAXIMUM_ENDS_LISTED)
       for (const run of this.live.missingFrom(
@@ -420,9 +425,9 @@
         ended,
         requestedAt,
       ))
-        this.end(run, RunEnd.Lost, '');
-    this.pacer.adjust(result.running, this.runs);
-    if (!shown || (hadStrays && !this.strays.areListed))
+        this.endRun(run, RunEnd.Lost, '');
+    this.throttle.adjust(result.running, this.runs);
+    if (!shown || (hadStrays && !this.unexpectedRuns.areListed))
       this.host.sessionChanged(this);
   }
 
@@ -430,10 +435,10 @@
     const names = new Set<string>();
     for (const item of ended) {
       names.add(runName(item));
-      if (!this.ends.isNew(item.number)) continue;
+      if (!this.ends.markRead(item.number)) continue;
       const run = this.runs.get(item.task);
-      if (run?.run === item.run) this.end(run, item.end, item.checkpoint);
-      else this.host.lateEnd(item);
+      if (run?.run === item.run) this.endRun(run, item.end, item.checkpoint);
+      else this.host.lateRunEnded(item);
     }
     this.ends.acknowledgeWhenStored();
     return names;
@@ -442,30 +447,30 @@
   private noteRunning(listed: ListedRun): void {
     const run = this.runs.get(listed.task);
     if (!run || run.run !== listed.run) {
-      void this.strays.stop(this.id, listed);
+      void this.unexpectedRuns.stop(this.id, listed);
       return;
     }
     const now = this.clock.monotonicMilliseconds();
     if (run.status !== RunStatus.Confirmed) {
       run.status = RunStatus.Confirmed;
-      run.settledAt = now;
+      run.orderAnsweredAt = now;
     }
     if (run.percent !== listed.percent) {
       run.percent = listed.percent;
-      run.progressedAt = now;
-    } else if (canStall(run) && isStalled(watchedRun(run, now)))
+      run.percentChangedAt = now;
+    } else if (canStall(run) && isStalled(toObservedRun(run, now)))
       this.host.runStalled(this, run);
     const aliveFor = now - (aliveSince(run) ?? now);
-    if (aliveFor >= SURVIVAL_MILLISECONDS) this.host.runSurvived(run);
+    if (aliveFor >= CRASH_RESET_MILLISECONDS) this.host.runSurvived(run);
     if (listed.checkpoint !== '')
-      run.taskOfJob.progress.checkpoint = listed.checkpoint;
+      run.executableTask.progress.checkpoint = listed.checkpoint;
   }
 
   private noteSilence(): void {
     const now = this.clock.monotonicMilliseconds();
-    if (this.presence.noteSilence(this.live.count))
+    if (this.liveness.noteSilence(this.live.count))
       this.host.sessionSilent(this);
-    if (this.live.count === 0 || !this.presence.isLeaseOver(now)) return;
+    if (this.live.count === 0 || !this.liveness.isLeaseOver(now)) return;
     this.logger.warn(LogEvent.WorkerLeaseOver, {
       worker: this.id,
       runs: this.live.count,
@@ -475,16 +480,16 @@
   }
 
   private endAllRuns(end: RunEnd): void {
-    for (const run of [...this.runs.values()]) this.end(run, end, '');
+    for (const run of [...this.runs.values()]) this.endRun(run, end, '');
   }
 
-  private end(run: LiveRun, end: RunEnd, checkpoint: string): void {
+  private endRun(run: LiveRun, end: RunEnd, checkpoint: string): void {
     this.forget(run);
     this.host.runEnded(this, run, end, checkpoint);
   }
 }
 
-function isLarger(room: Room, before: Room): boolean {
+function isLarger(room: Resources, before: Resources): boolean {
   return (
     room.processorMillicores > before.processorMillicores ||
     room.memoryMegabytes > before.memoryMegabytes ||
--- a/packages/daemon/src/bin/gentiandoor-daemon.ts
+++ b/packages/daemon/src/bin/gentiandoor-daemon.ts
@@ -4,8 +4,8 @@
 import {SettingsError, parseSettings, toError} from '@gentiandoor/kernel';
 import {Daemon} from '../daemon.js';
 
-const EXIT_FAILED = 1;
-const EXIT_SETTINGS = 2;
+const FAILURE_EXIT_CODE = 1;
+const INVALID_SETTINGS_EXIT_CODE = 2;
 
 async function run(path: string): Promise<void> {
   const daemon = new Daemon(parseSettings(readFileSync(path, 'utf8'), path));
@@ -15,24 +15,28 @@
     if (stopping) {
       isForced = true;
       // The server says what is cut as it stops; the log line is flushed at the exit.
-      void daemon.stop().then(() => process.exit(EXIT_FAILED));
+      void daemon.stop().then(() => process.exit(FAILURE_EXIT_CODE));
       return;
     }
     stopping = true;
     void daemon.drainAndStop().then(() => {
       // A forced stop ends the drain as well: without this a cut stop could end with 0.
       if (!isForced) process.exit(0);
-    }, fail);
+    }, exitWithError);
   };
   process.on('SIGTERM', onSignal);
   process.on('SIGINT', onSignal);
   await daemon.start();
 }
 
-function fail(thrown: unknown): never {
+function exitWithError(thrown: unknown): never {
   const error = toError(thrown);
   process.stderr.write(`gentiandoor-daemon: ${error.message}\n`);
-  process.exit(error instanceof SettingsError ? EXIT_SETTINGS : EXIT_FAILED);
+  process.exit(
+    error instanceof SettingsError
+      ? INVALID_SETTINGS_EXIT_CODE
+      : FAILURE_EXIT_CODE,
+  );
 }
 
 sade('gentiandoor-daemon', true)
@@ -41,7 +45,7 @@
   .example('--settings /etc/gentiandoor/entry-1.ini')
   .action((options: {settings?: string}) => {
     if (!options.settings)
-      fail(new SettingsError('expected --settings FILE.ini'));
-    run(options.settings).catch(fail);
+      exitWithError(new SettingsError('expected --settings FILE.ini'));
+    run(options.settings).catch(exitWithError);
   })
   .parse(process.argv);
--- a/packages/daemon/src/wiring.ts
+++ b/packages/daemon/src/wiring.ts
@@ -77,7 +77,7 @@
   registerPlugins(container, settings, registry);
   const plugins = registry.all().map(definition => ({
     name: definition.name,
-    plugin: container.resolve<Plugin>(definition.service),
+    plugin: container.resolve<Plugin>(definition.registrationName),
   }));
   return {
     container,
--- a/packages/decisions/src/__tests__/ejection.test.ts
+++ b/packages/decisions/src/__tests__/ejection.test.ts
@@ -2,13 +2,13 @@
 import {describe, it} from 'node:test';
 import {
   BoundedEjection,
-  TargetStanding,
+  EjectionState,
   type EjectionTarget,
-  type StandingChange,
+  type EjectionStateChange,
 } from '../ejection.js';
 import {OutcomeKind} from '../target-outcome.js';
 
-const {InUse, Ejected, Probation} = TargetStanding;
+const {InUse, Ejected, Probation} = EjectionState;
 const {ServerError, Succeeded, Unreachable, CallerGone, Busy} = OutcomeKind;
 
 function targetsOf(sizes: readonly number[], nearRacks = sizes.length) {
@@ -16,7 +16,11 @@
   sizes.forEach((size, rack) => {
     for (let index = 0; index < size; index++) {
       const id = `vm-${targets.length}`;
-      targets.push({id, rack: `rack-${rack}`, isNear: rack < nearRacks});
+      targets.push({
+        id,
+        rack: `rack-${rack}`,
+        isSameDataCentre: rack < nearRacks,
+      });
     }
   });
   return targets;
@@ -35,7 +39,7 @@
 
 describe('BoundedEjection', () => {
   function build(sizes: readonly number[], nearRacks?: number) {
-    const changes: StandingChange[] = [];
+    const changes: EjectionStateChange[] = [];
     const ejection = new BoundedEjection(change => changes.push(change));
     ejection.setTargets(targetsOf(sizes, nearRacks));
     return {ejection, changes};
@@ -45,9 +49,9 @@
     it('ejects it after five failures in a row and says so', () => {
       const {ejection, changes} = build([4, 4]);
       fail(ejection, 'vm-0', 4);
-      assert.equal(ejection.standing('vm-0', 0), InUse);
+      assert.equal(ejection.stateOf('vm-0', 0), InUse);
       fail(ejection, 'vm-0', 1);
-      assert.equal(ejection.standing('vm-0', 0), Ejected);
+      assert.equal(ejection.stateOf('vm-0', 0), Ejected);
       assert.deepEqual(
         changes.map(({target, to}) => [target, to]),
         [['vm-0', Ejected]],
@@ -57,16 +61,16 @@
     it('needs three refused connections only', () => {
       const {ejection} = build([4, 4]);
       fail(ejection, 'vm-0', 3, 0, Unreachable);
-      assert.equal(ejection.standing('vm-0', 0), Ejected);
+      assert.equal(ejection.stateOf('vm-0', 0), Ejected);
     });
 
     it('stays out twice as long after a failed probation', () => {
       const {ejection} = build([4, 4]);
       fail(ejection, 'vm-0', 5);
-      assert.equal(ejection.standing('vm-0', 2000), Probation);
+      assert.equal(ejection.stateOf('vm-0', 2000), Probation);
       fail(ejection, 'vm-0', 1, 2000);
-      assert.equal(ejection.standing('vm-0', 5999), Ejected);
-      assert.equal(ejection.standing('vm-0', 6000), Probation);
+      assert.equal(ejection.stateOf('vm-0', 5999), Ejected);
+      assert.equal(ejection.stateOf('vm-0', 6000), Probation);
     });
 
     it('comes back after three good answers on probation', () => {
@@ -74,7 +78,7 @@
       fail(ejection, 'vm-0', 5);
       for (let count = 0; count < 3; count++)
         ejection.observe('vm-0', Succeeded, 2000);
-      assert.equal(ejection.standing('vm-0', 2000), InUse);
+      assert.equal(ejection.stateOf('vm-0', 2000), InUse);
     });
   });
 
@@ -82,7 +86,7 @@
     it('does not lengthen the time out', () => {
       const {ejection} = build([4, 4]);
       fail(ejection, 'vm-0', 20);
-      assert.equal(ejection.standing('vm-0', 2000), Probation);
+      assert.equal(ejection.stateOf('vm-0', 2000), Probation);
     });
   });
 
@@ -93,7 +97,7 @@
         const isGood = count % 3 === 0;
         ejection.observe('vm-0', isGood ? Succeeded : ServerError, 0);
       }
-      assert.equal(ejection.standing('vm-0', 0), Ejected);
+      assert.equal(ejection.stateOf('vm-0', 0), Ejected);
     });
   });
 
@@ -102,7 +106,7 @@
       const {ejection} = build([4, 4]);
       fail(ejection, 'vm-0', 50, 0, CallerGone);
       fail(ejection, 'vm-0', 50, 0, Busy);
-      assert.equal(ejection.standing('vm-0', 0), InUse);
+      assert.equal(ejection.stateOf('vm-0', 0), InUse);
     });
   });
 
@@ -111,7 +115,7 @@
       const {ejection} = build([4, 2]);
       for (const id of ['vm-0', 'vm-1', 'vm-2', 'vm-3']) fail(ejection, id, 5);
       assert.equal(ejection.isSharedFault, false);
-      assert.equal(ejection.standing('vm-3', 0), Ejected);
+      assert.equal(ejection.stateOf('vm-3', 0), Ejected);
     });
   });
 
@@ -126,7 +130,7 @@
       const {ejection} = build([4, 4]);
       for (const id of all) fail(ejection, id, 5);
       assert.equal(ejection.isSharedFault, true);
-      assert.ok(all.every(id => ejection.standing(id, 0) === InUse));
+      assert.ok(all.every(id => ejection.stateOf(id, 0) === InUse));
     });
 
     it('leaves none ejected when the fault ends', () => {
@@ -137,7 +141,7 @@
           ejection.observe(id, Succeeded, 100);
       }
       assert.equal(ejection.isSharedFault, false);
-      assert.ok(all.every(id => ejection.standing(id, 100) !== Ejected));
+      assert.ok(all.every(id => ejection.stateOf(id, 100) !== Ejected));
     });
   });
 
@@ -146,10 +150,12 @@
   describe('with all targets of other data centres failing', () => {
     it('keeps them out and goes on with its own', () => {
       const {ejection} = build([2, 4, 4], 1);
-      const far = targetsOf([2, 4, 4], 1).filter(({isNear}) => !isNear);
+      const far = targetsOf([2, 4, 4], 1).filter(
+        ({isSameDataCentre: isNear}) => !isNear,
+      );
       for (const {id} of far) fail(ejection, id, 5);
       assert.equal(ejection.isSharedFault, false);
-      assert.ok(far.every(({id}) => ejection.standing(id, 0) === Ejected));
+      assert.ok(far.every(({id}) => ejection.stateOf(id, 0) === Ejected));
     });
   });
 
@@ -158,7 +164,7 @@
       const {ejection} = build([2, 4, 4], 1);
       fail(ejection, 'vm-0', 5);
       fail(ejection, 'vm-1', 5);
-      assert.equal(ejection.standing('vm-1', 0), Ejected);
+      assert.equal(ejection.stateOf('vm-1', 0), Ejected);
     });
   });
 
@@ -166,7 +172,7 @@
     it('never ejects it', () => {
       const {ejection} = build([1]);
       fail(ejection, 'vm-0', 50);
-      assert.equal(ejection.standing('vm-0', 0), InUse);
+      assert.equal(ejection.stateOf('vm-0', 0), InUse);
     });
   });
 
@@ -178,7 +184,7 @@
       ejection.setTargets(rest);
       assert.equal(ejection.isSharedFault, false);
       fail(ejection, 'vm-4', 5);
-      assert.equal(ejection.standing('vm-4', 0), Ejected);
+      assert.equal(ejection.stateOf('vm-4', 0), Ejected);
     });
   });
 });
--- a/packages/decisions/src/__tests__/fair-queue.test.ts
+++ b/packages/decisions/src/__tests__/fair-queue.test.ts
@@ -1,35 +1,42 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {NoClassGate, type ClassGate} from '../class-gate.js';
-import {DrainRate} from '../drain-rate.js';
+import {
+  EqualWorkLengthPolicy,
+  type WorkLengthPolicy,
+} from '../work-length-policy.js';
+import {SlotReleaseRate} from '../slot-release-rate.js';
 import {FairQueue} from '../fair-queue.js';
-import {TurnAway, type TeamTerms, type Waiter} from '../waiting-queue.js';
-import {WorkLength} from '../work-class.js';
+import {
+  QueueRejectionReason,
+  type TeamPolicy,
+  type QueuedRequest,
+} from '../request-queue.js';
+import {WorkLength} from '../work-length.js';
 
 const LONGEST_WAIT = 1000;
 const HOLD = 50;
 
-function team(name: string, terms: Partial<TeamTerms> = {}): TeamTerms {
+function team(name: string, terms: Partial<TeamPolicy> = {}): TeamPolicy {
   return {name, weight: 1, slots: 1000, urgent: false, ...terms};
 }
 
-function waiter(changes: Partial<Waiter> = {}): Waiter {
-  const enteredAt = changes.enteredAt ?? 0;
+function waiter(changes: Partial<QueuedRequest> = {}): QueuedRequest {
+  const enqueuedAt = changes.enqueuedAt ?? 0;
   return {
     service: 'counter-preview',
     queueLimit: 64,
     work: WorkLength.Short,
     team: team('counter'),
     caller: 'tailor',
-    enteredAt,
-    deadline: enteredAt + LONGEST_WAIT,
+    enqueuedAt: enqueuedAt,
+    deadline: enqueuedAt + LONGEST_WAIT,
     ...changes,
   };
 }
 
 /** A pool with `slots` exchanges of 50 ms in flight. */
-function busyDrain(slots: number): DrainRate {
-  const drain = new DrainRate();
+function busyDrain(slots: number): SlotReleaseRate {
+  const drain = new SlotReleaseRate();
   for (let count = 0; count < slots; count++) {
     drain.onStart(WorkLength.Short);
     drain.onAnswered(WorkLength.Short, HOLD);
@@ -37,14 +44,17 @@
   return drain;
 }
 
-function build(slots = 8, gate: ClassGate = new NoClassGate()) {
-  return new FairQueue<Waiter>(busyDrain(slots), gate);
+function build(
+  slots = 8,
+  gate: WorkLengthPolicy = new EqualWorkLengthPolicy(),
+) {
+  return new FairQueue<QueuedRequest>(busyDrain(slots), gate);
 }
 
-function drainAll(queue: FairQueue<Waiter>, now = 0): Waiter[] {
-  const order: Waiter[] = [];
+function drainAll(queue: FairQueue<QueuedRequest>, now = 0): QueuedRequest[] {
+  const order: QueuedRequest[] = [];
   for (;;) {
-    const item = queue.next(now, () => true);
+    const item = queue.dequeue(now, () => true);
     if (!item) return order;
     order.push(item);
   }
@@ -55,8 +65,8 @@
     it('takes callers of a team in turn', () => {
       const queue = build();
       for (let count = 0; count < 10; count++)
-        queue.enter(waiter({caller: 'heavy'}), 0);
-      queue.enter(waiter({caller: 'light'}), 0);
+        queue.enqueue(waiter({caller: 'heavy'}), 0);
+      queue.enqueue(waiter({caller: 'light'}), 0);
       const order = drainAll(queue).map(item => item.caller);
       assert.ok(order.indexOf('light') <= 1, order.join());
     });
@@ -64,15 +74,15 @@
     it('lets its newest give way when the line is full', () => {
       const queue = build(64);
       for (let count = 0; count < 64; count++)
-        queue.enter(waiter({caller: 'heavy'}), 0);
+        queue.enqueue(waiter({caller: 'heavy'}), 0);
       const light = waiter({caller: 'light'});
-      const turned = queue.enter(light, 0);
+      const turned = queue.enqueue(light, 0);
       assert.deepEqual(
         turned.map(({item, reason}) => [item.caller, reason]),
-        [['heavy', TurnAway.Full]],
+        [['heavy', QueueRejectionReason.Full]],
       );
       assert.equal(queue.length, 64);
-      assert.equal(queue.leave(light), true);
+      assert.equal(queue.remove(light), true);
     });
   });
 
@@ -80,8 +90,8 @@
     it('serves teams by weight', () => {
       const queue = build(64);
       for (let count = 0; count < 30; count++) {
-        queue.enter(waiter({team: team('one'), caller: `a${count}`}), 0);
-        queue.enter(
+        queue.enqueue(waiter({team: team('one'), caller: `a${count}`}), 0);
+        queue.enqueue(
           waiter({team: team('two', {weight: 2}), caller: `b${count}`}),
           0,
         );
@@ -95,10 +105,10 @@
       const queue = build(64);
       const busy = team('busy');
       for (let count = 0; count < 40; count++)
-        queue.enter(waiter({team: busy}), 0);
-      for (let count = 0; count < 20; count++) queue.next(0, () => true);
+        queue.enqueue(waiter({team: busy}), 0);
+      for (let count = 0; count < 20; count++) queue.dequeue(0, () => true);
       for (let count = 0; count < 10; count++)
-        queue.enter(waiter({team: team('late')}), 0);
+        queue.enqueue(waiter({team: team('late')}), 0);
       const next = drainAll(queue).slice(0, 10);
       const late = next.filter(item => item.team.name === 'late').length;
       assert.equal(late, 5);
@@ -110,16 +120,16 @@
 
     it('serves it first', () => {
       const queue = build();
-      queue.enter(waiter(), 0);
-      queue.enter(waiter({team: urgent}), 0);
-      assert.equal(queue.next(0, () => true)?.team.name, 'rescue');
+      queue.enqueue(waiter(), 0);
+      queue.enqueue(waiter({team: urgent}), 0);
+      assert.equal(queue.dequeue(0, () => true)?.team.name, 'rescue');
     });
 
     it('lets one in eight others through a flood of it', () => {
       const queue = build(64);
       for (let count = 0; count < 40; count++)
-        queue.enter(waiter({team: urgent, service: 'rescue'}), 0);
-      for (let count = 0; count < 3; count++) queue.enter(waiter(), 0);
+        queue.enqueue(waiter({team: urgent, service: 'rescue'}), 0);
+      for (let count = 0; count < 3; count++) queue.enqueue(waiter(), 0);
       const order = drainAll(queue).map(item => item.team.name);
       assert.equal(order.indexOf('counter'), 7);
       assert.equal(
@@ -134,7 +144,7 @@
       const queue = build(1);
       let turned = 0;
       for (let count = 0; count < 64; count++)
-        turned += queue.enter(waiter(), 0).length;
+        turned += queue.enqueue(waiter(), 0).length;
       // One slot of 50 ms serves 20 in the second that they may wait.
       assert.equal(queue.length, 19);
       assert.equal(turned, 45);
@@ -143,12 +153,12 @@
     it('turns it away again when the wait turned out longer', () => {
       const queue = build();
       const item = waiter();
-      queue.enter(item, 0);
-      assert.deepEqual(queue.expire(LONGEST_WAIT - 1), []);
-      assert.deepEqual(queue.expire(LONGEST_WAIT), [
-        {item, reason: TurnAway.Late},
+      queue.enqueue(item, 0);
+      assert.deepEqual(queue.removeExpired(LONGEST_WAIT - 1), []);
+      assert.deepEqual(queue.removeExpired(LONGEST_WAIT), [
+        {item, reason: QueueRejectionReason.DeadlineExceeded},
       ]);
-      assert.equal(queue.leave(item), false);
+      assert.equal(queue.remove(item), false);
     });
   });
 
@@ -158,47 +168,49 @@
   describe('with a standing queue', () => {
     function standing() {
       const queue = build(8);
-      queue.enter(waiter({deadline: 10_000}), 0);
+      queue.enqueue(waiter({deadline: 10_000}), 0);
       return queue;
     }
 
     it('turns away what would wait for more than two exchanges', () => {
       const queue = standing();
       const now = LONGEST_WAIT + 1;
-      const reasons: TurnAway[] = [];
+      const reasons: QueueRejectionReason[] = [];
       for (let count = 0; count < 32; count++) {
-        const turned = queue.enter(waiter({enteredAt: now}), now);
+        const turned = queue.enqueue(waiter({enqueuedAt: now}), now);
         reasons.push(...turned.map(({reason}) => reason));
       }
       assert.equal(queue.length, 16);
-      assert.ok(reasons.every(reason => reason === TurnAway.Standing));
+      assert.ok(
+        reasons.every(reason => reason === QueueRejectionReason.StandingQueue),
+      );
     });
 
     it('does not cut another team short', () => {
       const queue = standing();
       const now = LONGEST_WAIT + 1;
       for (let count = 0; count < 32; count++)
-        queue.enter(waiter({enteredAt: now}), now);
-      const other = {team: team('crest'), enteredAt: now};
+        queue.enqueue(waiter({enqueuedAt: now}), now);
+      const other = {team: team('crest'), enqueuedAt: now};
       for (let count = 0; count < 16; count++)
-        assert.deepEqual(queue.enter(waiter(other), now), []);
+        assert.deepEqual(queue.enqueue(waiter(other), now), []);
     });
   });
 
   describe('with long work that may not start', () => {
-    const closed: ClassGate = {
+    const closed: WorkLengthPolicy = {
       mayStart: work => work === WorkLength.Short,
-      first: () => WorkLength.Long,
+      preferred: () => WorkLength.Long,
       onStart: () => {},
     };
 
     it('goes on to short work behind it', () => {
       const queue = build(8, closed);
-      queue.enter(waiter({work: WorkLength.Long}), 0);
-      queue.enter(waiter(), 0);
-      assert.equal(queue.next(0, () => true)?.work, WorkLength.Short);
+      queue.enqueue(waiter({work: WorkLength.Long}), 0);
+      queue.enqueue(waiter(), 0);
+      assert.equal(queue.dequeue(0, () => true)?.work, WorkLength.Short);
       assert.equal(
-        queue.next(0, () => true),
+        queue.dequeue(0, () => true),
         undefined,
       );
     });
@@ -207,9 +219,9 @@
   describe('with a team that may not start', () => {
     it('goes on to the next team', () => {
       const queue = build();
-      queue.enter(waiter({team: team('bounded')}), 0);
-      queue.enter(waiter({team: team('free')}), 0);
-      const item = queue.next(0, ({team: {name}}) => name !== 'bounded');
+      queue.enqueue(waiter({team: team('bounded')}), 0);
+      queue.enqueue(waiter({team: team('free')}), 0);
+      const item = queue.dequeue(0, ({team: {name}}) => name !== 'bounded');
       assert.equal(item?.team.name, 'free');
     });
   });
--- a/packages/decisions/src/__tests__/retry-budget.test.ts
+++ b/packages/decisions/src/__tests__/retry-budget.test.ts
@@ -5,12 +5,12 @@
   MAXIMUM_ATTEMPTS,
   MAXIMUM_BUSY_ATTEMPTS,
   RetryBudget,
-  RetryVerdict,
-  type RetryQuestion,
+  RetryDecision,
+  type FailedAttempt,
 } from '../retry-budget.js';
 import {OutcomeKind} from '../target-outcome.js';
 
-function question(changes: Partial<RetryQuestion> = {}): RetryQuestion {
+function question(changes: Partial<FailedAttempt> = {}): FailedAttempt {
   return {
     kind: OutcomeKind.ServerError,
     sent: true,
@@ -27,24 +27,24 @@
     it('never sends again what went out', () => {
       for (const kind of [
         OutcomeKind.ServerError,
-        OutcomeKind.Broken,
+        OutcomeKind.ConnectionLost,
         OutcomeKind.TimedOut,
         OutcomeKind.Truncated,
       ]) {
-        const verdict = new RetryBudget(new VirtualClock()).judge({
+        const verdict = new RetryBudget(new VirtualClock()).decide({
           ...once,
           kind,
         });
-        assert.equal(verdict, RetryVerdict.MayHaveRun);
+        assert.equal(verdict, RetryDecision.MayHaveRun);
       }
     });
 
     it('sends again what did not go out or what the target refused', () => {
       const budget = new RetryBudget(new VirtualClock());
       const unsent = {...once, kind: OutcomeKind.Unreachable, sent: false};
-      assert.equal(budget.judge(unsent), RetryVerdict.Retry);
+      assert.equal(budget.decide(unsent), RetryDecision.Retry);
       const busy = {...once, kind: OutcomeKind.Busy};
-      assert.equal(budget.judge(busy), RetryVerdict.Retry);
+      assert.equal(budget.decide(busy), RetryDecision.Retry);
     });
   });
 
@@ -54,10 +54,10 @@
       let retries = 0;
       for (let request = 0; request < 1000; request++) {
         budget.onFirstAttempt();
-        if (budget.judge(question()) === RetryVerdict.Retry) retries++;
+        if (budget.decide(question()) === RetryDecision.Retry) retries++;
       }
       assert.ok(retries >= 195 && retries <= 205, `${retries} retries`);
-      assert.equal(budget.judge(question()), RetryVerdict.BudgetSpent);
+      assert.equal(budget.decide(question()), RetryDecision.BudgetExhausted);
     });
   });
 
@@ -67,7 +67,7 @@
       const budget = new RetryBudget(clock);
       clock.advance(12 * 3600 * 1000);
       let retries = 0;
-      while (budget.judge(question()) === RetryVerdict.Retry) retries++;
+      while (budget.decide(question()) === RetryDecision.Retry) retries++;
       assert.equal(retries, 50);
     });
   });
@@ -76,12 +76,12 @@
     it('stops', () => {
       const budget = new RetryBudget(new VirtualClock());
       const last = question({attempts: MAXIMUM_ATTEMPTS});
-      assert.equal(budget.judge(last), RetryVerdict.AttemptsSpent);
+      assert.equal(budget.decide(last), RetryDecision.AttemptsExhausted);
       const busy = question({
         kind: OutcomeKind.Busy,
         attempts: MAXIMUM_BUSY_ATTEMPTS,
       });
-      assert.equal(budget.judge(busy), RetryVerdict.AttemptsSpent);
+      assert.equal(budget.decide(busy), RetryDecision.AttemptsExhausted);
     });
   });
 
@@ -89,7 +89,7 @@
     it('does nothing', () => {
       const budget = new RetryBudget(new VirtualClock());
       const gone = question({kind: OutcomeKind.CallerGone, sent: false});
-      assert.equal(budget.judge(gone), RetryVerdict.NobodyWaits);
+      assert.equal(budget.decide(gone), RetryDecision.CallerGone);
     });
   });
 });
--- a/packages/decisions/src/__tests__/routable-targets.test.ts
+++ b/packages/decisions/src/__tests__/routable-targets.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {RoutableTargets, type TargetFacts} from '../routable-targets.js';
+import {RoutableTargets, type PoolVm} from '../routable-targets.js';
 
 const LIMITS = {slots: 8, connections: 64};
 
-function facts(id: string, changes: Partial<TargetFacts> = {}): TargetFacts {
+function facts(id: string, changes: Partial<PoolVm> = {}): PoolVm {
   return {
     id,
     isDraining: false,
@@ -19,7 +19,7 @@
   };
 }
 
-function ids(routable: RoutableTargets, pool: TargetFacts[], now: number) {
+function ids(routable: RoutableTargets, pool: PoolVm[], now: number) {
   return routable.select(pool, LIMITS, now).map(target => target.id);
 }
 
@@ -39,7 +39,10 @@
       0,
     );
     const [far] = new RoutableTargets('hall-b').select([facts('a')], LIMITS, 0);
-    assert.deepEqual([near.isNear, far.isNear], [true, false]);
+    assert.deepEqual(
+      [near.isSameDataCentre, far.isSameDataCentre],
+      [true, false],
+    );
   });
 
   describe('with a drain record or a leaving mark', () => {
@@ -67,9 +70,9 @@
       );
       const pool = [answering, facts('b'), facts('c'), facts('d')];
       assert.ok(ids(routable, pool, 1999).includes('a'));
-      assert.equal(routable.keepsMissing, true);
+      assert.equal(routable.retainsMissing, true);
       assert.ok(!ids(routable, pool, 2000).includes('a'));
-      assert.equal(routable.keepsMissing, false);
+      assert.equal(routable.retainsMissing, false);
     });
 
     it('drops it at once when it has not answered lately', () => {
--- a/packages/decisions/src/__tests__/slot-pool.test.ts
+++ b/packages/decisions/src/__tests__/slot-pool.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {SeededRandom, VirtualClock} from '@gentiandoor/kernel';
-import type {PoolSlot, SlotAsk, SlotRefusal} from '../pool-slot.js';
+import type {PoolSlot, SlotRequest, SlotRefusal} from '../pool-slot.js';
 import {SpillReason} from '../slot-pool.js';
 import {createStandardPool} from '../standard-pool.js';
 import type {RoutableTarget} from '../target-entry.js';
 import {OutcomeKind} from '../target-outcome.js';
 import {NoTeamQuota} from '../team-quota.js';
-import {TurnAway} from '../waiting-queue.js';
-import {WorkLength} from '../work-class.js';
+import {QueueRejectionReason} from '../request-queue.js';
+import {WorkLength} from '../work-length.js';
 
 const LATENCY = 50;
 
@@ -20,7 +20,7 @@
     id,
     address: id,
     rack: 'rack',
-    isNear: true,
+    isSameDataCentre: true,
     slots: 2,
     connections: 64,
     ...changes,
@@ -33,24 +33,24 @@
   const pool = createStandardPool({
     clock,
     random: new SeededRandom(3),
-    self: 'entry-1',
+    incarnation: 'entry-1',
     quota: new NoTeamQuota(),
     onSpill: reason => spills.push(reason),
-    onPressure: () => {},
-    onStanding: () => {},
+    onWaitingStarted: () => {},
+    onEjectionStateChange: () => {},
   });
   pool.setTargets(targets);
-  const ask = (changes: Partial<SlotAsk> = {}) => {
+  const ask = (changes: Partial<SlotRequest> = {}) => {
     const got: {slot?: PoolSlot; refusal?: SlotRefusal} = {};
     const now = clock.monotonicMilliseconds();
-    const item: SlotAsk = {
+    const item: SlotRequest = {
       service: 'counter-preview',
       queueLimit: 64,
       work: WorkLength.Short,
       team: {name: '', weight: 1, slots: 1000, urgent: false},
       caller: '',
       idempotent: true,
-      enteredAt: now,
+      enqueuedAt: now,
       deadline: now + 1000,
       grant: slot => {
         assert.ok(!got.slot && !got.refusal, 'answered twice');
@@ -104,7 +104,7 @@
       ask();
       const {got} = ask();
       clock.advance(1100);
-      assert.equal(got.refusal?.reason, TurnAway.Late);
+      assert.equal(got.refusal?.reason, QueueRejectionReason.DeadlineExceeded);
       assert.ok((got.refusal?.retryAfterSeconds ?? 0) >= 1);
     });
 
@@ -164,9 +164,9 @@
     it('says so when the target itself or a peer said it', () => {
       const {ask, pool} = build([target('a')]);
       const {slot} = ask().got;
-      pool.onLeaving('a');
+      pool.onTargetLeaving('a');
       assert.equal(slot?.isRoutable(), false);
-      assert.deepEqual(pool.leaving(), ['a']);
+      assert.deepEqual(pool.leavingTargets(), ['a']);
       assert.ok(ask().got.refusal);
     });
   });
@@ -191,17 +191,17 @@
     it('uses the near ones until they are full, and says why it spills', () => {
       const {ask, spills} = build([
         target('near'),
-        target('far', {isNear: false}),
+        target('far', {isSameDataCentre: false}),
       ]);
       const ids = [1, 2, 3].map(() => ask().got.slot?.target.id);
       assert.deepEqual(ids, ['near', 'near', 'far']);
-      assert.deepEqual(spills, [SpillReason.NearFull]);
+      assert.deepEqual(spills, [SpillReason.DataCentreFull]);
     });
 
     it('says when no near one is left', () => {
-      const {ask, spills} = build([target('far', {isNear: false})]);
+      const {ask, spills} = build([target('far', {isSameDataCentre: false})]);
       ask();
-      assert.deepEqual(spills, [SpillReason.NearGone]);
+      assert.deepEqual(spills, [SpillReason.DataCentreUnavailable]);
     });
   });
 
--- a/packages/decisions/src/__tests__/target-choice.test.ts
+++ b/packages/decisions/src/__tests__/target-selector.test.ts
@@ -2,11 +2,11 @@
 import {describe, it} from 'node:test';
 import {SeededRandom} from '@gentiandoor/kernel';
 import {
-  LeastCost,
-  RandomChoice,
-  SampledChoice,
-  type TargetLoad,
-} from '../target-choice.js';
+  LeastCostSelector,
+  RandomSelector,
+  SampledSelector,
+  type TargetCandidate,
+} from '../target-selector.js';
 
 const ASK = {idempotent: true};
 const ROUNDS = 1000;
@@ -17,20 +17,20 @@
   readonly weight?: number;
 }
 
-function load(id: string, shape: Shape): TargetLoad {
+function load(id: string, shape: Shape): TargetCandidate {
   return {
     id,
-    hasRoom: () => shape.room ?? true,
+    canAccept: () => shape.room ?? true,
     cost: () => shape.cost,
     weight: () => shape.weight ?? 1,
   };
 }
 
-function counts(targets: readonly TargetLoad[]): Map<string, number> {
-  const choice = new SampledChoice(new SeededRandom(7));
+function counts(targets: readonly TargetCandidate[]): Map<string, number> {
+  const choice = new SampledSelector(new SeededRandom(7));
   const found = new Map<string, number>();
   for (let round = 0; round < ROUNDS; round++) {
-    const id = choice.choose(targets, ASK)?.id ?? 'none';
+    const id = choice.select(targets, ASK)?.id ?? 'none';
     found.set(id, (found.get(id) ?? 0) + 1);
   }
   return found;
@@ -77,23 +77,23 @@
 
   describe('with a target that failed the request already', () => {
     it('passes it over', () => {
-      const choice = new SampledChoice(new SeededRandom(1));
+      const choice = new SampledSelector(new SeededRandom(1));
       const targets = [load('a', {cost: 0}), load('b', {cost: 9})];
       const ask = {idempotent: true, tried: new Set(['a'])};
-      assert.equal(choice.choose(targets, ask)?.id, 'b');
+      assert.equal(choice.select(targets, ask)?.id, 'b');
     });
   });
 });
 
 describe('the choices that it is weighed against', () => {
   it('RandomChoice takes whatever has room', () => {
-    const choice = new RandomChoice(new SeededRandom(1));
+    const choice = new RandomSelector(new SeededRandom(1));
     const targets = [load('a', {cost: 0, room: false}), load('b', {cost: 9})];
-    assert.equal(choice.choose(targets, ASK)?.id, 'b');
+    assert.equal(choice.select(targets, ASK)?.id, 'b');
   });
 
   it('LeastCost always takes the cheapest', () => {
     const targets = [load('a', {cost: 2}), load('b', {cost: 1})];
-    assert.equal(new LeastCost().choose(targets, ASK)?.id, 'b');
+    assert.equal(new LeastCostSelector().select(targets, ASK)?.id, 'b');
   });
 });
--- a/packages/decisions/src/__tests__/weight-ramp.test.ts
+++ b/packages/decisions/src/__tests__/weight-ramp.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {SteppedRamp} from '../weight-ramp.js';
+import {LinearWeightRamp} from '../weight-ramp.js';
 
 describe('SteppedRamp', () => {
   it('gives a target that was always there its whole weight', () => {
-    assert.equal(new SteppedRamp().weight('vm', 0), 1);
+    assert.equal(new LinearWeightRamp().weight('vm', 0), 1);
   });
 
   describe('with a target that comes in', () => {
     it('starts at a tenth and has the whole after ten seconds', () => {
-      const ramp = new SteppedRamp();
-      ramp.onIn('vm', 0);
+      const ramp = new LinearWeightRamp();
+      ramp.onAdded('vm', 0);
       assert.equal(ramp.weight('vm', 0), 0.1);
       assert.ok(Math.abs(ramp.weight('vm', 5000) - 0.55) < 1e-9);
       assert.equal(ramp.weight('vm', 10_000), 1);
@@ -19,14 +19,14 @@
 
   describe('with a target that comes and goes', () => {
     it('takes twice as long with each return, to a bound', () => {
-      const ramp = new SteppedRamp();
+      const ramp = new LinearWeightRamp();
       const times: number[] = [];
       for (let now = 0; now < 60_000; now += 10_000) {
-        ramp.onIn('vm', now);
+        ramp.onAdded('vm', now);
         let end = now;
         while (ramp.weight('vm', end) < 1) end += 100;
         times.push(end - now);
-        ramp.onOut('vm', now + 5000);
+        ramp.onRemoved('vm', now + 5000);
       }
       assert.deepEqual(
         times,
@@ -35,11 +35,11 @@
     });
 
     it('forgets it after two calm minutes', () => {
-      const ramp = new SteppedRamp();
-      ramp.onOut('vm', 0);
-      ramp.onIn('vm', 1000);
-      ramp.onOut('vm', 200_000);
-      ramp.onIn('vm', 400_000);
+      const ramp = new LinearWeightRamp();
+      ramp.onRemoved('vm', 0);
+      ramp.onAdded('vm', 1000);
+      ramp.onRemoved('vm', 200_000);
+      ramp.onAdded('vm', 400_000);
       assert.equal(ramp.weight('vm', 410_000), 1);
     });
   });
--- a/packages/decisions/src/__tests__/class-gate.test.ts
+++ b/packages/decisions/src/__tests__/work-length-policy.test.ts
@@ -1,17 +1,17 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {VirtualClock} from '@gentiandoor/kernel';
-import {ShortReserve} from '../class-gate.js';
-import {DrainRate} from '../drain-rate.js';
-import {WorkLength} from '../work-class.js';
+import {ShortWorkReserve} from '../work-length-policy.js';
+import {SlotReleaseRate} from '../slot-release-rate.js';
+import {WorkLength} from '../work-length.js';
 
 const CAPACITY = 16;
 const {Short, Long} = WorkLength;
 
 function build() {
   const clock = new VirtualClock();
-  const drain = new DrainRate();
-  const gate = new ShortReserve(clock, drain, () => CAPACITY);
+  const drain = new SlotReleaseRate();
+  const gate = new ShortWorkReserve(clock, drain, () => CAPACITY);
   const start = (work: WorkLength) => {
     drain.onStart(work);
     gate.onStart();
@@ -58,9 +58,9 @@
       const {clock, gate, start, startLong} = build();
       for (let count = 0; count < CAPACITY; count++) start(Short);
       clock.advance(60_000);
-      assert.equal(gate.first(), Long);
+      assert.equal(gate.preferred(), Long);
       assert.equal(startLong(), CAPACITY / 4);
-      assert.equal(gate.first(), Short);
+      assert.equal(gate.preferred(), Short);
     });
   });
 
--- a/packages/decisions/src/plain-queues.ts
+++ b/packages/decisions/src/baseline-queues.ts
@@ -1,11 +1,13 @@
 import {
-  TurnAway,
-  type TurnedAway,
-  type Waiter,
-  type WaitingQueue,
-} from './waiting-queue.js';
+  QueueRejectionReason,
+  type QueueRejection,
+  type QueuedRequest,
+  type RequestQueue,
+} from './request-queue.js';
 
-abstract class PlainQueue<Item extends Waiter> implements WaitingQueue<Item> {
+abstract class BoundedQueue<
+  Item extends QueuedRequest,
+> implements RequestQueue<Item> {
   protected readonly items = new Set<Item>();
   private readonly lengths = new Map<string, number>();
 
@@ -17,29 +19,34 @@
     return this.lengths.get(service) ?? 0;
   }
 
-  enter(item: Item, now: number): readonly TurnedAway<Item>[] {
+  enqueue(item: Item, now: number): readonly QueueRejection<Item>[] {
     if (this.lengthOf(item.service) >= item.queueLimit)
-      return [{item, reason: TurnAway.Full}];
-    if (item.deadline <= now) return [{item, reason: TurnAway.Late}];
+      return [{item, reason: QueueRejectionReason.Full}];
+    if (item.deadline <= now)
+      return [{item, reason: QueueRejectionReason.DeadlineExceeded}];
     this.items.add(item);
     this.lengths.set(item.service, this.lengthOf(item.service) + 1);
     return [];
   }
 
-  abstract next(now: number, mayRun: (item: Item) => boolean): Item | undefined;
+  abstract dequeue(
+    now: number,
+    mayRun: (item: Item) => boolean,
+  ): Item | undefined;
 
-  leave(item: Item): boolean {
+  remove(item: Item): boolean {
     if (!this.items.delete(item)) return false;
     this.lengths.set(item.service, this.lengthOf(item.service) - 1);
     return true;
   }
 
-  expire(now: number): readonly TurnedAway<Item>[] {
-    const late: TurnedAway<Item>[] = [];
+  removeExpired(now: number): readonly QueueRejection<Item>[] {
+    const late: QueueRejection<Item>[] = [];
     for (const item of this.items) {
-      if (item.deadline <= now) late.push({item, reason: TurnAway.Late});
+      if (item.deadline <= now)
+        late.push({item, reason: QueueRejectionReason.DeadlineExceeded});
     }
-    for (const {item} of late) this.leave(item);
+    for (const {item} of late) this.remove(item);
     return late;
   }
 }
@@ -49,12 +56,12 @@
  * Under a standing queue everyone waits nearly to the deadline, and those behind past it.
  */
 export class FirstInFirstOutQueue<
-  Item extends Waiter,
-> extends PlainQueue<Item> {
-  next(now: number, mayRun: (item: Item) => boolean): Item | undefined {
+  Item extends QueuedRequest,
+> extends BoundedQueue<Item> {
+  dequeue(now: number, mayRun: (item: Item) => boolean): Item | undefined {
     for (const item of this.items) {
       if (item.deadline <= now || !mayRun(item)) continue;
-      this.leave(item);
+      this.remove(item);
       return item;
     }
     return undefined;
@@ -69,22 +76,22 @@
  * Weighed against the fair queue: those served wait little, but the others learn only at their
  * deadline that they were never going to be served.
  */
-export class NewestFirstWhenStandingQueue<
-  Item extends Waiter,
-> extends PlainQueue<Item> {
-  private emptyAt = 0;
+export class AdaptiveLastInFirstOutQueue<
+  Item extends QueuedRequest,
+> extends BoundedQueue<Item> {
+  private nonEmptySince = 0;
 
-  override enter(item: Item, now: number): readonly TurnedAway<Item>[] {
-    if (this.length === 0) this.emptyAt = now;
-    return super.enter(item, now);
+  override enqueue(item: Item, now: number): readonly QueueRejection<Item>[] {
+    if (this.length === 0) this.nonEmptySince = now;
+    return super.enqueue(item, now);
   }
 
-  next(now: number, mayRun: (item: Item) => boolean): Item | undefined {
-    const standing = now - this.emptyAt > STANDING_MILLISECONDS;
+  dequeue(now: number, mayRun: (item: Item) => boolean): Item | undefined {
+    const standing = now - this.nonEmptySince > STANDING_MILLISECONDS;
     const order = standing ? [...this.items].reverse() : this.items;
     for (const item of order) {
       if (item.deadline <= now || !mayRun(item)) continue;
-      this.leave(item);
+      this.remove(item);
       return item;
     }
     return undefined;
--- a/packages/decisions/src/tick-clock.ts
+++ b/packages/decisions/src/cached-clock.ts
@@ -4,7 +4,7 @@
  * A clock that is read once for a whole decision. Choosing among a dozen targets asks for the time
  * some thirty times; reading it each time took more than half of a request's choice.
  */
-export class TickClock implements Clock {
+export class CachedClock implements Clock {
   private now: number;
 
   constructor(private readonly clock: Clock) {
@@ -12,7 +12,7 @@
   }
 
   /** Reads the time; called where a decision begins. */
-  tick(): void {
+  refresh(): void {
     this.now = this.clock.monotonicMilliseconds();
   }
 
--- a/packages/decisions/src/ejection.ts
+++ b/packages/decisions/src/ejection.ts
@@ -1,7 +1,7 @@
 import {OutcomeKind, isFailure} from './target-outcome.js';
 
 /** Where a target stands. */
-export enum TargetStanding {
+export enum EjectionState {
   InUse = 'in_use',
   /** Gets nothing. */
   Ejected = 'ejected',
@@ -10,15 +10,15 @@
 }
 
 /** A change of standing, for the journal. */
-export interface StandingChange {
+export interface EjectionStateChange {
   readonly target: string;
-  readonly from: TargetStanding;
-  readonly to: TargetStanding;
+  readonly from: EjectionState;
+  readonly to: EjectionState;
   readonly failuresInARow: number;
   /** Share of failures among recent exchanges. */
   readonly failureShare: number;
   /** Milliseconds that the target stays out. */
-  readonly outMilliseconds: number;
+  readonly ejectionMilliseconds: number;
 }
 
 /** What the bound needs to know of a target. */
@@ -26,13 +26,13 @@
   readonly id: string;
   readonly rack: string;
   /** Whether it is in this daemon's data centre. */
-  readonly isNear: boolean;
+  readonly isSameDataCentre: boolean;
 }
 
 /** Judges the targets of one pool by what exchanges show. */
-export interface Ejection {
+export interface EjectionPolicy {
   /** Where a target stands now. */
-  standing(target: string, now: number): TargetStanding;
+  stateOf(target: string, now: number): EjectionState;
   observe(target: string, kind: OutcomeKind, now: number): void;
   /** The targets of the pool; the bound follows from them. */
   setTargets(targets: readonly EjectionTarget[]): void;
@@ -41,11 +41,11 @@
 }
 
 /** Uses each target whatever it does: the baseline. */
-export class NeverEject implements Ejection {
+export class NoEjection implements EjectionPolicy {
   readonly isSharedFault = false;
 
-  standing(): TargetStanding {
-    return TargetStanding.InUse;
+  stateOf(): EjectionState {
+    return EjectionState.InUse;
   }
 
   observe(): void {}
@@ -53,45 +53,46 @@
   setTargets(): void {}
 }
 
-const FAILURES_IN_A_ROW = 5;
+const CONSECUTIVE_FAILURES_TO_EJECT = 5;
 /** A refused connection leaves little doubt: three of them are enough. */
 const UNREACHABLE_WEIGHT = 2;
-const FAILURE_SHARE = 0.5;
-const SHARE_MINIMUM_EXCHANGES = 10;
+const FAILURE_SHARE_TO_EJECT = 0.5;
+const MINIMUM_EXCHANGES_FOR_SHARE = 10;
 /** Exchanges over which the failure share is kept: a mean over about the last twenty. */
-const SHARE_STEP = 0.05;
-const FIRST_OUT_MILLISECONDS = 2000;
-const LONGEST_OUT_MILLISECONDS = 60_000;
+const FAILURE_SHARE_SMOOTHING_FACTOR = 0.05;
+const INITIAL_EJECTION_MILLISECONDS = 2000;
+const MAXIMUM_EJECTION_MILLISECONDS = 60_000;
 const PROBATION_SUCCESSES = 3;
 /** A target that worked this long after it came back starts again at the shortest time out. */
-const FORGIVE_MILLISECONDS = 60_000;
-const LARGEST_SHARE_OUT = 0.5;
+const BACKOFF_RESET_MILLISECONDS = 60_000;
+const MAXIMUM_EJECTED_SHARE = 0.5;
 
-class TargetRecord {
+class TargetHealth {
   failuresInARow = 0;
   failureShare = 0;
   exchanges = 0;
-  timesOut = 0;
+  ejectionCount = 0;
   /** Undefined while in use. */
-  outUntil: number | undefined;
+  ejectedUntil: number | undefined;
   probationSuccesses = 0;
-  backSince = 0;
+  restoredAt = 0;
 
-  get isOut(): boolean {
-    return this.outUntil !== undefined;
+  get isOutOfUse(): boolean {
+    return this.ejectedUntil !== undefined;
   }
 
-  count(failed: boolean, weight: number): void {
+  observe(failed: boolean, weight: number): void {
     this.exchanges++;
     this.failuresInARow = failed ? this.failuresInARow + weight : 0;
-    this.failureShare += ((failed ? 1 : 0) - this.failureShare) * SHARE_STEP;
+    this.failureShare +=
+      ((failed ? 1 : 0) - this.failureShare) * FAILURE_SHARE_SMOOTHING_FACTOR;
   }
 
-  get looksBad(): boolean {
-    if (this.failuresInARow >= FAILURES_IN_A_ROW) return true;
+  get isFailing(): boolean {
+    if (this.failuresInARow >= CONSECUTIVE_FAILURES_TO_EJECT) return true;
     return (
-      this.exchanges >= SHARE_MINIMUM_EXCHANGES &&
-      this.failureShare >= FAILURE_SHARE
+      this.exchanges >= MINIMUM_EXCHANGES_FOR_SHARE &&
+      this.failureShare >= FAILURE_SHARE_TO_EJECT
     );
   }
 }
@@ -108,70 +109,79 @@
  * fell those. So past the bound all are used as if none were ejected, and the records stay. The
  * bound must be passed near by as well: a data centre that is cut off goes on with its own.
  */
-export class BoundedEjection implements Ejection {
-  private readonly records = new Map<string, TargetRecord>();
+export class BoundedEjection implements EjectionPolicy {
+  private readonly healthByTarget = new Map<string, TargetHealth>();
   private targets: ReadonlyMap<string, EjectionTarget> = new Map();
-  private bound = 0;
-  private nearBound = 0;
-  private isPastBound = false;
+  private maximumEjected = 0;
+  private maximumEjectedInDataCentre = 0;
+  private exceedsMaximum = false;
 
-  constructor(private readonly onChange: (change: StandingChange) => void) {}
+  constructor(
+    private readonly onChange: (change: EjectionStateChange) => void,
+  ) {}
 
   get isSharedFault(): boolean {
-    return this.isPastBound;
+    return this.exceedsMaximum;
   }
 
   setTargets(targets: readonly EjectionTarget[]): void {
     this.targets = new Map(targets.map(target => [target.id, target]));
-    this.bound = boundOf(targets);
-    this.nearBound = boundOf(targets.filter(target => target.isNear));
-    for (const id of this.records.keys()) {
-      if (!this.targets.has(id)) this.records.delete(id);
+    this.maximumEjected = maximumEjectedOf(targets);
+    this.maximumEjectedInDataCentre = maximumEjectedOf(
+      targets.filter(target => target.isSameDataCentre),
+    );
+    for (const id of this.healthByTarget.keys()) {
+      if (!this.targets.has(id)) this.healthByTarget.delete(id);
     }
-    this.countOut();
+    this.updateSharedFault();
   }
 
-  standing(target: string, now: number): TargetStanding {
-    const record = this.records.get(target);
-    if (record?.outUntil === undefined || this.isSharedFault)
-      return TargetStanding.InUse;
-    return now < record.outUntil
-      ? TargetStanding.Ejected
-      : TargetStanding.Probation;
+  stateOf(target: string, now: number): EjectionState {
+    const record = this.healthByTarget.get(target);
+    if (record?.ejectedUntil === undefined || this.isSharedFault)
+      return EjectionState.InUse;
+    return now < record.ejectedUntil
+      ? EjectionState.Ejected
+      : EjectionState.Probation;
   }
 
   observe(target: string, kind: OutcomeKind, now: number): void {
     if (kind === OutcomeKind.CallerGone || kind === OutcomeKind.Busy) return;
     if (!this.targets.has(target)) return;
     const failed = isFailure(kind);
-    const record = this.records.get(target) ?? this.recordOf(target, failed);
+    const record =
+      this.healthByTarget.get(target) ?? this.createHealth(target, failed);
     if (!record) return;
-    record.count(
+    record.observe(
       failed,
       kind === OutcomeKind.Unreachable ? UNREACHABLE_WEIGHT : 1,
     );
-    if (record.isOut) this.observeOut(target, record, failed, now);
-    else if (record.looksBad) this.eject(target, record, now);
-    else if (now - record.backSince > FORGIVE_MILLISECONDS) record.timesOut = 0;
+    if (record.isOutOfUse) this.observeOutOfUse(target, record, failed, now);
+    else if (record.isFailing) this.eject(target, record, now);
+    else if (now - record.restoredAt > BACKOFF_RESET_MILLISECONDS)
+      record.ejectionCount = 0;
   }
 
   /** A target that never failed has no record: the usual case costs nothing. */
-  private recordOf(target: string, failed: boolean): TargetRecord | undefined {
+  private createHealth(
+    target: string,
+    failed: boolean,
+  ): TargetHealth | undefined {
     if (!failed) return undefined;
-    const record = new TargetRecord();
-    this.records.set(target, record);
+    const record = new TargetHealth();
+    this.healthByTarget.set(target, record);
     return record;
   }
 
-  private observeOut(
+  private observeOutOfUse(
     target: string,
-    record: TargetRecord,
+    record: TargetHealth,
     failed: boolean,
     now: number,
   ): void {
-    if (record.outUntil === undefined) return;
+    if (record.ejectedUntil === undefined) return;
     // Exchanges that began before the ejection end after it and prove nothing new.
-    if (now < record.outUntil && !this.isSharedFault) return;
+    if (now < record.ejectedUntil && !this.isSharedFault) return;
     if (failed) {
       record.probationSuccesses = 0;
       if (!this.isSharedFault) this.eject(target, record, now);
@@ -179,37 +189,39 @@
     }
     record.probationSuccesses++;
     if (record.probationSuccesses >= PROBATION_SUCCESSES)
-      this.bringBack(target, record, now);
+      this.restore(target, record, now);
   }
 
-  private eject(target: string, record: TargetRecord, now: number): void {
-    const from = record.isOut ? TargetStanding.Probation : TargetStanding.InUse;
-    const outMilliseconds = Math.min(
-      LONGEST_OUT_MILLISECONDS,
-      FIRST_OUT_MILLISECONDS * 2 ** record.timesOut,
+  private eject(target: string, record: TargetHealth, now: number): void {
+    const from = record.isOutOfUse
+      ? EjectionState.Probation
+      : EjectionState.InUse;
+    const ejectionMilliseconds = Math.min(
+      MAXIMUM_EJECTION_MILLISECONDS,
+      INITIAL_EJECTION_MILLISECONDS * 2 ** record.ejectionCount,
     );
-    record.outUntil = now + outMilliseconds;
-    record.timesOut++;
+    record.ejectedUntil = now + ejectionMilliseconds;
+    record.ejectionCount++;
     record.probationSuccesses = 0;
-    this.countOut();
-    const to = TargetStanding.Ejected;
-    this.onChange(describe(target, record, from, to, outMilliseconds));
+    this.updateSharedFault();
+    const to = EjectionState.Ejected;
+    this.onChange(stateChange(target, record, from, to, ejectionMilliseconds));
   }
 
-  private bringBack(target: string, record: TargetRecord, now: number): void {
-    const change = describe(
+  private restore(target: string, record: TargetHealth, now: number): void {
+    const change = stateChange(
       target,
       record,
-      TargetStanding.Probation,
-      TargetStanding.InUse,
+      EjectionState.Probation,
+      EjectionState.InUse,
       0,
     );
     const wasSharedFault = this.isSharedFault;
-    record.outUntil = undefined;
-    record.backSince = now;
+    record.ejectedUntil = undefined;
+    record.restoredAt = now;
     record.failureShare = 0;
     record.exchanges = 0;
-    this.countOut();
+    this.updateSharedFault();
     this.onChange(change);
     if (wasSharedFault && !this.isSharedFault) this.endSharedFault(now);
   }
@@ -219,43 +231,51 @@
    * the pool would fall out just as the fault ends, with times that grew during it.
    */
   private endSharedFault(now: number): void {
-    for (const record of this.records.values()) {
-      if (record.outUntil === undefined) continue;
-      record.outUntil = Math.min(record.outUntil, now);
-      record.timesOut = 1;
+    for (const record of this.healthByTarget.values()) {
+      if (record.ejectedUntil === undefined) continue;
+      record.ejectedUntil = Math.min(record.ejectedUntil, now);
+      record.ejectionCount = 1;
     }
   }
 
-  private countOut(): void {
+  private updateSharedFault(): void {
     let out = 0;
     let nearOut = 0;
-    for (const [id, record] of this.records) {
-      if (!record.isOut) continue;
+    for (const [id, record] of this.healthByTarget) {
+      if (!record.isOutOfUse) continue;
       out++;
-      if (this.targets.get(id)?.isNear) nearOut++;
+      if (this.targets.get(id)?.isSameDataCentre) nearOut++;
     }
     // Targets of this data centre that work while all others fail show a partition, not a fault
     // that all share: the far ones stay out.
-    this.isPastBound = out > this.bound && nearOut > this.nearBound;
+    this.exceedsMaximum =
+      out > this.maximumEjected && nearOut > this.maximumEjectedInDataCentre;
   }
 }
 
 /** Targets that may be out; -1 for none at all, so that an empty group bounds nothing. */
-function boundOf(targets: readonly EjectionTarget[]): number {
+function maximumEjectedOf(targets: readonly EjectionTarget[]): number {
   const sizes = new Map<string, number>();
   for (const {rack} of targets) sizes.set(rack, (sizes.get(rack) ?? 0) + 1);
-  const half = Math.floor(targets.length * LARGEST_SHARE_OUT);
+  const half = Math.floor(targets.length * MAXIMUM_EJECTED_SHARE);
   const largestRack = Math.max(0, ...sizes.values());
   return Math.min(targets.length - 1, Math.max(half, largestRack));
 }
 
-function describe(
+function stateChange(
   target: string,
-  record: TargetRecord,
-  from: TargetStanding,
-  to: TargetStanding,
-  outMilliseconds: number,
-): StandingChange {
+  record: TargetHealth,
+  from: EjectionState,
+  to: EjectionState,
+  ejectionMilliseconds: number,
+): EjectionStateChange {
   const {failuresInARow, failureShare} = record;
-  return {target, from, to, failuresInARow, failureShare, outMilliseconds};
+  return {
+    target,
+    from,
+    to,
+    failuresInARow,
+    failureShare,
+    ejectionMilliseconds: ejectionMilliseconds,
+  };
 }
--- a/packages/decisions/src/fair-queue.ts
+++ b/packages/decisions/src/fair-queue.ts
@@ -1,28 +1,28 @@
-import type {ClassGate} from './class-gate.js';
-import type {DrainRate} from './drain-rate.js';
-import {allowedWait} from './standing-queue.js';
-import {TeamLane} from './team-lane.js';
+import type {WorkLengthPolicy} from './work-length-policy.js';
+import type {SlotReleaseRate} from './slot-release-rate.js';
+import {allowedWaitMilliseconds} from './standing-queue.js';
+import {WeightedTeamQueue} from './weighted-team-queue.js';
 import {
-  TurnAway,
-  type TurnedAway,
-  type Waiter,
-  type WaitingQueue,
-} from './waiting-queue.js';
-import {WorkLength} from './work-class.js';
+  QueueRejectionReason,
+  type QueueRejection,
+  type QueuedRequest,
+  type RequestQueue,
+} from './request-queue.js';
+import {WorkLength} from './work-length.js';
 
 /** One dispatch of so many goes past waiting urgent work, so that a flood of it starves nobody. */
-const URGENT_IN_A_ROW = 7;
+const MAXIMUM_CONSECUTIVE_URGENT = 7;
 
-class ClassLanes<Item extends Waiter> {
-  readonly urgent = new TeamLane<Item>();
-  readonly usual = new TeamLane<Item>();
+class QueuesByUrgency<Item extends QueuedRequest> {
+  readonly urgent = new WeightedTeamQueue<Item>();
+  readonly nonUrgent = new WeightedTeamQueue<Item>();
 
   get length(): number {
-    return this.urgent.length + this.usual.length;
+    return this.urgent.length + this.nonUrgent.length;
   }
 
-  of(item: Item): TeamLane<Item> {
-    return item.team.urgent ? this.urgent : this.usual;
+  of(item: Item): WeightedTeamQueue<Item> {
+    return item.team.urgent ? this.urgent : this.nonUrgent;
   }
 }
 
@@ -34,18 +34,20 @@
  * and the drain rate: the heavy caller is told at once and the others' wait stays short. When the
  * line is full, the newest of the longest flow gives way.
  */
-export class FairQueue<Item extends Waiter> implements WaitingQueue<Item> {
-  private readonly lanes = {
-    [WorkLength.Short]: new ClassLanes<Item>(),
-    [WorkLength.Long]: new ClassLanes<Item>(),
+export class FairQueue<
+  Item extends QueuedRequest,
+> implements RequestQueue<Item> {
+  private readonly queues = {
+    [WorkLength.Short]: new QueuesByUrgency<Item>(),
+    [WorkLength.Long]: new QueuesByUrgency<Item>(),
   };
   private readonly items = new Set<Item>();
   private readonly lengths = new Map<string, number>();
-  private urgentInARow = 0;
+  private consecutiveUrgent = 0;
 
   constructor(
-    private readonly drain: DrainRate,
-    private readonly gate: ClassGate,
+    private readonly releaseRate: SlotReleaseRate,
+    private readonly workLengthPolicy: WorkLengthPolicy,
   ) {}
 
   get length(): number {
@@ -56,87 +58,102 @@
     return this.lengths.get(service) ?? 0;
   }
 
-  enter(item: Item, now: number): readonly TurnedAway<Item>[] {
-    const reason = this.judge(item, now);
+  enqueue(item: Item, now: number): readonly QueueRejection<Item>[] {
+    const reason = this.entryRejection(item, now);
     if (reason) return [{item, reason}];
     if (this.lengthOf(item.service) < item.queueLimit) {
       this.add(item, now);
       return [];
     }
-    return this.makeRoom(item, now);
+    return this.replaceFromLongestFlow(item, now);
   }
 
-  next(now: number, mayRun: (item: Item) => boolean): Item | undefined {
-    const usualFirst = this.urgentInARow >= URGENT_IN_A_ROW;
+  dequeue(now: number, mayRun: (item: Item) => boolean): Item | undefined {
+    const usualFirst = this.consecutiveUrgent >= MAXIMUM_CONSECUTIVE_URGENT;
     const order = usualFirst ? [false, true] : [true, false];
     for (const urgent of order) {
       const item = this.nextOf(urgent, now, mayRun);
       if (!item) continue;
-      this.urgentInARow = urgent ? this.urgentInARow + 1 : 0;
-      this.forget(item);
+      this.consecutiveUrgent = urgent ? this.consecutiveUrgent + 1 : 0;
+      this.uncount(item);
       return item;
     }
     return undefined;
   }
 
-  leave(item: Item): boolean {
+  remove(item: Item): boolean {
     if (!this.items.has(item)) return false;
-    this.lanes[item.work].of(item).remove(item);
-    this.forget(item);
+    this.queues[item.work].of(item).remove(item);
+    this.uncount(item);
     return true;
   }
 
-  expire(now: number): readonly TurnedAway<Item>[] {
-    const turned: TurnedAway<Item>[] = [];
+  removeExpired(now: number): readonly QueueRejection<Item>[] {
+    const turned: QueueRejection<Item>[] = [];
     for (const item of this.items) {
-      const reason = this.overdue(item, now);
+      const reason = this.waitingRejection(item, now);
       if (reason) turned.push({item, reason});
     }
-    for (const {item} of turned) this.leave(item);
+    for (const {item} of turned) this.remove(item);
     return turned;
   }
 
-  private judge(item: Item, now: number): TurnAway | undefined {
+  private entryRejection(
+    item: Item,
+    now: number,
+  ): QueueRejectionReason | undefined {
     const wait = this.expectedWait(item);
-    if (now + wait >= item.deadline) return TurnAway.Late;
-    if (wait > this.allowedWait(item, now)) return TurnAway.Standing;
+    if (now + wait >= item.deadline)
+      return QueueRejectionReason.DeadlineExceeded;
+    if (wait > this.allowedWait(item, now))
+      return QueueRejectionReason.StandingQueue;
     return undefined;
   }
 
   private expectedWait(item: Item): number {
-    const lanes = this.lanes[item.work];
-    const ahead = lanes.of(item).aheadOf(item);
+    const lanes = this.queues[item.work];
+    const ahead = lanes.of(item).requestsAhead(item);
     const urgent = item.team.urgent ? 0 : lanes.urgent.length;
-    const rate = this.drain.perMillisecond(item.work);
+    const rate = this.releaseRate.slotsPerMillisecond(item.work);
     return (ahead + urgent + 1) / rate;
   }
 
   /** Urgent work is bounded by its teams' quotas and keeps its whole wait. */
   private allowedWait(item: Item, now: number): number {
-    const longest = item.deadline - item.enteredAt;
+    const longest = item.deadline - item.enqueuedAt;
     if (item.team.urgent) return longest;
-    const hold = this.drain.holdMilliseconds(item.work);
-    const waitingFor = this.lanes[item.work].of(item).waitingFor(item, now);
-    return allowedWait(waitingFor, longest, hold);
+    const hold = this.releaseRate.meanSlotMilliseconds(item.work);
+    const waitingFor = this.queues[item.work]
+      .of(item)
+      .waitingMilliseconds(item, now);
+    return allowedWaitMilliseconds(waitingFor, longest, hold);
   }
 
-  private overdue(item: Item, now: number): TurnAway | undefined {
-    if (item.deadline <= now) return TurnAway.Late;
-    const waited = now - item.enteredAt;
-    return waited > this.allowedWait(item, now) ? TurnAway.Standing : undefined;
+  private waitingRejection(
+    item: Item,
+    now: number,
+  ): QueueRejectionReason | undefined {
+    if (item.deadline <= now) return QueueRejectionReason.DeadlineExceeded;
+    const waited = now - item.enqueuedAt;
+    return waited > this.allowedWait(item, now)
+      ? QueueRejectionReason.StandingQueue
+      : undefined;
   }
 
-  private makeRoom(item: Item, now: number): readonly TurnedAway<Item>[] {
-    const lane = this.lanes[item.work].of(item);
-    const longest = lane.longest(item.service);
+  private replaceFromLongestFlow(
+    item: Item,
+    now: number,
+  ): readonly QueueRejection<Item>[] {
+    const lane = this.queues[item.work].of(item);
+    const longest = lane.longestFlow(item.service);
     const newest = longest?.newest();
     const isOwn =
       longest?.caller === item.caller && longest.team.name === item.team.name;
     if (!newest || isOwn || !longest || longest.length < 2)
-      return [{item, reason: TurnAway.Full}];
-    this.leave(newest);
+      return [{item, reason: QueueRejectionReason.Full}];
+    this.remove(newest);
     this.add(item, now);
-    return [{item: newest, reason: TurnAway.Full}];
+    return [{item: newest, reason: QueueRejectionReason.Full}];
   }
 
   private nextOf(
@@ -144,13 +161,13 @@
     now: number,
     mayRun: (item: Item) => boolean,
   ): Item | undefined {
-    const first = this.gate.first();
+    const first = this.workLengthPolicy.preferred();
     const second =
       first === WorkLength.Short ? WorkLength.Long : WorkLength.Short;
     for (const work of [first, second]) {
-      if (!this.gate.mayStart(work)) continue;
-      const lanes = this.lanes[work];
-      const lane = urgent ? lanes.urgent : lanes.usual;
+      if (!this.workLengthPolicy.mayStart(work)) continue;
+      const lanes = this.queues[work];
+      const lane = urgent ? lanes.urgent : lanes.nonUrgent;
       if (lane.length === 0) continue;
       const item = lane.next(now, mayRun);
       if (item) return item;
@@ -159,12 +176,12 @@
   }
 
   private add(item: Item, now: number): void {
-    this.lanes[item.work].of(item).add(item, now);
+    this.queues[item.work].of(item).add(item, now);
     this.items.add(item);
     this.lengths.set(item.service, this.lengthOf(item.service) + 1);
   }
 
-  private forget(item: Item): void {
+  private uncount(item: Item): void {
     this.items.delete(item);
     this.lengths.set(item.service, this.lengthOf(item.service) - 1);
   }
--- a/packages/decisions/src/fair-share.ts
+++ b/packages/decisions/src/fair-share.ts
@@ -1,5 +1,5 @@
 /** One that wants part of something that is shared. */
-export interface Contender {
+export interface NamedDemand {
   readonly name: string;
   /** How much it wants; Infinity for all it can get. */
   readonly demand: number;
@@ -15,7 +15,7 @@
   key: string,
   total: number,
   self: string,
-  others: readonly Contender[],
+  others: readonly NamedDemand[],
 ): number {
   const sorted = [...others].sort(byDemand);
   let remaining = total;
@@ -32,7 +32,7 @@
   return share + (rankOf(key, self, names) < left ? 1 : 0);
 }
 
-function byDemand(left: Contender, right: Contender): number {
+function byDemand(left: NamedDemand, right: NamedDemand): number {
   if (left.demand === right.demand) return 0;
   return left.demand < right.demand ? -1 : 1;
 }
--- a/packages/decisions/src/latency-estimate.ts
+++ b/packages/decisions/src/latency-estimate.ts
@@ -1,8 +1,8 @@
 const DECAY_MILLISECONDS = 5000;
 /** An answer counts at least this much, so that a busy target is judged by its last 50 answers. */
-const SMALLEST_SHARE = 0.02;
+const MINIMUM_SMOOTHING_FACTOR = 0.02;
 const FAILURE_FACTOR = 4;
-const LARGEST_PENALTY_MILLISECONDS = 10_000;
+const MAXIMUM_PENALTY_MILLISECONDS = 10_000;
 
 /**
  * How long a target takes, for comparing targets: a mean that forgets over five seconds of time,
@@ -11,8 +11,8 @@
  * flight and short times, and would draw the most work of all.
  */
 export class LatencyEstimate {
-  private value: number | undefined;
-  private valueAt = 0;
+  private mean: number | undefined;
+  private meanAt = 0;
   private penaltyValue = 0;
   private penaltyAt = 0;
 
@@ -20,36 +20,36 @@
    * Milliseconds expected of an exchange; `usual` where nothing is known. Without fresh answers
    * the estimate goes back to the usual: a target once slow is tried again.
    */
-  expected(usual: number, now: number): number {
-    if (this.value === undefined) return usual;
-    return usual + (this.value - usual) * remaining(now - this.valueAt);
+  expectedMilliseconds(usual: number, now: number): number {
+    if (this.mean === undefined) return usual;
+    return usual + (this.mean - usual) * decayFactor(now - this.meanAt);
   }
 
   /** Milliseconds that recent failures add to the target's cost. */
-  penalty(now: number): number {
+  penaltyMilliseconds(now: number): number {
     if (this.penaltyValue === 0) return 0;
-    return this.penaltyValue * remaining(now - this.penaltyAt);
+    return this.penaltyValue * decayFactor(now - this.penaltyAt);
   }
 
   observe(milliseconds: number, now: number): void {
-    if (this.value === undefined) {
-      this.value = milliseconds;
+    if (this.mean === undefined) {
+      this.mean = milliseconds;
     } else {
-      const byTime = 1 - remaining(now - this.valueAt);
-      const share = Math.max(SMALLEST_SHARE, byTime);
-      this.value += (milliseconds - this.value) * share;
+      const byTime = 1 - decayFactor(now - this.meanAt);
+      const share = Math.max(MINIMUM_SMOOTHING_FACTOR, byTime);
+      this.mean += (milliseconds - this.mean) * share;
     }
-    this.valueAt = now;
+    this.meanAt = now;
   }
 
   /** Counts a failed exchange. */
-  penalise(usual: number, now: number): void {
-    const grown = (this.penalty(now) + usual) * FAILURE_FACTOR;
-    this.penaltyValue = Math.min(LARGEST_PENALTY_MILLISECONDS, grown);
+  observeFailure(usual: number, now: number): void {
+    const grown = (this.penaltyMilliseconds(now) + usual) * FAILURE_FACTOR;
+    this.penaltyValue = Math.min(MAXIMUM_PENALTY_MILLISECONDS, grown);
     this.penaltyAt = now;
   }
 }
 
-function remaining(elapsed: number): number {
+function decayFactor(elapsed: number): number {
   return Math.exp(-elapsed / DECAY_MILLISECONDS);
 }
--- a/packages/decisions/src/pool-slot.ts
+++ b/packages/decisions/src/pool-slot.ts
@@ -1,10 +1,10 @@
-import type {ChoiceAsk} from './target-choice.js';
+import type {SelectionRequest} from './target-selector.js';
 import type {RoutableTarget, TargetEntry} from './target-entry.js';
 import {OutcomeKind, type TargetOutcome} from './target-outcome.js';
-import type {TurnAway, Waiter} from './waiting-queue.js';
+import type {QueueRejectionReason, QueuedRequest} from './request-queue.js';
 
 /** A request that wants a slot of the pool. Exactly one of `grant` and `refuse` is called, once. */
-export interface SlotAsk extends Waiter, ChoiceAsk {
+export interface SlotRequest extends QueuedRequest, SelectionRequest {
   grant(slot: PoolSlot): void;
   refuse(refusal: SlotRefusal): void;
 }
@@ -12,15 +12,15 @@
 /** Why a request got no slot. */
 export interface SlotRefusal {
   /** Undefined when the pool has no target that could ever take it now. */
-  readonly reason: TurnAway | undefined;
+  readonly reason: QueueRejectionReason | undefined;
   /** Whether the team's quota kept it waiting. */
-  readonly quotaHeld: boolean;
+  readonly isQuotaExhausted: boolean;
   /** Whole seconds after which to come again. */
   readonly retryAfterSeconds: number;
 }
 
 /** What a granted slot tells its pool. */
-export interface SlotHolder {
+export interface SlotIssuer {
   isRoutable(entry: TargetEntry): boolean;
   onOutcome(slot: PoolSlot, outcome: TargetOutcome): void;
   onReleased(slot: PoolSlot): void;
@@ -33,9 +33,9 @@
   private isReleased = false;
 
   constructor(
-    private readonly pool: SlotHolder,
+    private readonly pool: SlotIssuer,
     readonly entry: TargetEntry,
-    readonly ask: SlotAsk,
+    readonly request: SlotRequest,
     /** Monotonic milliseconds of the grant. */
     readonly startedAt: number,
   ) {}
--- a/packages/decisions/src/retry-budget.ts
+++ b/packages/decisions/src/retry-budget.ts
@@ -2,7 +2,7 @@
 import {OutcomeKind} from './target-outcome.js';
 
 /** A failed attempt that the caller's edge would like to send to another target. */
-export interface RetryQuestion {
+export interface FailedAttempt {
   readonly kind: OutcomeKind;
   /** Whether a byte of the request went to the target. */
   readonly sent: boolean;
@@ -12,16 +12,16 @@
 }
 
 /** Whether a failed attempt is sent again, and why not. */
-export enum RetryVerdict {
+export enum RetryDecision {
   Retry = 'retry',
   /** The request may have been run and must not be run twice. */
   MayHaveRun = 'may_have_run',
   /** The request had its attempts. */
-  AttemptsSpent = 'attempts_spent',
+  AttemptsExhausted = 'attempts_spent',
   /** Too many requests are being sent again already. */
-  BudgetSpent = 'budget_spent',
+  BudgetExhausted = 'budget_spent',
   /** Nobody waits for the answer. */
-  NobodyWaits = 'nobody_waits',
+  CallerGone = 'nobody_waits',
 }
 
 /** Decides on second attempts. */
@@ -29,11 +29,11 @@
   /** Counts a first attempt, which earns a part of a retry. */
   onFirstAttempt(): void;
   /** Spends from the budget when the verdict is `Retry`. */
-  judge(question: RetryQuestion): RetryVerdict;
+  decide(question: FailedAttempt): RetryDecision;
 }
 
 /** Whether sending again can run the request twice. */
-export function isSafeToRepeat(question: RetryQuestion): boolean {
+export function isSafeToRepeat(question: FailedAttempt): boolean {
   if (!question.sent || question.kind === OutcomeKind.Busy) return true;
   return question.idempotent;
 }
@@ -44,9 +44,9 @@
 export const MAXIMUM_UNSENT_ATTEMPTS = 5;
 /** Attempts of a request that met busy targets; its wait is bounded by its deadline as well. */
 export const MAXIMUM_BUSY_ATTEMPTS = 8;
-const SHARE_OF_REQUESTS = 0.2;
-const MINIMUM_PER_SECOND = 2;
-const LARGEST_SAVINGS = 50;
+const RETRIES_PER_REQUEST = 0.2;
+const MINIMUM_RETRIES_PER_SECOND = 2;
+const MAXIMUM_BALANCE = 50;
 const MILLISECONDS_PER_SECOND = 1000;
 
 /**
@@ -60,7 +60,7 @@
  * share, and the request goes back to waiting, bounded by its attempts and its deadline.
  */
 export class RetryBudget implements RetryPolicy {
-  private balance = MINIMUM_PER_SECOND;
+  private balance = MINIMUM_RETRIES_PER_SECOND;
   private lastRefill: number;
 
   constructor(private readonly clock: Clock) {
@@ -68,35 +68,35 @@
   }
 
   onFirstAttempt(): void {
-    this.earn(SHARE_OF_REQUESTS);
+    this.credit(RETRIES_PER_REQUEST);
   }
 
-  judge(question: RetryQuestion): RetryVerdict {
+  decide(question: FailedAttempt): RetryDecision {
     if (question.kind === OutcomeKind.CallerGone)
-      return RetryVerdict.NobodyWaits;
-    if (!isSafeToRepeat(question)) return RetryVerdict.MayHaveRun;
+      return RetryDecision.CallerGone;
+    if (!isSafeToRepeat(question)) return RetryDecision.MayHaveRun;
     if (question.attempts >= attemptsFor(question))
-      return RetryVerdict.AttemptsSpent;
-    if (question.kind === OutcomeKind.Busy) return RetryVerdict.Retry;
+      return RetryDecision.AttemptsExhausted;
+    if (question.kind === OutcomeKind.Busy) return RetryDecision.Retry;
     this.refill();
-    if (this.balance < 1) return RetryVerdict.BudgetSpent;
+    if (this.balance < 1) return RetryDecision.BudgetExhausted;
     this.balance -= 1;
-    return RetryVerdict.Retry;
+    return RetryDecision.Retry;
   }
 
   private refill(): void {
     const now = this.clock.monotonicMilliseconds();
     const seconds = (now - this.lastRefill) / MILLISECONDS_PER_SECOND;
     this.lastRefill = now;
-    this.earn(seconds * MINIMUM_PER_SECOND);
+    this.credit(seconds * MINIMUM_RETRIES_PER_SECOND);
   }
 
-  private earn(amount: number): void {
-    this.balance = Math.min(LARGEST_SAVINGS, this.balance + amount);
+  private credit(amount: number): void {
+    this.balance = Math.min(MAXIMUM_BALANCE, this.balance + amount);
   }
 }
 
-function attemptsFor({kind, sent}: RetryQuestion): number {
+function attemptsFor({kind, sent}: FailedAttempt): number {
   if (kind === OutcomeKind.Busy) return MAXIMUM_BUSY_ATTEMPTS;
   return sent ? MAXIMUM_ATTEMPTS : MAXIMUM_UNSENT_ATTEMPTS;
 }
@@ -105,12 +105,12 @@
 export class UnlimitedRetries implements RetryPolicy {
   onFirstAttempt(): void {}
 
-  judge(question: RetryQuestion): RetryVerdict {
+  decide(question: FailedAttempt): RetryDecision {
     if (question.kind === OutcomeKind.CallerGone)
-      return RetryVerdict.NobodyWaits;
-    if (!isSafeToRepeat(question)) return RetryVerdict.MayHaveRun;
+      return RetryDecision.CallerGone;
+    if (!isSafeToRepeat(question)) return RetryDecision.MayHaveRun;
     if (question.attempts >= MAXIMUM_ATTEMPTS)
-      return RetryVerdict.AttemptsSpent;
-    return RetryVerdict.Retry;
+      return RetryDecision.AttemptsExhausted;
+    return RetryDecision.Retry;
   }
 }
--- a/packages/decisions/src/routable-targets.ts
+++ b/packages/decisions/src/routable-targets.ts
@@ -1,7 +1,7 @@
 import type {RoutableTarget} from './target-entry.js';
 
 /** What the platform's list says of a VM. */
-export interface ListedFacts {
+export interface VmListing {
   readonly address: string;
   readonly dataCentre: string;
   readonly rack: string;
@@ -9,12 +9,12 @@
 }
 
 /** What is known of one VM that the log gives to the pool. */
-export interface TargetFacts {
+export interface PoolVm {
   readonly id: string;
   /** A drain record is in force. */
   readonly isDraining: boolean;
   /** Undefined when the list does not show the VM. */
-  readonly listed: ListedFacts | undefined;
+  readonly listed: VmListing | undefined;
   /** Monotonic milliseconds of this daemon's last whole answer from it. */
   readonly lastAnswerAt: number | undefined;
 }
@@ -26,17 +26,17 @@
 }
 
 interface LastSeen {
-  readonly facts: ListedFacts;
+  readonly listing: VmListing;
   readonly at: number;
 }
 
 /** A VM missing from the list this long is gone, whatever it answers: within the 3 s for leaving. */
-const MISSING_MILLISECONDS = 2000;
+const MISSING_GRACE_MILLISECONDS = 2000;
 /** The same when more than half of the pool went missing at one time. */
-const MANY_MISSING_MILLISECONDS = 60_000;
+const MASS_MISSING_GRACE_MILLISECONDS = 60_000;
 /** An answer this recent shows that a VM serves. */
 const RECENT_ANSWER_MILLISECONDS = 10_000;
-const MANY_SHARE = 0.5;
+const MASS_MISSING_SHARE = 0.5;
 
 /**
  * Which VMs of a pool may get work, and which of them are near.
@@ -53,64 +53,73 @@
 
   /** The routable targets now. */
   select(
-    pool: readonly TargetFacts[],
+    pool: readonly PoolVm[],
     limits: TargetLimits,
     now: number,
   ): RoutableTarget[] {
-    this.remember(pool, now);
+    this.updateLastSeen(pool, now);
     const missing = pool.filter(facts => this.isMissing(facts)).length;
-    const isMany = missing > pool.length * MANY_SHARE;
-    const patience = isMany ? MANY_MISSING_MILLISECONDS : MISSING_MILLISECONDS;
+    const isMany = missing > pool.length * MASS_MISSING_SHARE;
+    const patience = isMany
+      ? MASS_MISSING_GRACE_MILLISECONDS
+      : MISSING_GRACE_MILLISECONDS;
     return pool.flatMap(facts => {
       if (facts.isDraining || facts.listed?.isLeaving) return [];
-      const listed = facts.listed ?? this.kept(facts, patience, now);
+      const listed = facts.listed ?? this.retained(facts, patience, now);
       return listed ? [this.routable(facts.id, listed, limits)] : [];
     });
   }
 
   /** True while a missing VM is kept: `select` must be asked again as time goes on. */
-  get keepsMissing(): boolean {
-    return this.keptCount > 0;
+  get retainsMissing(): boolean {
+    return this.retainedCount > 0;
   }
 
-  private keptCount = 0;
+  private retainedCount = 0;
 
-  private remember(pool: readonly TargetFacts[], now: number): void {
-    this.keptCount = 0;
+  private updateLastSeen(pool: readonly PoolVm[], now: number): void {
+    this.retainedCount = 0;
     const ids = new Set(pool.map(facts => facts.id));
     for (const id of this.lastSeen.keys()) {
       if (!ids.has(id)) this.lastSeen.delete(id);
     }
     for (const {id, listed} of pool) {
-      if (listed) this.lastSeen.set(id, {facts: listed, at: now});
+      if (listed) this.lastSeen.set(id, {listing: listed, at: now});
     }
   }
 
-  private isMissing(facts: TargetFacts): boolean {
+  private isMissing(facts: PoolVm): boolean {
     return facts.listed === undefined && this.lastSeen.has(facts.id);
   }
 
-  private kept(
-    {id, lastAnswerAt}: TargetFacts,
+  private retained(
+    {id, lastAnswerAt}: PoolVm,
     patience: number,
     now: number,
-  ): ListedFacts | undefined {
+  ): VmListing | undefined {
     const seen = this.lastSeen.get(id);
-    if (!seen || seen.facts.isLeaving) return undefined;
+    if (!seen || seen.listing.isLeaving) return undefined;
     const answered =
       lastAnswerAt !== undefined &&
       now - lastAnswerAt < RECENT_ANSWER_MILLISECONDS;
     if (!answered || now - seen.at >= patience) return undefined;
-    this.keptCount++;
-    return seen.facts;
+    this.retainedCount++;
+    return seen.listing;
   }
 
   private routable(
     id: string,
-    {address, rack, dataCentre}: ListedFacts,
+    {address, rack, dataCentre}: VmListing,
     {slots, connections}: TargetLimits,
   ): RoutableTarget {
-    const isNear = dataCentre === this.dataCentre;
-    return {id, address, rack, isNear, slots, connections};
+    const isSameDataCentre = dataCentre === this.dataCentre;
+    return {
+      id,
+      address,
+      rack,
+      isSameDataCentre: isSameDataCentre,
+      slots,
+      connections,
+    };
   }
 }
--- a/packages/decisions/src/slot-share.ts
+++ b/packages/decisions/src/slot-limiter.ts
@@ -1,37 +1,41 @@
 import type {Clock} from '@gentiandoor/kernel';
-import {fairShare, type Contender} from './fair-share.js';
+import {fairShare, type NamedDemand} from './fair-share.js';
 
 /** What a peer says of one thing that all daemons share, such as a target's slots. */
-export interface PeerUse {
+export interface PeerUsage {
   readonly inFlight: number;
   /** Whether it has requests waiting that could use more. */
   readonly waiting: boolean;
 }
 
 /** What a peer says of all that it uses, by key; keys that it does not use are left out. */
-export type PeerUses = ReadonlyMap<string, PeerUse>;
+export type PeerUsageByKey = ReadonlyMap<string, PeerUsage>;
 
 /** How much of each target this daemon may use at one time. */
-export interface SlotShare {
+export interface SlotLimiter {
   /** Exchanges that this daemon may have in flight at `key`, which allows `slots` in all. */
   limit(key: string, slots: number): number;
   /** The part of the limit that is this daemon's own; the rest is borrowed from peers that leave it idle. */
-  own(key: string, slots: number): number;
+  ownLimit(key: string, slots: number): number;
   /** The target answered that it is at its limit, with `inFlight` of this daemon's there. */
   onBusy(key: string, inFlight: number, slots: number): void;
   /** An exchange ended well while `inFlight` were there. */
   onSuccess(key: string, inFlight: number, slots: number): void;
   /** Takes in a peer's summary, which replaces its earlier one and is good for a time. */
-  onPeer(peer: string, uses: PeerUses, expiryMilliseconds: number): void;
+  onPeerUsage(
+    peer: string,
+    uses: PeerUsageByKey,
+    expiryMilliseconds: number,
+  ): void;
 }
 
 /** Sends whatever comes: the baseline without a limit; what is too much, the targets refuse. */
-export class NoLimit implements SlotShare {
+export class NoSlotLimiter implements SlotLimiter {
   limit(): number {
     return Infinity;
   }
 
-  own(): number {
+  ownLimit(): number {
     return Infinity;
   }
 
@@ -39,16 +43,16 @@
 
   onSuccess(): void {}
 
-  onPeer(): void {}
+  onPeerUsage(): void {}
 }
 
 /** Each daemon may use every slot of a target; targets answer busy under load. */
-export class WholeTarget implements SlotShare {
+export class FullTargetLimiter implements SlotLimiter {
   limit(_key: string, slots: number): number {
     return slots;
   }
 
-  own(_key: string, slots: number): number {
+  ownLimit(_key: string, slots: number): number {
     return slots;
   }
 
@@ -56,18 +60,18 @@
 
   onSuccess(): void {}
 
-  onPeer(): void {}
+  onPeerUsage(): void {}
 }
 
 /** An even split for good: no busy answers, but a daemon with all the load uses one part only. */
-export class StaticSplit implements SlotShare {
+export class StaticSplitLimiter implements SlotLimiter {
   constructor(private readonly daemons: number) {}
 
   limit(_key: string, slots: number): number {
     return Math.max(1, Math.floor(slots / this.daemons));
   }
 
-  own(key: string, slots: number): number {
+  ownLimit(key: string, slots: number): number {
     return this.limit(key, slots);
   }
 
@@ -75,69 +79,70 @@
 
   onSuccess(): void {}
 
-  onPeer(): void {}
+  onPeerUsage(): void {}
 }
 
 interface LearnedLimit {
   value: number;
-  lastCut: number;
+  lastDecreaseAt: number;
 }
 
-const CUT_FACTOR = 0.7;
+const DECREASE_FACTOR = 0.7;
 /** Answers on their way when the cut was made tell nothing new. */
-const CUT_PAUSE_MILLISECONDS = 50;
+const DECREASE_PAUSE_MILLISECONDS = 50;
 
 /**
  * Learns its part from busy answers alone: cut by a share, raised by one slot a round.
  * Answers daemons that share targets and cannot hear each other. On its own it keeps probing, so
  * that targets go on answering busy now and then.
  */
-export class AdditiveIncreaseShare implements SlotShare {
-  private readonly learned = new Map<string, LearnedLimit>();
+export class AdditiveIncreaseLimiter implements SlotLimiter {
+  private readonly learnedLimits = new Map<string, LearnedLimit>();
 
   constructor(private readonly clock: Clock) {}
 
   limit(key: string, slots: number): number {
-    const entry = this.learned.get(key);
+    const entry = this.learnedLimits.get(key);
     if (!entry) return slots;
     return Math.max(1, Math.floor(entry.value));
   }
 
-  own(key: string, slots: number): number {
+  ownLimit(key: string, slots: number): number {
     return this.limit(key, slots);
   }
 
   onBusy(key: string, inFlight: number, slots: number): void {
     const now = this.clock.monotonicMilliseconds();
-    const entry = this.learned.get(key);
-    if (entry && now - entry.lastCut < CUT_PAUSE_MILLISECONDS) return;
+    const entry = this.learnedLimits.get(key);
+    if (entry && now - entry.lastDecreaseAt < DECREASE_PAUSE_MILLISECONDS)
+      return;
     const value = Math.min(entry?.value ?? slots, inFlight);
-    this.learned.set(key, {
-      value: Math.max(1, value * CUT_FACTOR),
-      lastCut: now,
+    this.learnedLimits.set(key, {
+      value: Math.max(1, value * DECREASE_FACTOR),
+      lastDecreaseAt: now,
     });
   }
 
   onSuccess(key: string, inFlight: number, slots: number): void {
-    const entry = this.learned.get(key);
+    const entry = this.learnedLimits.get(key);
     if (!entry || inFlight < Math.floor(entry.value)) return;
     entry.value += 1 / entry.value;
-    if (entry.value >= slots) this.learned.delete(key);
+    if (entry.value >= slots) this.learnedLimits.delete(key);
   }
 
-  onPeer(): void {}
+  onPeerUsage(): void {}
 }
 
-interface PeerPicture {
-  readonly uses: PeerUses;
+interface PeerReport {
+  readonly uses: PeerUsageByKey;
   readonly expiresAt: number;
 }
 
-interface CachedShare {
+interface CachedLimit {
   readonly version: number;
   readonly slots: number;
   readonly limit: number;
-  readonly own: number;
+  readonly ownLimit: number;
 }
 
 /** Room left for a peer that uses a key, so that its next request does not meet a full target. */
@@ -153,10 +158,10 @@
  * where one of them is past its part. Busy answers still cut the share, for peers that cannot be
  * heard and for what a summary is too old to show.
  */
-export class PeerShare implements SlotShare {
-  private readonly learned: AdditiveIncreaseShare;
-  private readonly peers = new Map<string, PeerPicture>();
-  private readonly cache = new Map<string, CachedShare>();
+export class PeerAwareLimiter implements SlotLimiter {
+  private readonly learnedLimiter: AdditiveIncreaseLimiter;
+  private readonly peers = new Map<string, PeerReport>();
+  private readonly cache = new Map<string, CachedLimit>();
   private version = 0;
   private nextExpiry = Infinity;
 
@@ -165,35 +170,39 @@
     private readonly self: string,
     private readonly minimum = 1,
   ) {
-    this.learned = new AdditiveIncreaseShare(clock);
+    this.learnedLimiter = new AdditiveIncreaseLimiter(clock);
   }
 
   limit(key: string, slots: number): number {
-    const {limit} = this.shareOf(key, slots);
-    return Math.min(limit, this.learned.limit(key, slots));
+    const {limit} = this.limitsOf(key, slots);
+    return Math.min(limit, this.learnedLimiter.limit(key, slots));
   }
 
-  own(key: string, slots: number): number {
-    const {own} = this.shareOf(key, slots);
-    return Math.min(own, this.learned.limit(key, slots));
+  ownLimit(key: string, slots: number): number {
+    const {ownLimit: own} = this.limitsOf(key, slots);
+    return Math.min(own, this.learnedLimiter.limit(key, slots));
   }
 
   onBusy(key: string, inFlight: number, slots: number): void {
-    this.learned.onBusy(key, inFlight, slots);
+    this.learnedLimiter.onBusy(key, inFlight, slots);
   }
 
   onSuccess(key: string, inFlight: number, slots: number): void {
-    this.learned.onSuccess(key, inFlight, slots);
+    this.learnedLimiter.onSuccess(key, inFlight, slots);
   }
 
-  onPeer(peer: string, uses: PeerUses, expiryMilliseconds: number): void {
+  onPeerUsage(
+    peer: string,
+    uses: PeerUsageByKey,
+    expiryMilliseconds: number,
+  ): void {
     const expiresAt = this.clock.monotonicMilliseconds() + expiryMilliseconds;
     this.peers.set(peer, {uses, expiresAt});
     this.nextExpiry = Math.min(this.nextExpiry, expiresAt);
     this.version++;
   }
 
-  private shareOf(key: string, slots: number): CachedShare {
+  private limitsOf(key: string, slots: number): CachedLimit {
     this.expirePeers();
     const cached = this.cache.get(key);
     if (cached?.version === this.version && cached.slots === slots)
@@ -203,8 +212,8 @@
     return fresh;
   }
 
-  private compute(key: string, slots: number): CachedShare {
-    const users: Contender[] = [];
+  private compute(key: string, slots: number): CachedLimit {
+    const users: NamedDemand[] = [];
     for (const [name, {uses}] of this.peers) {
       const use = uses.get(key);
       if (use) users.push({name, demand: demandOf(use)});
@@ -216,7 +225,7 @@
       version: this.version,
       slots,
       limit: Math.max(this.minimum, limit),
-      own: Math.max(this.minimum, own),
+      ownLimit: Math.max(this.minimum, own),
     };
   }
 
@@ -232,6 +241,6 @@
   }
 }
 
-function demandOf(use: PeerUse): number {
+function demandOf(use: PeerUsage): number {
   return use.waiting ? Infinity : use.inFlight + PEER_HEADROOM;
 }
--- a/packages/decisions/src/slot-pool.ts
+++ b/packages/decisions/src/slot-pool.ts
@@ -1,44 +1,48 @@
 import type {RandomSource, Timer} from '@gentiandoor/kernel';
-import type {ClassGate} from './class-gate.js';
-import {retryAfterSeconds, type DrainRate} from './drain-rate.js';
-import type {Ejection} from './ejection.js';
-import {PoolSlot, type SlotAsk, type SlotHolder} from './pool-slot.js';
+import type {WorkLengthPolicy} from './work-length-policy.js';
+import {retryAfterSeconds, type SlotReleaseRate} from './slot-release-rate.js';
+import type {EjectionPolicy} from './ejection.js';
+import {PoolSlot, type SlotRequest, type SlotIssuer} from './pool-slot.js';
 import type {SlowTargetRule} from './slow-target.js';
-import type {PeerUse, PeerUses, SlotShare} from './slot-share.js';
-import type {TargetChoice} from './target-choice.js';
+import type {PeerUsage, PeerUsageByKey, SlotLimiter} from './slot-limiter.js';
+import type {TargetSelector} from './target-selector.js';
 import type {RoutableTarget, TargetEntry} from './target-entry.js';
 import {TargetSet} from './target-set.js';
 import {OutcomeKind, isFailure, type TargetOutcome} from './target-outcome.js';
 import type {TeamQuota} from './team-quota.js';
-import type {TurnAway, TurnedAway, WaitingQueue} from './waiting-queue.js';
-import type {TickClock} from './tick-clock.js';
+import type {
+  QueueRejectionReason,
+  QueueRejection,
+  RequestQueue,
+} from './request-queue.js';
+import type {CachedClock} from './cached-clock.js';
 import type {WeightRamp} from './weight-ramp.js';
-import {WorkLength} from './work-class.js';
+import {WorkLength} from './work-length.js';
 
 /** Why work went to another data centre. */
 export enum SpillReason {
   /** Every slot near by that this daemon may use is taken. */
-  NearFull = 'near_full',
+  DataCentreFull = 'near_full',
   /** No target near by can be used. */
-  NearGone = 'near_gone',
+  DataCentreUnavailable = 'near_gone',
 }
 
 /** The parts of a pool's decisions. */
-export interface SlotPoolParts {
-  readonly clock: TickClock;
+export interface SlotPoolDependencies {
+  readonly clock: CachedClock;
   readonly random: RandomSource;
-  readonly share: SlotShare;
-  readonly choice: TargetChoice;
-  readonly ejection: Ejection;
+  readonly limiter: SlotLimiter;
+  readonly selector: TargetSelector;
+  readonly ejection: EjectionPolicy;
   readonly ramp: WeightRamp;
-  readonly drain: DrainRate;
-  readonly gate: ClassGate;
+  readonly releaseRate: SlotReleaseRate;
+  readonly workLengthPolicy: WorkLengthPolicy;
   readonly slowTargets: SlowTargetRule;
   readonly quota: TeamQuota;
-  readonly queue: WaitingQueue<SlotAsk>;
+  readonly queue: RequestQueue<SlotRequest>;
   readonly onSpill: (reason: SpillReason) => void;
   /** Requests begin to wait: peers that know it leave slots. */
-  readonly onPressure: () => void;
+  readonly onWaitingStarted: () => void;
 }
 
 /** How often deadlines and the standing queue are looked at while requests wait. */
@@ -48,29 +52,29 @@
  * Dispatch and giving up are one choice: an ask leaves the queue in the same step that grants or
  * refuses it, and nothing else runs in between.
  */
-export class SlotPool implements SlotHolder {
+export class SlotPool implements SlotIssuer {
   private readonly targets: TargetSet;
   /** False once no target had room; spares a look through all targets for each request. */
-  private mayHaveRoom = true;
+  private mayHaveFreeSlot = true;
   private sweep: Timer | undefined;
 
-  constructor(private readonly parts: SlotPoolParts) {
-    const {clock, drain} = parts;
+  constructor(private readonly dependencies: SlotPoolDependencies) {
+    const {clock, releaseRate: drain} = dependencies;
     this.targets = new TargetSet({
-      ...parts,
+      ...dependencies,
       now: () => clock.monotonicMilliseconds(),
-      usualMilliseconds: () => drain.holdMilliseconds(WorkLength.Short),
-      queueMilliseconds: () =>
-        (this.waiting + 1) / drain.perMillisecond(WorkLength.Short),
+      usualMilliseconds: () => drain.meanSlotMilliseconds(WorkLength.Short),
+      expectedQueueMilliseconds: () =>
+        (this.waiting + 1) / drain.slotsPerMillisecond(WorkLength.Short),
     });
   }
 
   get waiting(): number {
-    return this.parts.queue.length;
+    return this.dependencies.queue.length;
   }
 
   get inFlight(): number {
-    const {drain} = this.parts;
+    const {releaseRate: drain} = this.dependencies;
     return (
       drain.inFlightOf(WorkLength.Short) + drain.inFlightOf(WorkLength.Long)
     );
@@ -78,40 +82,40 @@
 
   /** Replaces the routable targets; called on change only. */
   setTargets(targets: readonly RoutableTarget[]): void {
-    this.parts.clock.tick();
+    this.dependencies.clock.refresh();
     this.targets.set(targets);
-    this.onRoomChanged();
+    this.onCapacityChanged();
   }
 
   /** Grants or refuses now or later. */
-  acquire(ask: SlotAsk): void {
-    const {queue, clock} = this.parts;
-    clock.tick();
-    if (queue.length > 0 && this.mayHaveRoom) this.pump();
+  acquire(ask: SlotRequest): void {
+    const {queue, clock} = this.dependencies;
+    clock.refresh();
+    if (queue.length > 0 && this.mayHaveFreeSlot) this.dispatchWaiting();
     // Room that is left after pumping is room that none of those waiting may use.
-    const mayStart = queue.length === 0 || this.mayHaveRoom;
-    if (mayStart && this.startNow(ask)) return;
+    const mayStart = queue.length === 0 || this.mayHaveFreeSlot;
+    if (mayStart && this.tryStart(ask)) return;
     if (this.capacity() === 0) {
       this.refuse(ask, undefined);
       return;
     }
     const isFirst = queue.length === 0;
-    this.turnAway(queue.enter(ask, this.now()));
-    if (isFirst && queue.length > 0) this.parts.onPressure();
-    this.armSweep();
+    this.refuseAll(queue.enqueue(ask, this.now()));
+    if (isFirst && queue.length > 0) this.dependencies.onWaitingStarted();
+    this.scheduleSweep();
   }
 
   /** The caller gave up; false when the ask is no longer waiting. */
-  cancel(ask: SlotAsk): boolean {
-    return this.parts.queue.leave(ask);
+  cancel(ask: SlotRequest): boolean {
+    return this.dependencies.queue.remove(ask);
   }
 
   /** Something outside changed what may run: peers' summaries, a quota, a target's standing. */
-  onRoomChanged(): void {
-    this.parts.clock.tick();
-    this.mayHaveRoom = true;
-    this.targets.onChanged();
-    this.pump();
+  onCapacityChanged(): void {
+    this.dependencies.clock.refresh();
+    this.mayHaveFreeSlot = true;
+    this.targets.invalidateTotals();
+    this.dispatchWaiting();
   }
 
   /** Slots that this daemon may use now, in all targets. */
@@ -120,22 +124,26 @@
   }
 
   /** Takes in what a peer says that it uses of the targets. */
-  onPeer(peer: string, uses: PeerUses, expiryMilliseconds: number): void {
-    this.parts.clock.tick();
-    this.parts.share.onPeer(peer, uses, expiryMilliseconds);
-    this.onRoomChanged();
+  onPeerUsage(
+    peer: string,
+    uses: PeerUsageByKey,
+    expiryMilliseconds: number,
+  ): void {
+    this.dependencies.clock.refresh();
+    this.dependencies.limiter.onPeerUsage(peer, uses, expiryMilliseconds);
+    this.onCapacityChanged();
   }
 
   /** This daemon's use of each target, for its peers; empty while it has no work. */
-  uses(): Map<string, PeerUse> {
+  usage(): Map<string, PeerUsage> {
     const waiting = this.waiting > 0;
     if (!waiting && this.inFlight === 0) return new Map();
-    return this.targets.uses(waiting);
+    return this.targets.usage(waiting);
   }
 
   /** Targets that said themselves that they are leaving. */
-  leaving(): string[] {
-    this.parts.clock.tick();
+  leavingTargets(): string[] {
+    this.dependencies.clock.refresh();
     return this.idsOf(entry => entry.isLeaving());
   }
 
@@ -145,14 +153,14 @@
   }
 
   /** Targets that get no work because of their failures. */
-  ejected(): string[] {
-    this.parts.clock.tick();
+  ejectedTargets(): string[] {
+    this.dependencies.clock.refresh();
     return this.idsOf(entry => entry.isEjected());
   }
 
   /** A sign of leaving from a peer. */
-  onLeaving(target: string): void {
-    this.parts.clock.tick();
+  onTargetLeaving(target: string): void {
+    this.dependencies.clock.refresh();
     this.targets.get(target)?.onLeaving();
   }
 
@@ -162,34 +170,36 @@
   }
 
   /** Requests of one service that wait. */
-  waitingOf(service: string): number {
-    return this.parts.queue.lengthOf(service);
+  waitingForService(service: string): number {
+    return this.dependencies.queue.lengthOf(service);
   }
 
   /** Whether so many targets look bad that none is treated as ejected. */
   get isSharedFault(): boolean {
-    return this.parts.ejection.isSharedFault;
+    return this.dependencies.ejection.isSharedFault;
   }
 
   /** For `PoolSlot` only. */
   isRoutable(entry: TargetEntry): boolean {
-    this.parts.clock.tick();
-    return entry.isOpen();
+    this.dependencies.clock.refresh();
+    return entry.acceptsNewWork();
   }
 
   /** For `PoolSlot` only. */
-  onOutcome({entry, ask}: PoolSlot, outcome: TargetOutcome): void {
-    this.parts.clock.tick();
+  onOutcome({entry, request: ask}: PoolSlot, outcome: TargetOutcome): void {
+    this.dependencies.clock.refresh();
     const now = this.now();
-    const {share, ejection} = this.parts;
+    const {limiter: share, ejection} = this.dependencies;
     const {slots} = entry.target;
     if (outcome.leaving) entry.onLeaving();
     ejection.observe(entry.id, outcome.kind, now);
     if (outcome.kind === OutcomeKind.Busy) {
       share.onBusy(entry.id, entry.inFlight, slots);
     } else if (isFailure(outcome.kind)) {
-      const usual = this.parts.drain.holdMilliseconds(WorkLength.Short);
-      entry.latency.penalise(usual, now);
+      const usual = this.dependencies.releaseRate.meanSlotMilliseconds(
+        WorkLength.Short,
+      );
+      entry.latency.observeFailure(usual, now);
     } else if (outcome.kind === OutcomeKind.Succeeded) {
       entry.lastAnswerAt = now;
       share.onSuccess(entry.id, entry.inFlight, slots);
@@ -198,15 +208,15 @@
   }
 
   /** For `PoolSlot` only. */
-  onReleased({entry, ask, startedAt, wasAnswered}: PoolSlot): void {
-    this.targets.onEnded(entry);
-    const {drain, clock} = this.parts;
-    clock.tick();
+  onReleased({entry, request: ask, startedAt, wasAnswered}: PoolSlot): void {
+    this.targets.onExchangeEnded(entry);
+    const {releaseRate: drain, clock} = this.dependencies;
+    clock.refresh();
     drain.onEnd(ask.work);
     if (wasAnswered) drain.onAnswered(ask.work, this.now() - startedAt);
-    this.parts.quota.onEnd(ask.team);
-    this.mayHaveRoom = true;
-    this.pump();
+    this.dependencies.quota.onEnd(ask.team);
+    this.mayHaveFreeSlot = true;
+    this.dispatchWaiting();
   }
 
   /** Long work is brought to the scale of short, so that a mixture does not make a target look slow. */
@@ -216,9 +226,10 @@
     milliseconds: number,
     now: number,
   ): void {
-    const {drain} = this.parts;
+    const {releaseRate: drain} = this.dependencies;
     const scale =
-      drain.holdMilliseconds(WorkLength.Short) / drain.holdMilliseconds(work);
+      drain.meanSlotMilliseconds(WorkLength.Short) /
+      drain.meanSlotMilliseconds(work);
     entry.latency.observe(milliseconds * scale, now);
   }
 
@@ -226,23 +237,23 @@
     return [...this.targets.all()].filter(matches).map(({id}) => id);
   }
 
-  private startNow(ask: SlotAsk): boolean {
+  private tryStart(ask: SlotRequest): boolean {
     if (!this.mayRun(ask)) return false;
     const entry = this.targets.pick(ask);
     if (entry) this.start(ask, entry);
-    else this.mayHaveRoom = false;
+    else this.mayHaveFreeSlot = false;
     return entry !== undefined;
   }
 
-  private mayRun(ask: SlotAsk): boolean {
-    const {gate, quota} = this.parts;
+  private mayRun(ask: SlotRequest): boolean {
+    const {workLengthPolicy: gate, quota} = this.dependencies;
     return gate.mayStart(ask.work) && quota.mayStart(ask.team);
   }
 
   /** Starts waiting asks while there is room that one of them may use. */
-  private pump(): void {
-    const {queue} = this.parts;
-    while (queue.length > 0 && this.mayHaveRoom) {
+  private dispatchWaiting(): void {
+    const {queue} = this.dependencies;
+    while (queue.length > 0 && this.mayHaveFreeSlot) {
       const started = this.startNext(true) || this.startNext(false);
       if (!started) return;
     }
@@ -252,12 +263,12 @@
   private startNext(idempotent: boolean): boolean {
     const entry = this.targets.pick({idempotent});
     if (!entry) {
-      if (!idempotent) this.mayHaveRoom = false;
+      if (!idempotent) this.mayHaveFreeSlot = false;
       return false;
     }
-    const ask = this.parts.queue.next(
+    const ask = this.dependencies.queue.dequeue(
       this.now(),
-      waiting => this.mayRun(waiting) && entry.hasRoom(waiting),
+      waiting => this.mayRun(waiting) && entry.canAccept(waiting),
     );
     if (!ask) return false;
     const other = ask.tried?.has(entry.id) ? this.targets.pick(ask) : undefined;
@@ -265,50 +276,59 @@
     return true;
   }
 
-  private start(ask: SlotAsk, entry: TargetEntry): void {
-    const {drain, gate, quota} = this.parts;
+  private start(ask: SlotRequest, entry: TargetEntry): void {
+    const {
+      releaseRate: drain,
+      workLengthPolicy: gate,
+      quota,
+    } = this.dependencies;
     entry.inFlight++;
     drain.onStart(ask.work);
     gate.onStart(ask.work);
     quota.onStart(ask.team);
-    if (!entry.target.isNear) this.countSpill();
+    if (!entry.target.isSameDataCentre) this.countSpill();
     ask.grant(new PoolSlot(this, entry, ask, this.now()));
   }
 
   private countSpill(): void {
-    this.parts.onSpill(
-      this.targets.hasNear() ? SpillReason.NearFull : SpillReason.NearGone,
+    this.dependencies.onSpill(
+      this.targets.hasUsableInDataCentre()
+        ? SpillReason.DataCentreFull
+        : SpillReason.DataCentreUnavailable,
     );
   }
 
-  private turnAway(turned: readonly TurnedAway<SlotAsk>[]): void {
+  private refuseAll(turned: readonly QueueRejection<SlotRequest>[]): void {
     for (const {item, reason} of turned) this.refuse(item, reason);
   }
 
-  private refuse(ask: SlotAsk, reason: TurnAway | undefined): void {
-    const {random, drain, queue, quota} = this.parts;
-    const rate = drain.perMillisecond(ask.work);
+  private refuse(
+    ask: SlotRequest,
+    reason: QueueRejectionReason | undefined,
+  ): void {
+    const {random, releaseRate: drain, queue, quota} = this.dependencies;
+    const rate = drain.slotsPerMillisecond(ask.work);
     ask.refuse({
       reason,
-      quotaHeld: !quota.mayStart(ask.team),
+      isQuotaExhausted: !quota.mayStart(ask.team),
       retryAfterSeconds: retryAfterSeconds(random, queue.length, rate),
     });
   }
 
-  private armSweep(): void {
-    if (this.sweep || this.parts.queue.length === 0) return;
-    this.sweep = this.parts.clock.schedule(SWEEP_MILLISECONDS, () => {
+  private scheduleSweep(): void {
+    if (this.sweep || this.dependencies.queue.length === 0) return;
+    this.sweep = this.dependencies.clock.schedule(SWEEP_MILLISECONDS, () => {
       this.sweep = undefined;
-      this.parts.clock.tick();
-      this.turnAway(this.parts.queue.expire(this.now()));
+      this.dependencies.clock.refresh();
+      this.refuseAll(this.dependencies.queue.removeExpired(this.now()));
       // Time alone can make room: an ejection or a peer's summary runs out.
-      this.mayHaveRoom = true;
-      this.pump();
-      this.armSweep();
+      this.mayHaveFreeSlot = true;
+      this.dispatchWaiting();
+      this.scheduleSweep();
     });
   }
 
   private now(): number {
-    return this.parts.clock.monotonicMilliseconds();
+    return this.dependencies.clock.monotonicMilliseconds();
   }
 }
--- a/packages/decisions/src/drain-rate.ts
+++ b/packages/decisions/src/slot-release-rate.ts
@@ -1,17 +1,17 @@
 import type {RandomSource} from '@gentiandoor/kernel';
-import {WorkLength} from './work-class.js';
+import {WorkLength} from './work-length.js';
 
 const MILLISECONDS_PER_SECOND = 1000;
-const SMALLEST_SHARE = 0.01;
-const FIRST_HOLD_MILLISECONDS = 50;
+const MINIMUM_SMOOTHING_FACTOR = 0.01;
+const INITIAL_SLOT_MILLISECONDS = 50;
 
-class HoldTime {
-  milliseconds = FIRST_HOLD_MILLISECONDS;
+class MeanSlotTime {
+  milliseconds = INITIAL_SLOT_MILLISECONDS;
   private count = 0;
 
   observe(milliseconds: number): void {
     this.count++;
-    const share = Math.max(SMALLEST_SHARE, 1 / this.count);
+    const share = Math.max(MINIMUM_SMOOTHING_FACTOR, 1 / this.count);
     this.milliseconds += (milliseconds - this.milliseconds) * share;
   }
 }
@@ -21,10 +21,10 @@
  * Little's law gives it at once after a change of load, where a count of releases over a window
  * would lag by the window.
  */
-export class DrainRate {
-  private readonly holds = {
-    [WorkLength.Short]: new HoldTime(),
-    [WorkLength.Long]: new HoldTime(),
+export class SlotReleaseRate {
+  private readonly slotTimes = {
+    [WorkLength.Short]: new MeanSlotTime(),
+    [WorkLength.Long]: new MeanSlotTime(),
   };
   private readonly inFlight = {[WorkLength.Short]: 0, [WorkLength.Long]: 0};
 
@@ -41,7 +41,7 @@
    * out: a fault that fails in a millisecond would make every later exchange look slow.
    */
   onAnswered(work: WorkLength, heldMilliseconds: number): void {
-    this.holds[work].observe(heldMilliseconds);
+    this.slotTimes[work].observe(heldMilliseconds);
   }
 
   inFlightOf(work: WorkLength): number {
@@ -49,18 +49,18 @@
   }
 
   /** Mean milliseconds that an exchange holds a slot. */
-  holdMilliseconds(work: WorkLength): number {
-    return this.holds[work].milliseconds;
+  meanSlotMilliseconds(work: WorkLength): number {
+    return this.slotTimes[work].milliseconds;
   }
 
   /** Slots of one kind of work that come free in a millisecond. */
-  perMillisecond(work: WorkLength): number {
-    return Math.max(1, this.inFlight[work]) / this.holds[work].milliseconds;
+  slotsPerMillisecond(work: WorkLength): number {
+    return Math.max(1, this.inFlight[work]) / this.slotTimes[work].milliseconds;
   }
 }
 
-const SMALLEST_RETRY_SECONDS = 1;
-const LARGEST_RETRY_SECONDS = 60;
+const MINIMUM_RETRY_SECONDS = 1;
+const MAXIMUM_RETRY_SECONDS = 60;
 
 /**
  * Whole seconds after which to come again: when those that wait now are through, spread over as
@@ -72,7 +72,7 @@
   perMillisecond: number,
 ): number {
   const drained = (waiting + 1) / perMillisecond / MILLISECONDS_PER_SECOND;
-  const base = Math.max(SMALLEST_RETRY_SECONDS, drained);
+  const base = Math.max(MINIMUM_RETRY_SECONDS, drained);
   const spread = base * (1 + random.nextFraction());
-  return Math.min(LARGEST_RETRY_SECONDS, Math.ceil(spread));
+  return Math.min(MAXIMUM_RETRY_SECONDS, Math.ceil(spread));
 }
--- a/packages/decisions/src/slow-target.ts
+++ b/packages/decisions/src/slow-target.ts
@@ -5,7 +5,7 @@
 }
 
 /** Takes any free slot: the baseline. */
-export class TakeAnySlot implements SlowTargetRule {
+export class AllowSlowTargets implements SlowTargetRule {
   isSlow(): boolean {
     return false;
   }
@@ -22,7 +22,7 @@
  * fades in seconds without answers, so that the target is tried again. When more than half of the
  * targets are slow, none is left alone.
  */
-export class WaitRatherThanSlow implements SlowTargetRule {
+export class AvoidSlowTargets implements SlowTargetRule {
   isSlow(expected: number, usual: number): boolean {
     return expected > usual * SLOW_FACTOR;
   }
--- a/packages/decisions/src/standing-queue.ts
+++ b/packages/decisions/src/standing-queue.ts
@@ -1,7 +1,7 @@
 /** A queue shorter-lived than this is never called standing: five round trips to a far target. */
-const SMALLEST_STANDING_MILLISECONDS = 100;
+const MINIMUM_BURST_MILLISECONDS = 100;
 /** Least wait allowed in a standing queue; below it timers and network decide. */
-const SMALLEST_TARGET_MILLISECONDS = 5;
+const MINIMUM_ALLOWED_WAIT_MILLISECONDS = 5;
 const EXCHANGES_WAITED = 2;
 
 /**
@@ -14,15 +14,15 @@
  * exchange / slots). Time is kept for each team, so that one team's standing queue does not cut
  * the bursts of another.
  */
-export function allowedWait(
+export function allowedWaitMilliseconds(
   waitingForMilliseconds: number,
   longestMilliseconds: number,
   exchangeMilliseconds: number,
 ): number {
-  const burst = Math.max(SMALLEST_STANDING_MILLISECONDS, longestMilliseconds);
+  const burst = Math.max(MINIMUM_BURST_MILLISECONDS, longestMilliseconds);
   if (waitingForMilliseconds <= burst) return longestMilliseconds;
   const target = Math.max(
-    SMALLEST_TARGET_MILLISECONDS,
+    MINIMUM_ALLOWED_WAIT_MILLISECONDS,
     EXCHANGES_WAITED * exchangeMilliseconds,
   );
   return Math.min(longestMilliseconds, target);
--- a/packages/decisions/src/target-entry.ts
+++ b/packages/decisions/src/target-entry.ts
@@ -1,9 +1,9 @@
-import type {Ejection} from './ejection.js';
-import {TargetStanding} from './ejection.js';
+import type {EjectionPolicy} from './ejection.js';
+import {EjectionState} from './ejection.js';
 import {LatencyEstimate} from './latency-estimate.js';
 import type {SlowTargetRule} from './slow-target.js';
-import type {SlotShare} from './slot-share.js';
-import type {ChoiceAsk, TargetLoad} from './target-choice.js';
+import type {SlotLimiter} from './slot-limiter.js';
+import type {SelectionRequest, TargetCandidate} from './target-selector.js';
 import type {WeightRamp} from './weight-ramp.js';
 
 /** A target that a pool's work may go to. */
@@ -13,7 +13,7 @@
   readonly address: string;
   readonly rack: string;
   /** Whether it is in this daemon's data centre. */
-  readonly isNear: boolean;
+  readonly isSameDataCentre: boolean;
   /** Exchanges at one time that the target takes from all daemons. */
   readonly slots: number;
   /** Connections at one time that the target takes from all daemons. */
@@ -21,16 +21,16 @@
 }
 
 /** What all targets of a pool share. */
-export interface EntryParts {
+export interface TargetEntryDependencies {
   now(): number;
   /** Milliseconds that a short exchange usually takes in this pool. */
   usualMilliseconds(): number;
   /** Whether few enough targets are slow to leave those alone. */
   mayAvoidSlow(): boolean;
   /** Milliseconds that a request which comes now would wait for another target. */
-  queueMilliseconds(): number;
-  readonly share: SlotShare;
-  readonly ejection: Ejection;
+  expectedQueueMilliseconds(): number;
+  readonly limiter: SlotLimiter;
+  readonly ejection: EjectionPolicy;
   readonly ramp: WeightRamp;
   readonly slowTargets: SlowTargetRule;
 }
@@ -40,17 +40,17 @@
 const LEAVING_SIGN_MILLISECONDS = 15_000;
 
 /** What a daemon knows of one target, and whether it may get a request now. */
-export class TargetEntry implements TargetLoad {
+export class TargetEntry implements TargetCandidate {
   inFlight = 0;
   /** Monotonic milliseconds of the last whole answer. */
   lastAnswerAt: number | undefined;
   readonly latency = new LatencyEstimate();
   private leavingUntil = -Infinity;
-  private isGone = false;
+  private isRemoved = false;
 
   constructor(
     public target: RoutableTarget,
-    private readonly parts: EntryParts,
+    private readonly dependencies: TargetEntryDependencies,
   ) {}
 
   get id(): string {
@@ -61,86 +61,89 @@
   limit(): number {
     const {slots, connections} = this.target;
     const whole = Math.min(slots, connections);
-    return this.parts.share.limit(this.id, whole);
+    return this.dependencies.limiter.limit(this.id, whole);
   }
 
   /** Slots here that are this daemon's own part. */
-  private own(): number {
+  private ownLimit(): number {
     const {slots, connections} = this.target;
-    return this.parts.share.own(this.id, Math.min(slots, connections));
+    return this.dependencies.limiter.ownLimit(
+      this.id,
+      Math.min(slots, connections),
+    );
   }
 
-  hasRoom(ask: ChoiceAsk): boolean {
-    const bound = ask.mayBorrow === false ? this.own() : this.limit();
-    if (this.inFlight >= bound || !this.isOpen()) return false;
-    if (this.standing() === TargetStanding.InUse)
+  canAccept(ask: SelectionRequest): boolean {
+    const bound = ask.mayBorrow === false ? this.ownLimit() : this.limit();
+    if (this.inFlight >= bound || !this.acceptsNewWork()) return false;
+    if (this.ejectionState() === EjectionState.InUse)
       return !this.isWorseThanWaiting();
     // A request that cannot be repeated is not used to find out whether a bad target works again.
     return ask.idempotent && this.inFlight < PROBATION_IN_FLIGHT;
   }
 
   cost(): number {
-    if (this.standing() === TargetStanding.Probation) return 0;
-    const usual = this.parts.usualMilliseconds();
-    const now = this.parts.now();
-    const expected = this.latency.expected(usual, now);
-    const each = expected + this.latency.penalty(now);
+    if (this.ejectionState() === EjectionState.Probation) return 0;
+    const usual = this.dependencies.usualMilliseconds();
+    const now = this.dependencies.now();
+    const expected = this.latency.expectedMilliseconds(usual, now);
+    const each = expected + this.latency.penaltyMilliseconds(now);
     return ((this.inFlight + 1) * each) / this.target.slots;
   }
 
   weight(): number {
-    return this.parts.ramp.weight(this.id, this.parts.now());
+    return this.dependencies.ramp.weight(this.id, this.dependencies.now());
   }
 
   /** Whether new work may go there at all: neither gone, leaving nor ejected. */
-  isOpen(): boolean {
-    if (this.isGone || this.isLeaving()) return false;
+  acceptsNewWork(): boolean {
+    if (this.isRemoved || this.isLeaving()) return false;
     return !this.isEjected();
   }
 
   /** Whether it gets no work because of its failures. */
   isEjected(): boolean {
-    return this.standing() === TargetStanding.Ejected;
+    return this.ejectionState() === EjectionState.Ejected;
   }
 
   /** Whether the target or a peer said lately that it is leaving. */
   isLeaving(): boolean {
-    return this.parts.now() < this.leavingUntil;
+    return this.dependencies.now() < this.leavingUntil;
   }
 
   /** First-hand: the target itself said that it is leaving. */
   onLeaving(): void {
-    this.leavingUntil = this.parts.now() + LEAVING_SIGN_MILLISECONDS;
+    this.leavingUntil = this.dependencies.now() + LEAVING_SIGN_MILLISECONDS;
   }
 
   /** The target is no longer routable; exchanges in flight end by themselves. */
-  onGone(): void {
-    this.isGone = true;
+  onRemoved(): void {
+    this.isRemoved = true;
   }
 
   /** Whether exchanges here take several times as long as is usual in the pool. */
   isSlow(): boolean {
-    const {parts} = this;
+    const {dependencies: parts} = this;
     const usual = parts.usualMilliseconds();
-    const expected = this.latency.expected(usual, parts.now());
+    const expected = this.latency.expectedMilliseconds(usual, parts.now());
     return parts.slowTargets.isSlow(expected, usual);
   }
 
   private isWorseThanWaiting(): boolean {
-    const {parts} = this;
+    const {dependencies: parts} = this;
     if (!this.isSlow() || !parts.mayAvoidSlow()) return false;
     const usual = parts.usualMilliseconds();
-    const expected = this.latency.expected(usual, parts.now());
-    return expected - usual > parts.queueMilliseconds();
+    const expected = this.latency.expectedMilliseconds(usual, parts.now());
+    return expected - usual > parts.expectedQueueMilliseconds();
   }
 
   /** The target is routable again. */
   onReturned(target: RoutableTarget): void {
     this.target = target;
-    this.isGone = false;
+    this.isRemoved = false;
   }
 
-  private standing(): TargetStanding {
-    return this.parts.ejection.standing(this.id, this.parts.now());
+  private ejectionState(): EjectionState {
+    return this.dependencies.ejection.stateOf(this.id, this.dependencies.now());
   }
 }
--- a/packages/decisions/src/target-outcome.ts
+++ b/packages/decisions/src/target-outcome.ts
@@ -9,7 +9,7 @@
   /** No connection could be opened, or it broke before any byte went out. */
   Unreachable = 'unreachable',
   /** The connection broke after bytes went out. */
-  Broken = 'broken',
+  ConnectionLost = 'broken',
   /** No head of an answer in time. */
   TimedOut = 'timed_out',
   /** The answer began and broke off, or was malformed. */
@@ -30,7 +30,7 @@
 const FAILURES: ReadonlySet<OutcomeKind> = new Set([
   OutcomeKind.ServerError,
   OutcomeKind.Unreachable,
-  OutcomeKind.Broken,
+  OutcomeKind.ConnectionLost,
   OutcomeKind.TimedOut,
   OutcomeKind.Truncated,
 ]);
--- a/packages/decisions/src/target-set.ts
+++ b/packages/decisions/src/target-set.ts
@@ -1,35 +1,38 @@
-import type {PeerUse} from './slot-share.js';
-import type {ChoiceAsk, TargetChoice} from './target-choice.js';
+import type {PeerUsage} from './slot-limiter.js';
+import type {SelectionRequest, TargetSelector} from './target-selector.js';
 import {
   TargetEntry,
-  type EntryParts,
+  type TargetEntryDependencies,
   type RoutableTarget,
 } from './target-entry.js';
 
 /** What a set of targets needs, besides the entries' own parts. */
-export interface TargetSetParts extends Omit<EntryParts, 'mayAvoidSlow'> {
-  readonly choice: TargetChoice;
+export interface TargetSetDependencies extends Omit<
+  TargetEntryDependencies,
+  'mayAvoidSlow'
+> {
+  readonly selector: TargetSelector;
 }
 
-interface Sums {
+interface Totals {
   readonly at: number;
   readonly capacity: number;
   readonly mayAvoidSlow: boolean;
 }
 
 /** How long a sum over the targets is good for. */
-const SUMS_MILLISECONDS = 50;
+const TOTALS_MILLISECONDS = 50;
 
 /** The targets of one pool, near and far. */
 export class TargetSet {
   private readonly entries = new Map<string, TargetEntry>();
   /** No longer routable, with exchanges still in flight. */
-  private readonly ending = new Map<string, TargetEntry>();
-  private near: TargetEntry[] = [];
-  private far: TargetEntry[] = [];
-  private sums: Sums = {at: -Infinity, capacity: 0, mayAvoidSlow: false};
+  private readonly removedInFlight = new Map<string, TargetEntry>();
+  private sameDataCentre: TargetEntry[] = [];
+  private otherDataCentres: TargetEntry[] = [];
+  private totals: Totals = {at: -Infinity, capacity: 0, mayAvoidSlow: false};
 
-  constructor(private readonly parts: TargetSetParts) {}
+  constructor(private readonly dependencies: TargetSetDependencies) {}
 
   get(target: string): TargetEntry | undefined {
     return this.entries.get(target);
@@ -47,70 +50,70 @@
       if (wanted.get(entry.id)?.address !== entry.target.address)
         this.remove(entry);
     }
-    for (const target of targets) this.put(target, isFirst);
+    for (const target of targets) this.addOrUpdate(target, isFirst);
     const all = [...this.entries.values()];
-    this.near = all.filter(entry => entry.target.isNear);
-    this.far = all.filter(entry => !entry.target.isNear);
-    this.parts.ejection.setTargets(targets);
+    this.sameDataCentre = all.filter(entry => entry.target.isSameDataCentre);
+    this.otherDataCentres = all.filter(entry => !entry.target.isSameDataCentre);
+    this.dependencies.ejection.setTargets(targets);
   }
 
   /** Near before far, own slots before borrowed ones, warm targets before cold ones. */
-  pick(ask: ChoiceAsk): TargetEntry | undefined {
+  pick(ask: SelectionRequest): TargetEntry | undefined {
     const {idempotent, tried} = ask;
-    const {choice} = this.parts;
-    for (const entries of [this.near, this.far]) {
+    const {selector: choice} = this.dependencies;
+    for (const entries of [this.sameDataCentre, this.otherDataCentres]) {
       if (entries.length === 0) continue;
       const entry =
-        choice.choose(entries, {idempotent, tried, mayBorrow: false}) ??
-        choice.choose(entries, {idempotent, tried}) ??
-        choice.choose(entries, {idempotent, tried, mayBeCold: true});
+        choice.select(entries, {idempotent, tried, mayBorrow: false}) ??
+        choice.select(entries, {idempotent, tried}) ??
+        choice.select(entries, {idempotent, tried, ignoresWeight: true});
       if (entry) return entry;
     }
     return tried ? this.pick({idempotent}) : undefined;
   }
 
   /** Whether any target near by can be used. */
-  hasNear(): boolean {
-    return this.near.some(entry => entry.isOpen());
+  hasUsableInDataCentre(): boolean {
+    return this.sameDataCentre.some(entry => entry.acceptsNewWork());
   }
 
   /** Slots that this daemon may use now, in all targets. */
   capacity(): number {
-    return this.sumUp().capacity;
+    return this.currentTotals().capacity;
   }
 
   /** A sum made before is no longer good. */
-  onChanged(): void {
-    this.sums = {...this.sums, at: -Infinity};
+  invalidateTotals(): void {
+    this.totals = {...this.totals, at: -Infinity};
   }
 
   /** An exchange ended. */
-  onEnded(entry: TargetEntry): void {
+  onExchangeEnded(entry: TargetEntry): void {
     entry.inFlight--;
-    if (entry.inFlight === 0 && this.ending.get(entry.id) === entry)
-      this.ending.delete(entry.id);
+    if (entry.inFlight === 0 && this.removedInFlight.get(entry.id) === entry)
+      this.removedInFlight.delete(entry.id);
   }
 
   /** This daemon's use of each target, for its peers. */
-  uses(waiting: boolean): Map<string, PeerUse> {
-    const uses = new Map<string, PeerUse>();
+  usage(waiting: boolean): Map<string, PeerUsage> {
+    const uses = new Map<string, PeerUsage>();
     for (const {id, inFlight, target} of this.entries.values()) {
       // Far targets not in use are left out: room kept there for this daemon would be room that
       // the daemons next to them miss.
-      if (target.isNear || inFlight > 0 || waiting)
+      if (target.isSameDataCentre || inFlight > 0 || waiting)
         uses.set(id, {inFlight, waiting});
     }
     return uses;
   }
 
-  private sumUp(): Sums {
-    const now = this.parts.now();
-    if (now - this.sums.at < SUMS_MILLISECONDS) return this.sums;
+  private currentTotals(): Totals {
+    const now = this.dependencies.now();
+    if (now - this.totals.at < TOTALS_MILLISECONDS) return this.totals;
     let capacity = 0;
     let open = 0;
     let slow = 0;
     for (const entry of this.entries.values()) {
-      if (!entry.isOpen()) continue;
+      if (!entry.acceptsNewWork()) continue;
       open++;
       capacity += entry.limit();
       if (entry.isSlow()) slow++;
@@ -118,43 +121,47 @@
     // A fault that slows all targets shows in their estimates before it shows in the mean: without
     // this bound nothing would be sent to any of them until the estimates fade.
     const mayAvoidSlow = slow <= open / 2;
-    this.sums = {at: now, capacity, mayAvoidSlow};
-    return this.sums;
+    this.totals = {at: now, capacity, mayAvoidSlow};
+    return this.totals;
   }
 
-  private put(target: RoutableTarget, isFirst: boolean): void {
+  private addOrUpdate(target: RoutableTarget, isFirst: boolean): void {
     const known = this.entries.get(target.id);
     if (known) {
       known.target = target;
       return;
     }
-    this.entries.set(target.id, this.returning(target) ?? this.create(target));
-    if (!isFirst) this.parts.ramp.onIn(target.id, this.parts.now());
+    this.entries.set(
+      target.id,
+      this.takeReturning(target) ?? this.create(target),
+    );
+    if (!isFirst)
+      this.dependencies.ramp.onAdded(target.id, this.dependencies.now());
   }
 
   /**
    * A target that comes back while exchanges of before still run there keeps their count. Counted
    * from none, it would get its slots twice over with each turn of a flapping list.
    */
-  private returning(target: RoutableTarget): TargetEntry | undefined {
-    const entry = this.ending.get(target.id);
+  private takeReturning(target: RoutableTarget): TargetEntry | undefined {
+    const entry = this.removedInFlight.get(target.id);
     if (entry?.target.address !== target.address) return undefined;
-    this.ending.delete(target.id);
+    this.removedInFlight.delete(target.id);
     entry.onReturned(target);
     return entry;
   }
 
   private create(target: RoutableTarget): TargetEntry {
     return new TargetEntry(target, {
-      ...this.parts,
-      mayAvoidSlow: () => this.sumUp().mayAvoidSlow,
+      ...this.dependencies,
+      mayAvoidSlow: () => this.currentTotals().mayAvoidSlow,
     });
   }
 
   private remove(entry: TargetEntry): void {
-    entry.onGone();
+    entry.onRemoved();
     this.entries.delete(entry.id);
-    if (entry.inFlight > 0) this.ending.set(entry.id, entry);
-    this.parts.ramp.onOut(entry.id, this.parts.now());
+    if (entry.inFlight > 0) this.removedInFlight.set(entry.id, entry);
+    this.dependencies.ramp.onRemoved(entry.id, this.dependencies.now());
   }
 }
--- a/packages/decisions/src/team-quota.ts
+++ b/packages/decisions/src/team-quota.ts
@@ -1,11 +1,11 @@
-import type {SlotShare} from './slot-share.js';
-import type {TeamTerms} from './waiting-queue.js';
+import type {SlotLimiter} from './slot-limiter.js';
+import type {TeamPolicy} from './request-queue.js';
 
 /** Bounds what a team has in flight over the whole deployment. */
 export interface TeamQuota {
-  mayStart(team: TeamTerms): boolean;
-  onStart(team: TeamTerms): void;
-  onEnd(team: TeamTerms): void;
+  mayStart(team: TeamPolicy): boolean;
+  onStart(team: TeamPolicy): void;
+  onEnd(team: TeamPolicy): void;
 }
 
 /** No quotas: the baseline. */
@@ -29,25 +29,25 @@
 export class SharedTeamQuota implements TeamQuota {
   private readonly used = new Map<string, number>();
 
-  constructor(private readonly share: SlotShare) {}
+  constructor(private readonly limiter: SlotLimiter) {}
 
-  mayStart(team: TeamTerms): boolean {
+  mayStart(team: TeamPolicy): boolean {
     const used = this.used.get(team.name) ?? 0;
-    return used < this.share.limit(team.name, team.slots);
+    return used < this.limiter.limit(team.name, team.slots);
   }
 
-  onStart(team: TeamTerms): void {
+  onStart(team: TeamPolicy): void {
     this.used.set(team.name, (this.used.get(team.name) ?? 0) + 1);
   }
 
-  onEnd(team: TeamTerms): void {
+  onEnd(team: TeamPolicy): void {
     const used = (this.used.get(team.name) ?? 1) - 1;
     if (used > 0) this.used.set(team.name, used);
     else this.used.delete(team.name);
   }
 
   /** Slots in use at this daemon by team, for the summary to peers. */
-  uses(): ReadonlyMap<string, number> {
+  usage(): ReadonlyMap<string, number> {
     return this.used;
   }
 }
--- a/packages/decisions/src/weight-ramp.ts
+++ b/packages/decisions/src/weight-ramp.ts
@@ -1,18 +1,18 @@
 /** How much of its usual load a target may get after it came into use. */
 export interface WeightRamp {
   /** The target came into the routable set. */
-  onIn(target: string, now: number): void;
+  onAdded(target: string, now: number): void;
   /** The target left the routable set; it gets nothing from this moment on. */
-  onOut(target: string, now: number): void;
+  onRemoved(target: string, now: number): void;
   /** In (0, 1]. */
   weight(target: string, now: number): number;
 }
 
 /** Full load at once: the baseline. */
-export class FullWeightAtOnce implements WeightRamp {
-  onIn(): void {}
+export class NoWeightRamp implements WeightRamp {
+  onAdded(): void {}
 
-  onOut(): void {}
+  onRemoved(): void {}
 
   weight(): number {
     return 1;
@@ -21,15 +21,15 @@
 
 const START_WEIGHT = 0.1;
 const RAMP_MILLISECONDS = 10_000;
-const LONGEST_RAMP_MILLISECONDS = 80_000;
+const MAXIMUM_RAMP_MILLISECONDS = 80_000;
 /** A change is forgotten after this long without another. */
-const CALM_MILLISECONDS = 120_000;
+const FLAP_RESET_MILLISECONDS = 120_000;
 
 interface RampState {
   since: number;
   rampMilliseconds: number;
   lastChange: number;
-  isIn: boolean;
+  isRoutable: boolean;
 }
 
 /**
@@ -42,7 +42,7 @@
  * Targets that are there when the pool is first seen start whole: all cold at once is no reason
  * to hold any back.
  */
-export class SteppedRamp implements WeightRamp {
+export class LinearWeightRamp implements WeightRamp {
   private readonly states = new Map<string, RampState>();
 
   /** The target was there from the start. */
@@ -50,43 +50,44 @@
     this.states.delete(target);
   }
 
-  onIn(target: string, now: number): void {
+  onAdded(target: string, now: number): void {
     const state = this.states.get(target);
     const returnedLately =
-      state !== undefined && now - state.lastChange < CALM_MILLISECONDS;
+      state !== undefined && now - state.lastChange < FLAP_RESET_MILLISECONDS;
     const rampMilliseconds = returnedLately
-      ? Math.min(LONGEST_RAMP_MILLISECONDS, state.rampMilliseconds * 2)
+      ? Math.min(MAXIMUM_RAMP_MILLISECONDS, state.rampMilliseconds * 2)
       : RAMP_MILLISECONDS;
     this.states.set(target, {
       since: now,
       rampMilliseconds,
       lastChange: now,
-      isIn: true,
+      isRoutable: true,
     });
   }
 
-  onOut(target: string, now: number): void {
+  onRemoved(target: string, now: number): void {
     const state = this.states.get(target);
     const rampMilliseconds = state?.rampMilliseconds ?? RAMP_MILLISECONDS / 2;
     this.states.set(target, {
       since: now,
       rampMilliseconds,
       lastChange: now,
-      isIn: false,
+      isRoutable: false,
     });
-    this.forgetCalm(now);
+    this.forgetStable(now);
   }
 
   weight(target: string, now: number): number {
     const state = this.states.get(target);
-    if (!state?.isIn) return 1;
+    if (!state?.isRoutable) return 1;
     const grown = (now - state.since) / state.rampMilliseconds;
     return Math.min(1, START_WEIGHT + (1 - START_WEIGHT) * grown);
   }
 
-  private forgetCalm(now: number): void {
+  private forgetStable(now: number): void {
     for (const [id, state] of this.states) {
-      if (now - state.lastChange > CALM_MILLISECONDS) this.states.delete(id);
+      if (now - state.lastChange > FLAP_RESET_MILLISECONDS)
+        this.states.delete(id);
     }
   }
 }
--- a/packages/decisions/src/team-lane.ts
+++ b/packages/decisions/src/weighted-team-queue.ts
@@ -1,7 +1,7 @@
-import type {Waiter} from './waiting-queue.js';
+import type {QueuedRequest} from './request-queue.js';
 
 /** The requests of one caller, in order. */
-export class CallerFlow<Item extends Waiter> {
+export class CallerFlow<Item extends QueuedRequest> {
   readonly items = new Set<Item>();
 
   constructor(
@@ -21,7 +21,7 @@
 }
 
 /** The waiting callers of one team, served in turn. */
-export class TeamFlow<Item extends Waiter> {
+export class TeamFlow<Item extends QueuedRequest> {
   /** In order of turn: a caller that was served goes to the end. */
   readonly callers = new Map<string, CallerFlow<Item>>();
   /** Work done divided by weight; the team with the least goes next. */
@@ -31,7 +31,7 @@
     readonly name: string,
     readonly weight: number,
     /** Monotonic milliseconds since which it has had requests waiting without a break. */
-    readonly since: number,
+    readonly waitingSince: number,
   ) {}
 
   add(item: Item): void {
@@ -72,7 +72,7 @@
 }
 
 /** Teams whose requests are of one kind and urgency, served by weight. */
-export class TeamLane<Item extends Waiter> {
+export class WeightedTeamQueue<Item extends QueuedRequest> {
   private readonly teams = new Map<string, TeamFlow<Item>>();
   /** Pass of the team served last: a team that comes back starts here, with no savings. */
   private virtualTime = 0;
@@ -88,9 +88,9 @@
   }
 
   /** Milliseconds for which the item's team has had requests waiting without a break. */
-  waitingFor(item: Item, now: number): number {
+  waitingMilliseconds(item: Item, now: number): number {
     const team = this.teams.get(item.team.name);
-    return team ? now - team.since : 0;
+    return team ? now - team.waitingSince : 0;
   }
 
   remove(item: Item): boolean {
@@ -121,17 +121,17 @@
    * Requests that go before a new one of this item's flow: as many of its own flow as wait, each
    * with its share of the others'.
    */
-  aheadOf(item: Item): number {
+  requestsAhead(item: Item): number {
     const team = this.teams.get(item.team.name);
     const own = team?.callers.get(item.caller)?.length ?? 0;
     const callers = team?.callers.size ?? 0;
     const turns = (own + 1) * Math.max(1, callers + (own === 0 ? 1 : 0));
-    const share = this.shareOf(item, team);
+    const share = this.weightShareOf(item, team);
     return Math.min(this.size, turns / share - 1);
   }
 
   /** The longest flow, and undefined when nobody waits. */
-  longest(service: string): CallerFlow<Item> | undefined {
+  longestFlow(service: string): CallerFlow<Item> | undefined {
     let longest: CallerFlow<Item> | undefined;
     for (const team of this.teams.values()) {
       for (const flow of team.callers.values()) {
@@ -143,7 +143,7 @@
     return longest;
   }
 
-  private shareOf(item: Item, team: TeamFlow<Item> | undefined): number {
+  private weightShareOf(item: Item, team: TeamFlow<Item> | undefined): number {
     let weights = team ? 0 : item.team.weight;
     for (const other of this.teams.values()) weights += other.weight;
     return item.team.weight / weights;
--- a/packages/documentation/src/reference-pages.ts
+++ b/packages/documentation/src/reference-pages.ts
@@ -2,7 +2,7 @@
 import {ALL_COMMANDS, ExitCode} from '@gentiandoor/cli';
 import {allPlugins, daemonOptions} from '@gentiandoor/daemon';
 import {
-  ERROR_ANSWERS,
+  ERROR_RESPONSES,
   ErrorKind,
   LOG_EVENT_CATALOGUE,
   LogEvent,
@@ -37,7 +37,7 @@
 
 function errorTable(): string {
   const rows = Object.values(ErrorKind).map(kind => {
-    const {status, run, retryAfterSeconds, advice} = ERROR_ANSWERS[kind];
+    const {status, run, retryAfterSeconds, advice} = ERROR_RESPONSES[kind];
     const retry =
       retryAfterSeconds === undefined ? 'no' : `after ${retryAfterSeconds} s`;
     return [
--- a/packages/entry/src/__tests__/eventually.ts
+++ b/packages/entry/src/__tests__/eventually.ts
@@ -1,5 +1,5 @@
-const GIVE_UP_ROUNDS = 400;
-const ROUND_MILLISECONDS = 50;
+const MAXIMUM_POLLS = 400;
+const POLL_INTERVAL_MILLISECONDS = 50;
 
 /** Asks again until the answer is as wanted: daemons work in real time here. Returns the last answer. */
 export async function eventually<Answer>(
@@ -8,9 +8,9 @@
 ): Promise<Answer> {
   for (let round = 0; ; round++) {
     const answer = await ask();
-    if (wanted(answer) || round === GIVE_UP_ROUNDS) return answer;
+    if (wanted(answer) || round === MAXIMUM_POLLS) return answer;
     await new Promise(resolve => {
-      setTimeout(resolve, ROUND_MILLISECONDS);
+      setTimeout(resolve, POLL_INTERVAL_MILLISECONDS);
     });
   }
 }
--- a/packages/entry/src/__tests__/organisations.test.ts
+++ b/packages/entry/src/__tests__/organisations.test.ts
@@ -23,7 +23,7 @@
     behaviourOf: () => ({
       durationMilliseconds: 100,
       end: RunEnd.Done,
-      room: {...ROOM, processorMillicores: 1_000},
+      resources: {...ROOM, processorMillicores: 1_000},
     }),
   });
   let daemon: RunningDaemon;
@@ -53,7 +53,7 @@
   ): Promise<number> {
     const headers = {host: QUEUE_HOST, 'x-deadline-ms': '3000'};
     const answer = await request(
-      `http://127.0.0.1:${daemon.callers}/previews/${path}`,
+      `http://127.0.0.1:${daemon.callerPort}/previews/${path}`,
       {
         method,
         headers:
@@ -99,7 +99,7 @@
   it('refuses before the body has come', async () => {
     const status = await new Promise(resolve => {
       const open = openRequest({
-        port: daemon.callers,
+        port: daemon.callerPort,
         path: '/previews/0000000000000003',
         method: 'POST',
         headers: {host: QUEUE_HOST, 'content-length': '5000'},
@@ -121,7 +121,7 @@
   });
 
   it('names no key in its metrics', async () => {
-    const address = daemon.parts.metricsPort.boundAddress;
+    const address = daemon.parts.metricsServer.boundAddress;
     const answer = await request(`http://${address}/metrics`);
     const text = await answer.body.text();
     assert.match(text, /organisation_jobs\{organisation="advisers"/);
--- a/packages/entry/src/__tests__/running-daemon.ts
+++ b/packages/entry/src/__tests__/running-daemon.ts
@@ -10,14 +10,14 @@
 import {freePort} from './free-port.js';
 
 /** Ends a daemon of a test, and the platform that it runs on. */
-export async function endDaemon(
+export async function stopDaemon(
   parts: EntryParts,
   platform: StandInPlatform,
 ): Promise<void> {
   await parts.coordinator.drain();
   await parts.lifeCycle.stop();
-  await parts.storeCalls.stop();
-  await parts.workerCalls.stop();
+  await parts.storeClient.closeAll();
+  await parts.workerClient.closeAll();
   platform.stop();
 }
 
@@ -25,8 +25,8 @@
 export class RunningDaemon {
   private constructor(
     readonly parts: EntryParts,
-    readonly callers: number,
-    readonly readiness: number,
+    readonly callerPort: number,
+    readonly readinessPort: number,
     private readonly platform: StandInPlatform,
     private readonly folder: string,
   ) {}
@@ -47,7 +47,7 @@
   }
 
   async stop(): Promise<void> {
-    await endDaemon(this.parts, this.platform);
+    await stopDaemon(this.parts, this.platform);
     rmSync(this.folder, {recursive: true});
   }
 }
--- a/packages/entry/src/__tests__/settings-change.test.ts
+++ b/packages/entry/src/__tests__/settings-change.test.ts
@@ -13,10 +13,10 @@
   standInSettings,
 } from '@gentiandoor/platform/stand-ins';
 import {request} from 'undici';
-import {SettingsWatch} from '../settings-watch.js';
+import {SettingsWatcher} from '../settings-watcher.js';
 import {wireEntry, type EntryParts} from '../wiring.js';
 import {freePort} from './free-port.js';
-import {endDaemon} from './running-daemon.js';
+import {stopDaemon} from './running-daemon.js';
 
 const ROOM = {
   processorMillicores: 8_000,
@@ -75,7 +75,7 @@
     behaviourOf: () => ({
       durationMilliseconds: 50,
       end: RunEnd.Done,
-      room: {...ROOM, processorMillicores: 1_000},
+      resources: {...ROOM, processorMillicores: 1_000},
     }),
   });
   let folder: string;
@@ -83,7 +83,7 @@
   let ports: {callers: number; readiness: number};
   let parts: EntryParts;
   let callers: string;
-  let watch: SettingsWatch;
+  let watch: SettingsWatcher;
   let forwarder: Forwarder;
 
   /** Writes the settings file with the store at `store`, or where it is. */
@@ -107,13 +107,18 @@
     const settings = readPlatformSettings(path);
     parts = wireEntry(settings, {metricsPort: await freePort()});
     const read = () => readPlatformSettings(path);
-    watch = new SettingsWatch(settings, read, parts.clock, new SilentLogger());
+    watch = new SettingsWatcher(
+      settings,
+      read,
+      parts.clock,
+      new SilentLogger(),
+    );
     await parts.lifeCycle.start();
-    callers = parts.callers.boundAddress;
+    callers = parts.callerServer.boundAddress;
   });
 
   after(async () => {
-    await endDaemon(parts, platform);
+    await stopDaemon(parts, platform);
     forwarder.end();
     rmSync(folder, {recursive: true});
   });
@@ -163,7 +168,7 @@
         assert.ok(++round < LONGEST_WAIT_ROUNDS, `${id} is not done`);
         await pause(JOB_GAP_MILLISECONDS);
       }
-    const runs = platform.begunRuns();
+    const runs = platform.startedRuns();
     assert.equal(new Set(runs.map(run => run.task)).size, taken.length);
   });
 });
--- a/packages/entry/src/__tests__/settings-watch.test.ts
+++ b/packages/entry/src/__tests__/settings-watcher.test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import {simulatedSettings} from '@gentiandoor/coordinator/stand-ins';
 import {SilentLogger, VirtualClock} from '@gentiandoor/kernel';
-import {SettingsWatch} from '../settings-watch.js';
+import {SettingsWatcher} from '../settings-watcher.js';
 
 const SETTINGS = simulatedSettings('one');
 
@@ -10,7 +10,7 @@
   it('takes a changed file without a signal', () => {
     const settings = {...SETTINGS};
     const clock = new VirtualClock();
-    const watch = new SettingsWatch(
+    const watch = new SettingsWatcher(
       settings,
       () => ({...SETTINGS, storeAddress: '127.0.0.1:9'}),
       clock,
@@ -25,7 +25,7 @@
   it('stays with the last good settings when the file can’t be read', () => {
     const settings = {...SETTINGS};
     const clock = new VirtualClock();
-    const watch = new SettingsWatch(
+    const watch = new SettingsWatcher(
       settings,
       () => {
         throw new Error('cut short');
--- a/packages/entry/src/__tests__/whole-path.test.ts
+++ b/packages/entry/src/__tests__/whole-path.test.ts
@@ -21,7 +21,7 @@
     behaviourOf: task => ({
       durationMilliseconds: task.startsWith('f') ? 60_000 : 100,
       end: RunEnd.Done,
-      room: TASK_ROOM,
+      resources: TASK_ROOM,
     }),
   });
   let daemon: RunningDaemon;
@@ -38,11 +38,14 @@
     path: string,
     body?: object,
   ): Promise<{status: number; body: Record<string, unknown>}> {
-    const answer = await request(`http://127.0.0.1:${daemon.callers}${path}`, {
-      method,
-      headers: {host: QUEUE_HOST, 'x-deadline-ms': '3000'},
-      body: body && JSON.stringify(body),
-    });
+    const answer = await request(
+      `http://127.0.0.1:${daemon.callerPort}${path}`,
+      {
+        method,
+        headers: {host: QUEUE_HOST, 'x-deadline-ms': '3000'},
+        body: body && JSON.stringify(body),
+      },
+    );
     const text = await answer.body.text();
     return {
       status: answer.statusCode,
@@ -62,7 +65,7 @@
     const status = await eventually(
       async () => {
         const answer = await request(
-          `http://127.0.0.1:${daemon.readiness}/ready`,
+          `http://127.0.0.1:${daemon.readinessPort}/ready`,
         );
         await answer.body.dump();
         return answer.statusCode;
@@ -80,7 +83,7 @@
       ({body}) => body.state === 'completed',
     );
     assert.deepEqual(answer.body, {state: 'completed'});
-    assert.equal(platform.begunRuns().length, 3);
+    assert.equal(platform.startedRuns().length, 3);
   });
 
   it('cancels a job', async () => {
@@ -112,7 +115,7 @@
   });
 
   it('shows metrics as text', async () => {
-    const address = daemon.parts.metricsPort.boundAddress;
+    const address = daemon.parts.metricsServer.boundAddress;
     const answer = await request(`http://${address}/metrics`);
     assert.match(
       await answer.body.text(),
--- a/packages/entry/src/coordinator-plugin.ts
+++ b/packages/entry/src/coordinator-plugin.ts
@@ -1,6 +1,6 @@
 import {
   Coordinator,
-  TermKeeper,
+  CoordinatorElection,
   coordinatorStrength,
   type CoordinatorParts,
   type TermListener,
@@ -14,7 +14,7 @@
 
 /** Runs a coordinator while this daemon holds the term. */
 export class CoordinatorPlugin implements Plugin, TermListener {
-  private readonly keeper: TermKeeper;
+  private readonly election: CoordinatorElection;
   private coordinator: Coordinator | undefined;
 
   constructor(
@@ -23,7 +23,7 @@
     incarnation: string,
   ) {
     const {node, size, isFirstStart} = parts.settings;
-    this.keeper = new TermKeeper(
+    this.election = new CoordinatorElection(
       parts.log,
       {node, incarnation, isFirstStart, strength: coordinatorStrength(size)},
       parts.clock,
@@ -39,12 +39,12 @@
   }
 
   async start(): Promise<void> {
-    this.keeper.start();
+    this.election.start();
   }
 
   /** Gives the term back first, so that another daemon goes on while this one lets its callers finish. */
   async drain(): Promise<void> {
-    await this.keeper.stop();
+    await this.election.stop();
   }
 
   async stop(): Promise<void> {
@@ -57,7 +57,7 @@
     const coordinator = new Coordinator(
       term,
       this.parts,
-      () => this.keeper.isValid,
+      () => this.election.isValid,
     );
     this.coordinator = coordinator;
     coordinator.run().catch((error: unknown) => {
--- a/packages/entry/src/http-server.ts
+++ b/packages/entry/src/http-server-plugin.ts
@@ -2,7 +2,7 @@
 import {splitAddress, type Plugin} from '@gentiandoor/kernel';
 
 /** A head that does not come whole within this is not worth a connection. */
-const HEAD_TIMEOUT_MILLISECONDS = 5_000;
+const HEADERS_TIMEOUT_MILLISECONDS = 5_000;
 /** Callers keep connections for minutes; closing them ourselves would race with their next request. */
 const KEEP_ALIVE_MILLISECONDS = 75_000;
 
@@ -17,7 +17,7 @@
     this.server = createServer(
       {
         keepAliveTimeout: KEEP_ALIVE_MILLISECONDS,
-        headersTimeout: HEAD_TIMEOUT_MILLISECONDS,
+        headersTimeout: HEADERS_TIMEOUT_MILLISECONDS,
       },
       listener,
     );
--- a/packages/entry/src/job-log-plugin.ts
+++ b/packages/entry/src/job-table-refresh-plugin.ts
@@ -8,10 +8,10 @@
 } from '@gentiandoor/kernel';
 
 /** Well within the time for which the store keeps records, so that a follower rarely starts from the newest ones. */
-const REFRESH_MILLISECONDS = 2_000;
+const REFRESH_INTERVAL_MILLISECONDS = 2_000;
 
 /** Keeps a daemon's view of the jobs warm, so that it can answer and take over at once. */
-export class JobLogPlugin implements Plugin {
+export class JobTableRefreshPlugin implements Plugin {
   private stopping = false;
 
   constructor(
@@ -30,8 +30,8 @@
 
   private async run(): Promise<void> {
     while (!this.stopping) {
-      await this.jobs.keepWarm();
-      const wait = jitter(this.random, REFRESH_MILLISECONDS);
+      await this.jobs.refreshStale();
+      const wait = jitter(this.random, REFRESH_INTERVAL_MILLISECONDS);
       await sleep(this.clock, wait);
     }
   }
--- a/packages/entry/src/settings-watch.ts
+++ b/packages/entry/src/settings-watcher.ts
@@ -2,7 +2,7 @@
 import {LogEvent, type Clock, type Logger} from '@gentiandoor/kernel';
 
 /** The file may change without a signal; reading a few kilobytes this often costs nothing that can be measured. */
-const READ_MILLISECONDS = 5_000;
+const POLL_INTERVAL_MILLISECONDS = 5_000;
 
 /** Reads settings; throws `SettingsError` when the file is not whole. */
 export type SettingsReader = () => EntrySettings;
@@ -11,7 +11,7 @@
  * Keeps settings up to date in place: parts read addresses and limits where they use them.
  * What the daemon listens on stays as it was at the start.
  */
-export class SettingsWatch {
+export class SettingsWatcher {
   private stopped = false;
 
   constructor(
@@ -22,7 +22,7 @@
   ) {}
 
   start(): void {
-    this.clock.schedule(READ_MILLISECONDS, () => {
+    this.clock.schedule(POLL_INTERVAL_MILLISECONDS, () => {
       if (this.stopped) return;
       this.reload();
       this.start();
@@ -36,13 +36,13 @@
   /** Reads the file now; a file that can't be read leaves the last good settings in force. */
   reload(): void {
     try {
-      this.take(this.read());
+      this.apply(this.read());
     } catch (error) {
       this.logger.warn(LogEvent.SettingsUnreadable, {error: String(error)});
     }
   }
 
-  private take(fresh: EntrySettings): void {
+  private apply(fresh: EntrySettings): void {
     const before = new Map(Object.entries(this.settings));
     const changed = Object.entries(fresh)
       .filter(
--- a/packages/entry/src/wiring.ts
+++ b/packages/entry/src/wiring.ts
@@ -2,7 +2,7 @@
 import {asFunction, createContainer, InjectionMode} from 'awilix';
 import {
   DaemonReadiness,
-  JobFrontDesk,
+  JobIntake,
   JobStreams,
   OperatorView,
   SubmissionLog,
@@ -12,7 +12,7 @@
 import {JobTable} from '@gentiandoor/jobs';
 import {AccessGuard} from '@gentiandoor/organisations';
 import {
-  BoundedLogger,
+  RateLimitedLogger,
   DrainState,
   LifeCycle,
   LogLevel,
@@ -27,16 +27,16 @@
 } from '@gentiandoor/kernel';
 import {
   CallerRoutes,
-  HttpCalls,
-  PlatformMachines,
-  PlatformRecords,
+  HttpClient,
+  PlatformVmGateway,
+  PlatformRecordFormats,
   PlatformStore,
-  PlatformWorkers,
+  PlatformWorkerGateway,
 } from '@gentiandoor/platform';
 import {PrometheusMetrics} from '@gentiandoor/plugin-metrics';
 import {CoordinatorPlugin} from './coordinator-plugin.js';
-import {HttpServerPlugin} from './http-server.js';
-import {JobLogPlugin} from './job-log-plugin.js';
+import {HttpServerPlugin} from './http-server-plugin.js';
+import {JobTableRefreshPlugin} from './job-table-refresh-plugin.js';
 import {METRICS_PORT, metricsListener} from './metrics-listener.js';
 import {readinessListener} from './readiness-listener.js';
 
@@ -53,25 +53,25 @@
   random: RandomSource;
   logger: Logger;
   metrics: PrometheusMetrics;
-  metricsPort: HttpServerPlugin;
+  metricsServer: HttpServerPlugin;
   drainState: DrainState;
-  storeCalls: HttpCalls;
-  workerCalls: HttpCalls;
+  storeClient: HttpClient;
+  workerClient: HttpClient;
   log: PlatformStore;
-  formats: PlatformRecords;
-  workers: PlatformWorkers;
-  machines: PlatformMachines;
+  formats: PlatformRecordFormats;
+  workers: PlatformWorkerGateway;
+  vmGateway: PlatformVmGateway;
   operators: OperatorView;
   table: JobTable;
   jobs: JobStreams;
   submissions: SubmissionLog;
-  desk: JobFrontDesk;
-  guard: AccessGuard;
-  routes: CallerRoutes;
-  callers: HttpServerPlugin;
+  jobIntake: JobIntake;
+  accessGuard: AccessGuard;
+  callerRoutes: CallerRoutes;
+  callerServer: HttpServerPlugin;
   daemonReadiness: DaemonReadiness;
-  readiness: HttpServerPlugin;
-  jobLog: JobLogPlugin;
+  readinessServer: HttpServerPlugin;
+  jobTableRefresh: JobTableRefreshPlugin;
   coordinator: CoordinatorPlugin;
   lifeCycle: LifeCycle;
 }
@@ -98,13 +98,13 @@
     random: single(() => new SeededRandom(randomInt(SEED_BOUND))),
     logger: single(
       ({clock}) =>
-        new BoundedLogger(
+        new RateLimitedLogger(
           new PinoLogger(LogLevel.Info, {node: settings.node}),
           clock,
         ),
     ),
     metrics: single(() => new PrometheusMetrics()),
-    metricsPort: single(
+    metricsServer: single(
       parts =>
         new HttpServerPlugin(
           `${splitAddress(settings.callerAddress).host}:${overrides.metricsPort ?? METRICS_PORT}`,
@@ -112,17 +112,18 @@
         ),
     ),
     drainState: single(() => new DrainState()),
-    storeCalls: single(() => new HttpCalls(STORE_CONNECTIONS)),
-    workerCalls: single(() => new HttpCalls(WORKER_CONNECTIONS)),
+    storeClient: single(() => new HttpClient(STORE_CONNECTIONS)),
+    workerClient: single(() => new HttpClient(WORKER_CONNECTIONS)),
     log: single(
-      parts => new PlatformStore(parts.storeCalls, () => settings.storeAddress),
+      parts =>
+        new PlatformStore(parts.storeClient, () => settings.storeAddress),
     ),
-    formats: single(() => new PlatformRecords()),
-    workers: single(parts => new PlatformWorkers(parts.workerCalls)),
-    machines: single(
+    formats: single(() => new PlatformRecordFormats()),
+    workers: single(parts => new PlatformWorkerGateway(parts.workerClient)),
+    vmGateway: single(
       parts =>
-        new PlatformMachines(
-          parts.storeCalls,
+        new PlatformVmGateway(
+          parts.storeClient,
           () => settings.machineListAddress,
         ),
     ),
@@ -136,9 +137,9 @@
         new JobStreams(log, table, clock, logger),
     ),
     submissions: single(({log, clock}) => new SubmissionLog(log, clock)),
-    desk: single(
+    jobIntake: single(
       ({table, jobs, submissions, operators, clock, logger, metrics}) =>
-        new JobFrontDesk(
+        new JobIntake(
           table,
           jobs,
           submissions,
@@ -149,48 +150,57 @@
         ),
     ),
     daemonReadiness: single(
-      ({operators, desk, drainState}) =>
+      ({operators, jobIntake: desk, drainState}) =>
         new DaemonReadiness(operators, desk, () => drainState.isDraining),
     ),
-    guard: single(
+    accessGuard: single(
       ({operators, clock}) =>
         new AccessGuard(
           operators,
           {
-            inForce: settings.limits.configurationInForce,
-            stretch: settings.limits.stretch,
+            configurationInForceMilliseconds:
+              settings.limits.configurationInForce,
+            extensionMilliseconds: settings.limits.stretch,
           },
           clock,
         ),
     ),
-    routes: single(
-      ({desk, operators, guard, clock, logger, metrics, daemonReadiness}) =>
+    callerRoutes: single(
+      ({
+        jobIntake: desk,
+        operators,
+        accessGuard: guard,
+        clock,
+        logger,
+        metrics,
+        daemonReadiness,
+      }) =>
         new CallerRoutes({
-          desk,
+          jobIntake: desk,
           operators,
-          guard,
+          accessGuard: guard,
           clock,
           logger,
           metrics,
-          sendsCallersAway: () => !daemonReadiness.isReady,
+          shouldCloseConnections: () => !daemonReadiness.isReady,
         }),
     ),
-    callers: single(
+    callerServer: single(
       parts =>
         new HttpServerPlugin(
           settings.callerAddress,
-          parts.routes.app.callback(),
+          parts.callerRoutes.app.callback(),
         ),
     ),
-    readiness: single(
+    readinessServer: single(
       parts =>
         new HttpServerPlugin(
           settings.readinessAddress,
           readinessListener(parts.daemonReadiness),
         ),
     ),
-    jobLog: single(
-      parts => new JobLogPlugin(parts.jobs, parts.clock, parts.random),
+    jobTableRefresh: single(
+      parts => new JobTableRefreshPlugin(parts.jobs, parts.clock, parts.random),
     ),
     coordinator: single(
       parts =>
@@ -206,7 +216,7 @@
 }
 
 function coordinatorParts(parts: EntryParts): CoordinatorParts {
-  const {settings, log, formats, workers, machines} = parts;
+  const {settings, log, formats, workers, vmGateway} = parts;
   const {operators, table, jobs, submissions} = parts;
   const {clock, logger, metrics} = parts;
   return {
@@ -214,7 +224,7 @@
     log,
     formats,
     workers,
-    machines,
+    vmGateway,
     operators,
     table,
     jobs,
@@ -232,11 +242,11 @@
     stop: async () => parts.operators.stop(),
   };
   return [
-    {name: 'metrics', plugin: parts.metricsPort},
+    {name: 'metrics', plugin: parts.metricsServer},
     {name: 'operators', plugin: operators},
-    {name: 'job log', plugin: parts.jobLog},
-    {name: 'callers', plugin: parts.callers},
-    {name: 'readiness', plugin: parts.readiness},
+    {name: 'job log', plugin: parts.jobTableRefresh},
+    {name: 'callers', plugin: parts.callerServer},
+    {name: 'readiness', plugin: parts.readinessServer},
     {name: 'coordinator', plugin: parts.coordinator},
   ];
 }
--- a/packages/fleet/src/__tests__/budgets.test.ts
+++ b/packages/fleet/src/__tests__/budgets.test.ts
@@ -4,7 +4,7 @@
   RecordKind,
   RejectionReason,
   VmCondition,
-  budgetStandings,
+  serviceBudgetStatuses,
 } from '@gentiandoor/shared-state';
 import {KINGSTON, SWAN_COAST} from '@gentiandoor/stand-ins';
 import {FoldedFleet, PLANNER} from './fold-helpers.js';
@@ -107,7 +107,7 @@
 
   it('shows each service with what it can spare', () => {
     const fleet = new FoldedFleet(SWAN_COAST);
-    const [eligibility] = budgetStandings(fleet.state);
+    const [eligibility] = serviceBudgetStatuses(fleet.state);
     assert.equal(eligibility.available, 8);
     assert.equal(eligibility.availableAfterLoss, 6);
     assert.equal(eligibility.spare, 1);
--- a/packages/fleet/src/__tests__/fleet-properties.test.ts
+++ b/packages/fleet/src/__tests__/fleet-properties.test.ts
@@ -10,16 +10,20 @@
   VmAction,
   VmCondition,
   WaveChange,
-  capacityOf,
+  capacityIndexOf,
   decodeSnapshot,
   encodeSnapshot,
-  jobsOf,
+  jobIndexOf,
   plannerOf,
   stateHash,
   tablesOf,
   type FleetState,
 } from '@gentiandoor/shared-state';
-import {EXAMPLE_TRUST, KINGSTON, exampleVms} from '@gentiandoor/stand-ins';
+import {
+  EXAMPLE_TRUSTED_OPERATORS,
+  KINGSTON,
+  exampleVms,
+} from '@gentiandoor/stand-ins';
 import {
   FoldedFleet,
   countAvailable,
@@ -188,7 +192,7 @@
       'routing mark and planned work differ',
     );
   }
-  const index = capacityOf(state);
+  const index = capacityIndexOf(state);
   for (const pool of POOLS) {
     assert.equal(index.pool(pool).owned, counted.get(pool) ?? 0);
     assert.equal(index.pool(pool).available, countAvailable(state, pool));
@@ -254,14 +258,14 @@
         }
         assert.equal(stateHash(left.state), stateHash(right.state));
         for (const [name, table] of tablesOf(left.state))
-          assert.equal(table.hash, table.recomputedHash(), name);
+          assert.equal(table.hash, table.recomputeHash(), name);
         assert.deepEqual(
-          [...capacityOf(left.state).pools].sort(),
+          [...capacityIndexOf(left.state).pools].sort(),
           [...new CapacityIndex(left.state).pools].sort(),
         );
         assert.deepEqual(
-          jobsOf(left.state).placedOn,
-          new JobIndex(left.state).placedOn,
+          jobIndexOf(left.state).placedKeysByVm,
+          new JobIndex(left.state).placedKeysByVm,
         );
       }),
       {numRuns: RUNS, seed: SEED},
@@ -280,7 +284,7 @@
         submitJobs(left);
         const bytes = await encodeSnapshot(left.state, rest);
         const right = left.continuedFrom(
-          await decodeSnapshot(bytes, EXAMPLE_TRUST, rest),
+          await decodeSnapshot(bytes, EXAMPLE_TRUSTED_OPERATORS, rest),
         );
         for (const move of second) {
           const draft = draftOf(left.state, move);
--- a/packages/fleet/src/__tests__/fold-helpers.ts
+++ b/packages/fleet/src/__tests__/fold-helpers.ts
@@ -1,15 +1,15 @@
 import {
   RecordKind,
   VmCondition,
-  capacityOf,
-  largestLoss,
+  capacityIndexOf,
+  largestFailureDomainLoss,
   type FleetRecord,
   type FleetState,
   type FoldOutcome,
 } from '@gentiandoor/shared-state';
 import {
   exampleState,
-  fold,
+  foldRecord,
   type ExampleDeployment,
 } from '@gentiandoor/stand-ins';
 
@@ -42,7 +42,7 @@
   /** Writes a record as a named writer. */
   write(writer: string, draft: Draft): FoldOutcome {
     const id = `${writer}-${this.written++}`;
-    return fold(this.state, {...draft, id, writer} as FleetRecord);
+    return foldRecord(this.state, {...draft, id, writer} as FleetRecord);
   }
 
   /** Gives the term to an incarnation; returns the term. */
@@ -85,12 +85,13 @@
 
 /** VMs that each service keeps above its need after the named failure; negative when exposed. */
 export function budgetMargins(state: FleetState): Map<string, number> {
-  const index = capacityOf(state);
+  const index = capacityIndexOf(state);
   const services = Object.entries(state.inForce?.bundle.services ?? {});
   return new Map(
     services.map(([name, {pool, budget}]) => {
       const counts = index.pool(pool);
-      const left = counts.available - largestLoss(counts, budget.survive);
+      const left =
+        counts.available - largestFailureDomainLoss(counts, budget.survive);
       return [name, left - budget.availableVms];
     }),
   );
--- a/packages/fleet/src/__tests__/jobs-in-the-fold.test.ts
+++ b/packages/fleet/src/__tests__/jobs-in-the-fold.test.ts
@@ -3,15 +3,15 @@
 import {
   JobOutcome,
   JobState,
-  MOST_QUEUED_OF_TEAM,
+  MAXIMUM_QUEUED_JOBS_PER_TEAM,
   RecordKind,
   RejectionReason,
-  jobsOf,
+  jobIndexOf,
 } from '@gentiandoor/shared-state';
 import {KINGSTON} from '@gentiandoor/stand-ins';
-import {SizeLearner} from '../size-learner.js';
+import {JobSizeEstimator} from '../job-size-estimator.js';
 import {TeamOrder} from '../team-order.js';
-import {WorkerFailures} from '../worker-failures.js';
+import {FaultyVmDetector} from '../faulty-vm-detector.js';
 import {FoldedFleet, PLANNER} from './fold-helpers.js';
 
 const SIZE = {processors: 2, memoryGigabytes: 4, accelerators: 0, slots: 1};
@@ -112,14 +112,15 @@
 
   it('are refused beyond what may wait of one team', () => {
     const fleet = planned();
-    for (let n = 0; n < MOST_QUEUED_OF_TEAM; n++) submit(fleet, `job-${n}`);
+    for (let n = 0; n < MAXIMUM_QUEUED_JOBS_PER_TEAM; n++)
+      submit(fleet, `job-${n}`);
     const {rejection} = submit(fleet, 'one-more');
     assert.equal(rejection?.reason, RejectionReason.QuotaExceeded);
     const other = submit(fleet, 'preview', {team: 'counter'});
     assert.equal(other.rejection, undefined);
     assert.equal(
-      jobsOf(fleet.state).queuedOfTeam('cooperatives'),
-      MOST_QUEUED_OF_TEAM,
+      jobIndexOf(fleet.state).queuedCountOfTeam('cooperatives'),
+      MAXIMUM_QUEUED_JOBS_PER_TEAM,
     );
   });
 });
@@ -133,15 +134,15 @@
     const taken: string[] = [];
     for (let n = 0; n < 10; n++) {
       const team = order.next() ?? '';
-      const [key] = order.keys(team);
-      order.take(team, key, 1);
+      const [key] = order.queuedKeys(team);
+      order.recordTaken(team, key, 1);
       taken.push(team);
     }
     assert.deepEqual(new Set(taken), new Set(['counter']));
-    order.drop('counter');
+    order.exclude('counter');
     const rest = Array.from({length: 10}, () => {
       const team = order.next() ?? '';
-      order.take(team, `${team}-x`, 1);
+      order.recordTaken(team, `${team}-x`, 1);
       return team;
     });
     const ledger = rest.filter(team => team === 'ledger').length;
@@ -157,7 +158,7 @@
     submit(fleet, 'badge-1');
     const job = fleet.state.jobs.get('badge-1');
     assert.ok(job);
-    const sizes = new SizeLearner();
+    const sizes = new JobSizeEstimator();
     assert.equal(sizes.sizeOf(job, limit).memoryGigabytes, 4);
     for (let n = 0; n < 5; n++)
       sizes.observe('badge-run', {
@@ -173,26 +174,26 @@
 
 describe('WorkerFailures', () => {
   it('blames a VM on which distinct jobs fail while the pool succeeds', () => {
-    const failures = new WorkerFailures();
+    const failures = new FaultyVmDetector();
     for (let n = 0; n < 20; n++)
       failures.observe('p', `vm-${n % 4}`, `j${n}`, false);
     for (let n = 0; n < 3; n++) failures.observe('p', 'bad', `k${n}`, true);
-    assert.deepEqual([...failures.suspects(() => 'p')], ['bad']);
+    assert.deepEqual([...failures.faultyVms(() => 'p')], ['bad']);
   });
 
   it('blames no VM for one job that fails everywhere', () => {
-    const failures = new WorkerFailures();
+    const failures = new FaultyVmDetector();
     for (let n = 0; n < 9; n++)
       failures.observe('p', `vm-${n % 3}`, 'same', true);
-    assert.equal(failures.suspects(() => 'p').size, 0);
+    assert.equal(failures.faultyVms(() => 'p').size, 0);
   });
 
   // A shared dependency is down and every VM fails every job. Suspecting all of them would
   // leave no VM and reboot the pool for nothing.
   it('blames no VM when the whole pool fails', () => {
-    const failures = new WorkerFailures();
+    const failures = new FaultyVmDetector();
     for (let n = 0; n < 200; n++)
       failures.observe('p', `vm-${n % 8}`, `j${n}`, true);
-    assert.equal(failures.suspects(() => 'p').size, 0);
+    assert.equal(failures.faultyVms(() => 'p').size, 0);
   });
 });
--- a/packages/fleet/src/__tests__/maintenance-calendar.test.ts
+++ b/packages/fleet/src/__tests__/maintenance-scheduler.test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import {RecordKind, WaveChange, WaveState} from '@gentiandoor/shared-state';
 import {SWAN_COAST} from '@gentiandoor/stand-ins';
-import {MaintenanceCalendar} from '../maintenance-calendar.js';
+import {MaintenanceScheduler} from '../maintenance-scheduler.js';
 import type {PlannerInput} from '../planner-input.js';
 import {FoldedFleet, PLANNER, type Draft} from './fold-helpers.js';
 
@@ -23,12 +23,12 @@
     state,
     now: 0,
     wallNow,
-    list: new Map(),
-    listAgeMilliseconds: 0,
-    suspected: new Set(),
-    actions: new Map(),
+    vmList: new Map(),
+    vmListAgeMilliseconds: 0,
+    suspectedVms: new Set(),
+    vmActions: new Map(),
   };
-  return new MaintenanceCalendar(PERIOD_DAYS).plan(input);
+  return new MaintenanceScheduler(PERIOD_DAYS).plan(input);
 }
 
 type FleetAt = Pick<FoldedFleet, 'state'>;
--- a/packages/fleet/src/__tests__/rebalancer.test.ts
+++ b/packages/fleet/src/__tests__/rebalancer.test.ts
@@ -7,8 +7,8 @@
   VmCondition,
 } from '@gentiandoor/shared-state';
 import {SWAN_COAST, type ExampleDeployment} from '@gentiandoor/stand-ins';
-import {smallestSize, worthwhileSpares} from '../buffer-plan.js';
-import type {PlannerInput, Proposal} from '../planner-input.js';
+import {minimumPoolSize, costEffectiveSpares} from '../buffer-plan.js';
+import type {PlannerInput, ProposedRecord} from '../planner-input.js';
 import {REBALANCE_DEFAULTS} from '../rebalance-options.js';
 import {Rebalancer} from '../rebalancer.js';
 import {FoldedFleet, PLANNER} from './fold-helpers.js';
@@ -20,10 +20,10 @@
     state: fleet.state,
     now,
     wallNow: now,
-    list: new Map(),
-    listAgeMilliseconds: 0,
-    suspected: new Set(),
-    actions: new Map(),
+    vmList: new Map(),
+    vmListAgeMilliseconds: 0,
+    suspectedVms: new Set(),
+    vmActions: new Map(),
   };
 }
 
@@ -33,8 +33,8 @@
   fleet: FoldedFleet,
   from: number,
   until: number,
-): Proposal[] {
-  const proposals: Proposal[] = [];
+): ProposedRecord[] {
+  const proposals: ProposedRecord[] = [];
   for (let now = from; now < until; now += 1000)
     proposals.push(...rebalancer.plan(inputAt(fleet, now)));
   return proposals;
@@ -60,7 +60,7 @@
     it('moves nothing', () => {
       const fleet = planned(weighted(1, 1));
       const rebalancer = new Rebalancer();
-      const proposals: Proposal[] = [];
+      const proposals: ProposedRecord[] = [];
       for (let n = 0; n < 20; n++) {
         shorten(fleet);
         const from = n * 6 * MINUTE;
@@ -138,11 +138,11 @@
 
 describe('the buffer', () => {
   it('is the fewest VMs that survive the named failure', () => {
-    assert.equal(smallestSize(5, FailureDomain.DataCentre, 4), 7);
-    assert.equal(smallestSize(3, FailureDomain.DataCentre, 3), 5);
-    assert.equal(smallestSize(5, FailureDomain.Vm, 4), 6);
-    assert.equal(smallestSize(5, FailureDomain.None, 4), 5);
-    assert.equal(smallestSize(5, FailureDomain.DataCentre, 1), Infinity);
+    assert.equal(minimumPoolSize(5, FailureDomain.DataCentre, 4), 7);
+    assert.equal(minimumPoolSize(3, FailureDomain.DataCentre, 3), 5);
+    assert.equal(minimumPoolSize(5, FailureDomain.Vm, 4), 6);
+    assert.equal(minimumPoolSize(5, FailureDomain.None, 4), 5);
+    assert.equal(minimumPoolSize(5, FailureDomain.DataCentre, 1), Infinity);
   });
 
   it('agrees with trying every size', () => {
@@ -150,7 +150,11 @@
       for (let domains = 2; domains < 13; domains++) {
         let size = needed;
         while (size - Math.ceil(size / domains) < needed) size++;
-        const found = smallestSize(needed, FailureDomain.DataCentre, domains);
+        const found = minimumPoolSize(
+          needed,
+          FailureDomain.DataCentre,
+          domains,
+        );
         assert.equal(found, size, `${needed} over ${domains}`);
       }
     }
@@ -158,7 +162,7 @@
 
   it('holds more spares where moves weigh more and pools are larger', () => {
     const spares = (size: number, buffer: number, move: number) =>
-      worthwhileSpares(size, {buffer, move}, REBALANCE_DEFAULTS);
+      costEffectiveSpares(size, {buffer, move}, REBALANCE_DEFAULTS);
     assert.equal(spares(8, 4, 1), 0);
     assert.equal(spares(8, 1, 4), 0);
     assert.ok(spares(130, 1, 4) > spares(130, 4, 1));
--- a/packages/fleet/src/buffer-plan.ts
+++ b/packages/fleet/src/buffer-plan.ts
@@ -1,6 +1,6 @@
 import {
   FailureDomain,
-  capacityOf,
+  capacityIndexOf,
   type CostWeights,
   type FleetState,
 } from '@gentiandoor/shared-state';
@@ -12,16 +12,16 @@
   /** VMs that the budgets of its services need available. */
   readonly needed: number;
   /** Fewest VMs whose budgets hold through the named failure, with one out by plan. */
-  readonly smallest: number;
+  readonly minimumVms: number;
   /** VMs above `smallest` that are worth holding, so that an ordinary failure moves nothing. */
   readonly spares: number;
   readonly owned: number;
 }
 
 /** VMs that one may fail before a spare no longer pays, however the weights stand. */
-const MOST_SPARES = 8;
+const MAXIMUM_SPARES = 8;
 /** A lent VM is moved twice: there and back. */
-const MOVES_A_FAILURE = 2;
+const MOVES_PER_FAILURE = 2;
 
 /**
  * The smallest idle capacity that keeps each budget through its named failure, spread as
@@ -47,25 +47,28 @@
   weights: CostWeights,
   options: RebalanceOptions,
 ): PoolBuffer {
-  const index = capacityOf(state);
+  const index = capacityIndexOf(state);
   const {owned} = index.pool(pool);
   let needed = 0;
-  let smallest = 0;
+  let minimumVms = 0;
   for (const name of index.services(pool)) {
     const budget = index.service(name)?.budget;
     if (!budget) continue;
     needed = Math.max(needed, budget.availableVms);
-    const domains = index.domainsOf(budget.survive);
-    const least = smallestSize(budget.availableVms, budget.survive, domains);
+    const domains = index.failureDomainCount(budget.survive);
+    const least = minimumPoolSize(budget.availableVms, budget.survive, domains);
     // One more, or no VM could ever be maintained.
-    smallest = Math.max(smallest, least + Math.min(1, budget.leavingAtOnce));
+    minimumVms = Math.max(
+      minimumVms,
+      least + Math.min(1, budget.leavingAtOnce),
+    );
   }
-  const spares = worthwhileSpares(smallest, weights, options);
-  return {pool, needed, smallest, spares, owned};
+  const spares = costEffectiveSpares(minimumVms, weights, options);
+  return {pool, needed, minimumVms: minimumVms, spares, owned};
 }
 
 /** Fewest VMs of which `needed` are left when the largest of `domains` equal domains is lost. */
-export function smallestSize(
+export function minimumPoolSize(
   needed: number,
   survive: FailureDomain,
   domains: number,
@@ -79,7 +82,7 @@
 }
 
 /** Spares whose saved moves are worth more than their idle days. */
-export function worthwhileSpares(
+export function costEffectiveSpares(
   size: number,
   weights: CostWeights,
   options: RebalanceOptions,
@@ -88,8 +91,8 @@
   const meanDown = failuresADay * options.repairDays;
   let probability = Math.exp(-meanDown);
   let spares = 0;
-  while (spares < MOST_SPARES) {
-    const saved = MOVES_A_FAILURE * failuresADay * probability;
+  while (spares < MAXIMUM_SPARES) {
+    const saved = MOVES_PER_FAILURE * failuresADay * probability;
     if (saved * weights.move <= weights.buffer) break;
     spares++;
     probability *= meanDown / spares;
--- a/packages/fleet/src/free-capacity.ts
+++ b/packages/fleet/src/free-capacity.ts
@@ -1,6 +1,6 @@
 import type {JobSize, PoolEntry} from '@gentiandoor/shared-state';
 
-interface Free {
+interface FreeResources {
   processors: number;
   memoryGigabytes: number;
   accelerators: number;
@@ -13,7 +13,7 @@
  * slots: a choice looks at a few VMs instead of the whole pool.
  */
 export class FreeCapacity {
-  private readonly free = new Map<string, Free>();
+  private readonly free = new Map<string, FreeResources>();
   private readonly buckets: Array<Set<string>>;
 
   constructor(private readonly entry: PoolEntry) {
@@ -26,7 +26,7 @@
     this.buckets[slots].add(vm);
   }
 
-  use(vm: string, size: JobSize): void {
+  deduct(vm: string, size: JobSize): void {
     const free = this.free.get(vm);
     if (!free) return;
     this.buckets[Math.max(0, free.slots)].delete(vm);
@@ -38,11 +38,11 @@
   }
 
   /** Takes room for a job on the fullest VM that fits; undefined when none does. */
-  take(size: JobSize, barred: ReadonlySet<string>): string | undefined {
+  allocate(size: JobSize, barred: ReadonlySet<string>): string | undefined {
     for (let slots = size.slots; slots < this.buckets.length; slots++) {
       for (const vm of this.buckets[slots]) {
         if (barred.has(vm) || !this.fits(vm, size)) continue;
-        this.use(vm, size);
+        this.deduct(vm, size);
         return vm;
       }
     }
--- a/packages/fleet/src/baselines.ts
+++ b/packages/fleet/src/greedy-rebalancer.ts
@@ -2,18 +2,22 @@
 import {
   MoveCause,
   RecordKind,
-  capacityOf,
+  capacityIndexOf,
   checkPlannedStop,
   type FleetState,
 } from '@gentiandoor/shared-state';
-import type {PlannerInput, PlannerPart, Proposal} from './planner-input.js';
+import type {
+  PlannerInput,
+  PlanningStage,
+  ProposedRecord,
+} from './planner-input.js';
 
 /**
  * Baseline for measurements: evens the pools' spare VMs out at each change, without waiting
  * and without weights. Every failure and every return moves a VM.
  */
-export class GreedyRebalancer implements PlannerPart {
-  plan(input: PlannerInput): Proposal[] {
+export class GreedyRebalancer implements PlanningStage {
+  plan(input: PlannerInput): ProposedRecord[] {
     const {state} = input;
     const pools = Object.keys(state.inForce?.bundle.pools ?? {});
     const spares = pools
@@ -22,7 +26,7 @@
     const poorest = spares.at(0);
     const richest = spares.at(-1);
     if (!poorest || !richest || richest.spare - poorest.spare < 2) return [];
-    const index = capacityOf(state);
+    const index = capacityIndexOf(state);
     for (const vm of index.pool(richest.pool).vms) {
       if (!index.isAvailable(vm) || state.work.has(vm)) continue;
       if (checkPlannedStop(state, vm, poorest.pool)) continue;
@@ -33,14 +37,18 @@
 }
 
 function spareAvailable(state: FleetState, pool: string): number {
-  const index = capacityOf(state);
+  const index = capacityIndexOf(state);
   const needs = index
     .services(pool)
     .map(name => index.service(name)?.budget.availableVms ?? 0);
   return index.pool(pool).available - Math.max(0, ...needs);
 }
 
-function greedyMove(state: FleetState, vm: string, toPool: string): Proposal {
+function greedyMove(
+  state: FleetState,
+  vm: string,
+  toPool: string,
+): ProposedRecord {
   const reason = `pool ${toPool} has the fewest VMs to spare`;
   return {
     record: {
--- a/packages/fleet/src/job-placer.ts
+++ b/packages/fleet/src/job-placer.ts
@@ -1,23 +1,27 @@
 import {SubjectKind} from '@gentiandoor/kernel';
 import {
   RecordKind,
-  capacityOf,
-  jobsOf,
+  capacityIndexOf,
+  jobIndexOf,
   type FleetState,
   type Job,
   type JobSize,
   type PoolEntry,
 } from '@gentiandoor/shared-state';
 import {FreeCapacity} from './free-capacity.js';
-import type {PlannerInput, PlannerPart, Proposal} from './planner-input.js';
-import type {SizeLearner} from './size-learner.js';
+import type {
+  PlannerInput,
+  PlanningStage,
+  ProposedRecord,
+} from './planner-input.js';
+import type {JobSizeEstimator} from './job-size-estimator.js';
 import {TeamOrder} from './team-order.js';
-import type {WorkerFailures} from './worker-failures.js';
+import type {FaultyVmDetector} from './faulty-vm-detector.js';
 
 /** Placements of one round: what the log takes in a second besides all else. */
-export const PLACEMENTS_A_ROUND = 200;
+export const MAXIMUM_PLACEMENTS_PER_ROUND = 200;
 /** Jobs of one team looked at in a round that do not fit; the rest wait behind them. */
-const LOOK_PAST = 16;
+const MAXIMUM_SKIPPED_JOBS = 16;
 
 /**
  * Places queued jobs on VMs of their pool. Answers a queue in which one team or one huge job
@@ -25,16 +29,16 @@
  * does not fit now is looked past, a bounded number of times. A job that fits no VM of its
  * pool, even an empty one, is set aside with the reason instead of waiting for ever.
  */
-export class JobPlacer implements PlannerPart {
+export class JobPlacer implements PlanningStage {
   constructor(
-    private readonly sizes: SizeLearner,
-    private readonly failures: WorkerFailures,
+    private readonly jobSizeEstimator: JobSizeEstimator,
+    private readonly faultyVmDetector: FaultyVmDetector,
   ) {}
 
-  plan(input: PlannerInput): Proposal[] {
-    const proposals: Proposal[] = [];
-    for (const pool of jobsOf(input.state).queues.keys()) {
-      if (proposals.length >= PLACEMENTS_A_ROUND) break;
+  plan(input: PlannerInput): ProposedRecord[] {
+    const proposals: ProposedRecord[] = [];
+    for (const pool of jobIndexOf(input.state).queues.keys()) {
+      if (proposals.length >= MAXIMUM_PLACEMENTS_PER_ROUND) break;
       this.planPool(input.state, pool, proposals);
     }
     return proposals;
@@ -43,17 +47,20 @@
   private planPool(
     state: FleetState,
     pool: string,
-    proposals: Proposal[],
+    proposals: ProposedRecord[],
   ): void {
     const entry = state.inForce?.bundle.pools[pool];
-    if (!entry || jobsOf(state).queued(pool) === 0) return;
+    if (!entry || jobIndexOf(state).queuedCountOfPool(pool) === 0) return;
     const free = this.freeCapacity(state, pool, entry);
     const teams = new TeamOrder(state, pool);
     let team = teams.next();
-    while (team !== undefined && proposals.length < PLACEMENTS_A_ROUND) {
+    while (
+      team !== undefined &&
+      proposals.length < MAXIMUM_PLACEMENTS_PER_ROUND
+    ) {
       const proposal = this.placeOne(state, entry, free, teams, team);
       if (proposal) proposals.push(proposal);
-      else teams.drop(team);
+      else teams.exclude(team);
       team = teams.next();
     }
   }
@@ -64,24 +71,24 @@
     free: FreeCapacity,
     teams: TeamOrder,
     team: string,
-  ): Proposal | undefined {
+  ): ProposedRecord | undefined {
     let looked = 0;
-    for (const key of teams.keys(team)) {
+    for (const key of teams.queuedKeys(team)) {
       const job = state.jobs.get(key);
       if (!job) continue;
-      const size = this.sizes.sizeOf(job, entry);
+      const size = this.jobSizeEstimator.sizeOf(job, entry);
       const impossible = impossibleReason(state, job, entry);
       if (impossible !== undefined) {
-        teams.take(team, key, 0);
+        teams.recordTaken(team, key, 0);
         return setAside(job, impossible);
       }
-      if (!teams.hasRoom(team, job.size.slots)) return undefined;
-      const vm = free.take(size, new Set(job.failedOn));
+      if (!teams.isWithinQuota(team, job.size.slots)) return undefined;
+      const vm = free.allocate(size, new Set(job.failedOn));
       if (vm !== undefined) {
-        teams.take(team, key, job.size.slots);
+        teams.recordTaken(team, key, job.size.slots);
         return place(job, vm, size);
       }
-      if (++looked >= LOOK_PAST) return undefined;
+      if (++looked >= MAXIMUM_SKIPPED_JOBS) return undefined;
     }
     return undefined;
   }
@@ -91,15 +98,16 @@
     pool: string,
     entry: PoolEntry,
   ): FreeCapacity {
-    const index = capacityOf(state);
-    const jobs = jobsOf(state);
+    const index = capacityIndexOf(state);
+    const jobs = jobIndexOf(state);
     const free = new FreeCapacity(entry);
     for (const vm of index.pool(pool).vms) {
-      if (!index.isAvailable(vm) || this.failures.isSuspect(pool, vm)) continue;
+      if (!index.isAvailable(vm) || this.faultyVmDetector.isFaulty(pool, vm))
+        continue;
       free.add(vm);
-      for (const key of jobs.placedOn.get(vm) ?? []) {
+      for (const key of jobs.placedKeysByVm.get(vm) ?? []) {
         const job = state.jobs.get(key);
-        if (job) free.use(vm, this.sizes.sizeOf(job, entry));
+        if (job) free.deduct(vm, this.jobSizeEstimator.sizeOf(job, entry));
       }
     }
     return free;
@@ -125,7 +133,7 @@
   return undefined;
 }
 
-function place(job: Job, vm: string, size: JobSize): Proposal {
+function place(job: Job, vm: string, size: JobSize): ProposedRecord {
   const attempt = job.attempt + 1;
   return {
     record: {kind: RecordKind.JobPlaced, key: job.key, attempt, vm},
@@ -149,7 +157,7 @@
   };
 }
 
-function setAside(job: Job, reason: string): Proposal {
+function setAside(job: Job, reason: string): ProposedRecord {
   return {
     record: {kind: RecordKind.JobSetAside, key: job.key, reason},
     decision: {
--- a/packages/fleet/src/size-learner.ts
+++ b/packages/fleet/src/job-size-estimator.ts
@@ -1,11 +1,11 @@
 import type {Job, JobSize, TaskSize} from '@gentiandoor/shared-state';
 
 /** Share by which an estimate falls towards a lower use; it rises to a higher one at once. */
-const FALL = 0.2;
+const DECREASE_FACTOR = 0.2;
 /** Room above what was seen: usage lags, so a peak may be missed. */
 const HEADROOM = 1.15;
 /** Until this many reports of a class, the declared size counts as well. */
-const REPORTS_TO_TRUST = 3;
+const MINIMUM_REPORTS = 3;
 
 interface Estimate {
   processors: number;
@@ -19,7 +19,7 @@
  * and falls slowly, because too low an estimate hurts every job on the VM and too high a one
  * only waits. Accelerators and slots cannot be shared, so the declared ones stand.
  */
-export class SizeLearner {
+export class JobSizeEstimator {
   private readonly estimates = new Map<string, Estimate>();
 
   /** Takes in the usage of one task of a class. */
@@ -30,8 +30,8 @@
       this.estimates.set(jobClass, {processors, memoryGigabytes, reports: 1});
       return;
     }
-    known.processors = follow(known.processors, usage.processors);
-    known.memoryGigabytes = follow(
+    known.processors = updatedEstimate(known.processors, usage.processors);
+    known.memoryGigabytes = updatedEstimate(
       known.memoryGigabytes,
       usage.memoryGigabytes,
     );
@@ -41,7 +41,7 @@
   /** What a job is taken to need on a VM of the given size. */
   sizeOf(job: Job, limit: TaskSize): JobSize {
     const known = this.estimates.get(job.jobClass);
-    if (!known || known.reports < REPORTS_TO_TRUST) return job.size;
+    if (!known || known.reports < MINIMUM_REPORTS) return job.size;
     return {
       ...job.size,
       processors: Math.min(known.processors * HEADROOM, limit.processors),
@@ -53,6 +53,8 @@
   }
 }
 
-function follow(estimate: number, seen: number): number {
-  return seen >= estimate ? seen : estimate + (seen - estimate) * FALL;
+function updatedEstimate(estimate: number, seen: number): number {
+  return seen >= estimate
+    ? seen
+    : estimate + (seen - estimate) * DECREASE_FACTOR;
 }
