--- a/packages/fleet/src/maintenance-calendar.ts
+++ b/packages/fleet/src/maintenance-scheduler.ts
@@ -1,6 +1,14 @@
 import {SubjectKind} from '@gentiandoor/kernel';
-import {RecordKind, isEnded, type FleetState} from '@gentiandoor/shared-state';
-import type {PlannerInput, PlannerPart, Proposal} from './planner-input.js';
+import {
+  RecordKind,
+  isWaveEnded,
+  type FleetState,
+} from '@gentiandoor/shared-state';
+import type {
+  PlannerInput,
+  PlanningStage,
+  ProposedRecord,
+} from './planner-input.js';
 
 const NAME_PREFIX = 'calendar-';
 const DAY_MILLISECONDS = 86_400_000;
@@ -13,7 +21,7 @@
  * with VMs that failed, is followed by the next within a second, since the oldest maintenance
  * is as old as before. A day is what an operator needs to look, and little of a fifth of a period.
  */
-const REST_MILLISECONDS = DAY_MILLISECONDS;
+const MINIMUM_START_INTERVAL_MILLISECONDS = DAY_MILLISECONDS;
 
 /**
  * Starts waves by itself, so that every VM is maintained once a period. Answers a fleet in
@@ -21,13 +29,14 @@
  * next but one. At most one wave at a time, and none while another is running or held:
  * an operator who holds a wave has a reason. Wall time decides only when to start.
  */
-export class MaintenanceCalendar implements PlannerPart {
+export class MaintenanceScheduler implements PlanningStage {
   constructor(private readonly periodDays: number) {}
 
-  plan(input: PlannerInput): Proposal[] {
+  plan(input: PlannerInput): ProposedRecord[] {
     const {state, wallNow} = input;
-    for (const wave of state.waves.values()) if (!isEnded(wave)) return [];
-    if (wallNow - lastStart(state) < REST_MILLISECONDS) return [];
+    for (const wave of state.waves.values()) if (!isWaveEnded(wave)) return [];
+    if (wallNow - lastStart(state) < MINIMUM_START_INTERVAL_MILLISECONDS)
+      return [];
     const period = this.periodDays * DAY_MILLISECONDS;
     const oldest = oldestMaintenance(state);
     if (oldest === undefined) return [];
@@ -59,7 +68,7 @@
   return last;
 }
 
-function start(since: number, wallNow: number, oldest: number): Proposal {
+function start(since: number, wallNow: number, oldest: number): ProposedRecord {
   const wave = `${NAME_PREFIX}${wallNow}`;
   const reason = 'every VM is maintained once a period';
   return {
--- a/packages/fleet/src/maintenance-tracker.ts
+++ b/packages/fleet/src/maintenance-workflow.ts
@@ -7,8 +7,8 @@
   VmActionState,
   VmCondition,
   WaveState,
-  WorkKind,
-  WorkStep,
+  PlannedWorkKind,
+  PlannedWorkStep,
   isDrained,
   type PlannedWork,
 } from '@gentiandoor/shared-state';
@@ -16,8 +16,8 @@
 import {
   type DraftRecord,
   type PlannerInput,
-  type PlannerPart,
-  type Proposal,
+  type PlanningStage,
+  type ProposedRecord,
 } from './planner-input.js';
 
 /** Bounds of a maintenance, in milliseconds. */
@@ -40,9 +40,9 @@
 const RULE =
   'maintenance: return, reboot, replace with growing waits, then operators';
 
-interface Watch {
+interface StepStart {
   readonly startedAt: number;
-  readonly step: WorkStep;
+  readonly step: PlannedWorkStep;
   readonly attempts: number;
   readonly since: number;
 }
@@ -53,22 +53,23 @@
  * for ever; with them it costs three attempts over about an hour and then a person looks.
  * Waits run on this daemon's monotonic clock; a new planner begins the present wait anew.
  */
-export class MaintenanceTracker implements PlannerPart {
-  private readonly watches = new Map<string, Watch>();
+export class MaintenanceWorkflow implements PlanningStage {
+  private readonly stepStarts = new Map<string, StepStart>();
 
   constructor(private readonly options = MAINTENANCE_DEFAULTS) {}
 
-  plan(input: PlannerInput): Proposal[] {
-    const proposals: Proposal[] = [];
+  plan(input: PlannerInput): ProposedRecord[] {
+    const proposals: ProposedRecord[] = [];
     for (const work of input.state.work.values()) {
       const isOurs =
-        work.kind === WorkKind.Maintenance || work.kind === WorkKind.Repair;
+        work.kind === PlannedWorkKind.Maintenance ||
+        work.kind === PlannedWorkKind.Repair;
       if (!isOurs) continue;
       const proposal = this.planWork(input, work);
       if (proposal) proposals.push(proposal);
     }
-    for (const vm of this.watches.keys()) {
-      if (!input.state.work.has(vm)) this.watches.delete(vm);
+    for (const vm of this.stepStarts.keys()) {
+      if (!input.state.work.has(vm)) this.stepStarts.delete(vm);
     }
     return proposals;
   }
@@ -76,14 +77,14 @@
   private planWork(
     input: PlannerInput,
     work: PlannedWork,
-  ): Proposal | undefined {
-    const waited = this.waited(input, work);
+  ): ProposedRecord | undefined {
+    const waited = this.waitedMilliseconds(input, work);
     switch (work.step) {
-      case WorkStep.Draining:
+      case PlannedWorkStep.Draining:
         return this.planDraining(input, work);
-      case WorkStep.Asked:
+      case PlannedWorkStep.Asked:
         return this.planAsked(input, work, waited);
-      case WorkStep.Trial:
+      case PlannedWorkStep.Trial:
         return this.planTrial(input, work, waited);
     }
   }
@@ -91,7 +92,7 @@
   private planDraining(
     input: PlannerInput,
     work: PlannedWork,
-  ): Proposal | undefined {
+  ): ProposedRecord | undefined {
     const wave = input.state.waves.get(work.wave ?? '');
     const isOff = wave !== undefined && wave.state !== WaveState.Running;
     if (isOff)
@@ -104,11 +105,13 @@
     input: PlannerInput,
     work: PlannedWork,
     waited: number,
-  ): Proposal | undefined {
-    const action = input.actions.get(actionId(work));
-    const listed = input.list.get(work.vm)?.state === ListedState.Live;
+  ): ProposedRecord | undefined {
+    const action = input.vmActions.get(actionId(work));
+    const listed = input.vmList.get(work.vm)?.state === ListedState.Live;
     const isBack =
-      action === VmActionState.Done && listed && !input.suspected.has(work.vm);
+      action === VmActionState.Done &&
+      listed &&
+      !input.suspectedVms.has(work.vm);
     if (isBack) return returned(work);
     const limit = this.options.returnMilliseconds * 2 ** (work.attempts - 1);
     if (action !== VmActionState.Failed && waited < limit) return undefined;
@@ -119,11 +122,11 @@
     input: PlannerInput,
     work: PlannedWork,
     waited: number,
-  ): Proposal | undefined {
+  ): ProposedRecord | undefined {
     const condition = input.state.conditions.get(work.vm);
     // Only missing from a read or two of the list is no failure; down is after 30 s of it.
     const isBad =
-      input.suspected.has(work.vm) || condition === VmCondition.Down;
+      input.suspectedVms.has(work.vm) || condition === VmCondition.Down;
     if (isBad)
       return end(
         input,
@@ -131,12 +134,16 @@
         MaintenanceOutcome.Failed,
         'it failed again with traffic',
       );
-    const isSettled = condition === undefined && input.list.has(work.vm);
+    const isSettled = condition === undefined && input.vmList.has(work.vm);
     if (!isSettled || waited < this.options.trialMilliseconds) return undefined;
     return end(input, work, MaintenanceOutcome.Done, 'it stayed healthy');
   }
 
-  private ask(input: PlannerInput, work: PlannedWork, cause: string): Proposal {
+  private ask(
+    input: PlannerInput,
+    work: PlannedWork,
+    cause: string,
+  ): ProposedRecord {
     const attempt = work.attempts + 1;
     const {rebootAttempts} = this.options;
     if (attempt > rebootAttempts + 1)
@@ -153,20 +160,20 @@
   }
 
   /** Milliseconds for which this planner has seen the work at its present step. */
-  private waited(input: PlannerInput, work: PlannedWork): number {
+  private waitedMilliseconds(input: PlannerInput, work: PlannedWork): number {
     const {vm, startedAt, step, attempts} = work;
-    const watch = this.watches.get(vm);
+    const watch = this.stepStarts.get(vm);
     const isSame =
       watch?.startedAt === startedAt &&
       watch.step === step &&
       watch.attempts === attempts;
     if (watch && isSame) return input.now - watch.since;
-    this.watches.set(vm, {startedAt, step, attempts, since: input.now});
+    this.stepStarts.set(vm, {startedAt, step, attempts, since: input.now});
     return 0;
   }
 }
 
-function returned(work: PlannedWork): Proposal {
+function returned(work: PlannedWork): ProposedRecord {
   const {vm, startedAt} = work;
   return propose(
     work,
@@ -181,7 +188,7 @@
   work: PlannedWork,
   outcome: MaintenanceOutcome,
   cause: string,
-): Proposal {
+): ProposedRecord {
   const {vm, startedAt} = work;
   const at = Math.max(0, Math.floor(input.wallNow));
   return propose(
@@ -197,7 +204,7 @@
   record: DraftRecord,
   decision: string,
   cause: string,
-): Proposal {
+): ProposedRecord {
   const reasons: Decision = {
     subject: SubjectKind.Vm,
     id: work.vm,
--- a/packages/fleet/src/move-planner.ts
+++ b/packages/fleet/src/move-planner.ts
@@ -2,14 +2,18 @@
 import {
   MoveCause,
   RecordKind,
-  WorkKind,
+  PlannedWorkKind,
   checkPlannedStop,
   isDrained,
   type FleetState,
   type PlannedWork,
-  type VmRecord,
+  type VmOwnership,
 } from '@gentiandoor/shared-state';
-import type {PlannerInput, PlannerPart, Proposal} from './planner-input.js';
+import type {
+  PlannerInput,
+  PlanningStage,
+  ProposedRecord,
+} from './planner-input.js';
 
 /**
  * Brings ownership towards the bundle's lists and finishes moves. Answers a bundle that
@@ -17,12 +21,12 @@
  * one that waits for a daemon says for which. Operators' own moves are left alone until
  * another bundle is in force.
  */
-export class MovePlanner implements PlannerPart {
+export class MovePlanner implements PlanningStage {
   private readonly misplaced = new Map<string, string>();
   private computedFor: unknown;
   private vmsHash = 0n;
 
-  plan(input: PlannerInput): Proposal[] {
+  plan(input: PlannerInput): ProposedRecord[] {
     this.refresh(input.state);
     return [...this.finishMoves(input), ...this.startMoves(input.state)];
   }
@@ -40,15 +44,15 @@
       for (const vm of entry.vms) {
         const owner = state.vms.get(vm)?.pool;
         if (owner === undefined || owner === pool) continue;
-        if (isKept(state, vm)) continue;
+        if (overridesBundle(state, vm)) continue;
         this.misplaced.set(vm, pool);
       }
     }
   }
 
-  private startMoves(state: FleetState): Proposal[] {
+  private startMoves(state: FleetState): ProposedRecord[] {
     const taken = new Set<string>();
-    const proposals: Proposal[] = [];
+    const proposals: ProposedRecord[] = [];
     for (const [id, toPool] of this.misplaced) {
       const vm = state.vms.get(id);
       if (!vm || state.work.has(id) || taken.has(vm.pool)) continue;
@@ -59,10 +63,10 @@
     return proposals;
   }
 
-  private finishMoves(input: PlannerInput): Proposal[] {
-    const proposals: Proposal[] = [];
+  private finishMoves(input: PlannerInput): ProposedRecord[] {
+    const proposals: ProposedRecord[] = [];
     for (const work of input.state.work.values()) {
-      if (work.kind !== WorkKind.Move) continue;
+      if (work.kind !== PlannedWorkKind.Move) continue;
       const proposal = this.finishMove(input, work);
       if (proposal) proposals.push(proposal);
     }
@@ -72,7 +76,7 @@
   private finishMove(
     input: PlannerInput,
     work: PlannedWork,
-  ): Proposal | undefined {
+  ): ProposedRecord | undefined {
     const {state} = input;
     const obsolete = obsoleteReason(state, work);
     if (obsolete !== undefined) return abortMove(work, obsolete);
@@ -83,7 +87,7 @@
 }
 
 /** An operator's or a lending move stands until a later bundle is in force. */
-function isKept(state: FleetState, vm: string): boolean {
+function overridesBundle(state: FleetState, vm: string): boolean {
   const deviation = state.deviations.get(vm);
   if (!deviation || deviation.cause === MoveCause.Desired) return false;
   return deviation.offset > (state.inForce?.offset ?? -1);
@@ -100,7 +104,7 @@
   return `the bundle no longer lists VM ${work.vm} in pool ${work.toPool}`;
 }
 
-function startMove(vm: VmRecord, toPool: string): Proposal {
+function startMove(vm: VmOwnership, toPool: string): ProposedRecord {
   const reason = `the bundle lists it in pool ${toPool}`;
   return {
     record: {
@@ -122,7 +126,7 @@
   };
 }
 
-function assignMove(work: PlannedWork, vm: VmRecord): Proposal {
+function assignMove(work: PlannedWork, vm: VmOwnership): ProposedRecord {
   const {epoch} = vm;
   const {startedAt} = work;
   return {
@@ -138,7 +142,7 @@
   };
 }
 
-function abortMove(work: PlannedWork, reason: string): Proposal {
+function abortMove(work: PlannedWork, reason: string): ProposedRecord {
   const {vm, startedAt} = work;
   return {
     record: {kind: RecordKind.MoveAborted, vm, startedAt, reason},
--- a/packages/fleet/src/planner-election.ts
+++ b/packages/fleet/src/planner-election.ts
@@ -6,22 +6,22 @@
   /** The planner writes at least this often. */
   readonly renewMilliseconds: number;
   /** A planner that wrote nothing for this long is replaced. */
-  readonly silenceMilliseconds: number;
+  readonly failoverMilliseconds: number;
   /** Wait before taking an empty role; jittered, so that daemons do not all append at once. */
-  readonly vacancyMilliseconds: number;
+  readonly takeoverDelayMilliseconds: number;
 }
 
 /** Four renewals may be lost before a planner is replaced; nothing is lost by a slow change. */
 export const PLANNER_ELECTION_DEFAULTS: PlannerElectionOptions = {
   renewMilliseconds: 15_000,
-  silenceMilliseconds: 60_000,
-  vacancyMilliseconds: 2000,
+  failoverMilliseconds: 60_000,
+  takeoverDelayMilliseconds: 2000,
 };
 
 /** What a daemon does about the planner's role now. */
-export enum ElectionStep {
+export enum ElectionAction {
   Wait = 'wait',
-  Take = 'take',
+  TakeOver = 'take',
   Plan = 'plan',
 }
 
@@ -35,44 +35,54 @@
 export class PlannerElection {
   private heardAt = -1;
   private heardTerm = -1;
-  private quietSince = 0;
-  private patience: number;
+  private lastHeardMilliseconds = 0;
+  private takeoverDelayMilliseconds: number;
 
   constructor(
     private readonly incarnation: string,
     private readonly random: RandomSource,
     private readonly options = PLANNER_ELECTION_DEFAULTS,
   ) {
-    this.patience = jitter(random, 2 * options.vacancyMilliseconds);
+    this.takeoverDelayMilliseconds = jitter(
+      random,
+      2 * options.takeoverDelayMilliseconds,
+    );
   }
 
-  next(state: FleetState, now: number, isLogReachable: boolean): ElectionStep {
+  next(
+    state: FleetState,
+    now: number,
+    isLogReachable: boolean,
+  ): ElectionAction {
     const planner = plannerOf(state);
     const wasHeard =
       planner.heardAt !== this.heardAt || planner.term !== this.heardTerm;
-    if (wasHeard || !isLogReachable) this.restart(planner, now);
-    if (!state.members.has(this.incarnation)) return ElectionStep.Wait;
-    if (planner.holder === this.incarnation) return ElectionStep.Plan;
+    if (wasHeard || !isLogReachable) this.restartTimeout(planner, now);
+    if (!state.members.has(this.incarnation)) return ElectionAction.Wait;
+    if (planner.holder === this.incarnation) return ElectionAction.Plan;
     const limit = state.members.has(planner.holder)
-      ? this.options.silenceMilliseconds + this.patience
-      : this.patience;
-    if (now - this.quietSince < limit) return ElectionStep.Wait;
-    this.restart(planner, now);
-    return ElectionStep.Take;
+      ? this.options.failoverMilliseconds + this.takeoverDelayMilliseconds
+      : this.takeoverDelayMilliseconds;
+    if (now - this.lastHeardMilliseconds < limit) return ElectionAction.Wait;
+    this.restartTimeout(planner, now);
+    return ElectionAction.TakeOver;
   }
 
   /** Whether the planner should write only to show that it lives. */
   shouldRenew(now: number): boolean {
-    return now - this.quietSince >= this.options.renewMilliseconds;
+    return now - this.lastHeardMilliseconds >= this.options.renewMilliseconds;
   }
 
-  private restart(
+  private restartTimeout(
     planner: {readonly heardAt: number; readonly term: number},
     now: number,
   ): void {
     this.heardAt = planner.heardAt;
     this.heardTerm = planner.term;
-    this.quietSince = now;
-    this.patience = jitter(this.random, 2 * this.options.vacancyMilliseconds);
+    this.lastHeardMilliseconds = now;
+    this.takeoverDelayMilliseconds = jitter(
+      this.random,
+      2 * this.options.takeoverDelayMilliseconds,
+    );
   }
 }
--- a/packages/fleet/src/planner-input.ts
+++ b/packages/fleet/src/planner-input.ts
@@ -2,7 +2,7 @@
 import type {
   DrainEnded,
   DrainStarted,
-  FleetDomainRecord,
+  PlanningRecord,
   FleetRecord,
   FleetState,
   ListedVm,
@@ -16,12 +16,12 @@
   readonly now: number;
   /** Milliseconds since the Unix epoch; for records and display only. */
   readonly wallNow: number;
-  readonly list: ReadonlyMap<string, ListedVm>;
-  readonly listAgeMilliseconds: number;
+  readonly vmList: ReadonlyMap<string, ListedVm>;
+  readonly vmListAgeMilliseconds: number;
   /** VMs that daemons have first-hand evidence against. */
-  readonly suspected: ReadonlySet<string>;
+  readonly suspectedVms: ReadonlySet<string>;
   /** Actions asked of the platform, by action id, as last heard. */
-  readonly actions: ReadonlyMap<string, VmActionState>;
+  readonly vmActions: ReadonlyMap<string, VmActionState>;
 }
 
 type DraftOf<Entry extends FleetRecord> = Entry extends FleetRecord
@@ -29,17 +29,15 @@
   : never;
 
 /** A record without the fields that the planner fills in. */
-export type DraftRecord = DraftOf<
-  FleetDomainRecord | DrainStarted | DrainEnded
->;
+export type DraftRecord = DraftOf<PlanningRecord | DrainStarted | DrainEnded>;
 
 /** A record that the planner wants to write, with the reasons for it. */
-export interface Proposal {
+export interface ProposedRecord {
   readonly record: DraftRecord;
   readonly decision: Decision;
 }
 
 /** One part of the planning; keeps what it saw between rounds. */
-export interface PlannerPart {
-  plan(input: PlannerInput): Proposal[];
+export interface PlanningStage {
+  plan(input: PlannerInput): ProposedRecord[];
 }
--- a/packages/fleet/src/repair-planner.ts
+++ b/packages/fleet/src/repair-planner.ts
@@ -2,29 +2,33 @@
 import {
   RecordKind,
   VmCondition,
-  WorkKind,
-  capacityOf,
+  PlannedWorkKind,
+  capacityIndexOf,
   type FleetState,
 } from '@gentiandoor/shared-state';
-import type {PlannerInput, PlannerPart, Proposal} from './planner-input.js';
+import type {
+  PlannerInput,
+  PlanningStage,
+  ProposedRecord,
+} from './planner-input.js';
 
 /** Bounds of repair. */
 export interface RepairOptions {
   /** A VM may come back by itself for this long, in milliseconds. */
   readonly graceMilliseconds: number;
   /** Repairs at one time, as a share of the fleet and at least `leastAtOnce`. */
-  readonly shareAtOnce: number;
-  readonly leastAtOnce: number;
+  readonly maximumConcurrentShare: number;
+  readonly minimumConcurrent: number;
   /** With more of a data centre's VMs away than this, the fault is not theirs. */
-  readonly shareOfDataCentre: number;
+  readonly maximumDataCentreShare: number;
 }
 
 /** 10,000 of 31,000 VMs restart in a day by themselves; most are back within minutes. */
 export const REPAIR_DEFAULTS: RepairOptions = {
   graceMilliseconds: 300_000,
-  shareAtOnce: 0.01,
-  leastAtOnce: 2,
-  shareOfDataCentre: 0.25,
+  maximumConcurrentShare: 0.01,
+  minimumConcurrent: 2,
+  maximumDataCentreShare: 0.25,
 };
 
 /**
@@ -32,29 +36,30 @@
  * the bounds a data centre that was only cut off would be rebooted whole, and a shared fault
  * would be met by rebooting everything at once.
  */
-export class RepairPlanner implements PlannerPart {
+export class RepairPlanner implements PlanningStage {
   private readonly downSince = new Map<string, number>();
 
   constructor(private readonly options = REPAIR_DEFAULTS) {}
 
-  plan(input: PlannerInput): Proposal[] {
+  plan(input: PlannerInput): ProposedRecord[] {
     const {state} = input;
-    this.watch(input);
-    let room = this.room(state);
-    const cutOff = this.cutOff(state);
-    const proposals: Proposal[] = [];
+    this.updateDownSince(input);
+    let room = this.remainingRepairs(state);
+    const cutOff = this.disconnectedDataCentres(state);
+    const proposals: ProposedRecord[] = [];
     for (const [vm, since] of this.downSince) {
       if (room <= 0) break;
       if (input.now - since < this.options.graceMilliseconds) continue;
       if (state.work.has(vm) || state.handedOver.has(vm)) continue;
-      if (cutOff.has(capacityOf(state).place(vm).dataCentre)) continue;
+      if (cutOff.has(capacityIndexOf(state).locationOf(vm).dataCentre))
+        continue;
       proposals.push(repair(state, vm, input.now - since));
       room--;
     }
     return proposals;
   }
 
-  private watch(input: PlannerInput): void {
+  private updateDownSince(input: PlannerInput): void {
     for (const vm of input.state.conditions.keys()) {
       if (needsRepair(input, vm) && !this.downSince.has(vm))
         this.downSince.set(vm, input.now);
@@ -63,11 +68,14 @@
       if (!needsRepair(input, vm)) this.downSince.delete(vm);
   }
 
-  private room(state: FleetState): number {
-    const {shareAtOnce, leastAtOnce} = this.options;
+  private remainingRepairs(state: FleetState): number {
+    const {
+      maximumConcurrentShare: shareAtOnce,
+      minimumConcurrent: leastAtOnce,
+    } = this.options;
     let running = 0;
     for (const work of state.work.values())
-      if (work.kind === WorkKind.Repair) running++;
+      if (work.kind === PlannedWorkKind.Repair) running++;
     const most = Math.max(
       leastAtOnce,
       Math.floor(state.vms.size * shareAtOnce),
@@ -76,17 +84,17 @@
   }
 
   /** Data centres where so many VMs are away that the cause is not in the VMs. */
-  private cutOff(state: FleetState): Set<string> {
-    const index = capacityOf(state);
+  private disconnectedDataCentres(state: FleetState): Set<string> {
+    const index = capacityIndexOf(state);
     const away = new Map<string, number>();
     for (const vm of state.conditions.keys()) {
-      const {dataCentre} = index.place(vm);
+      const {dataCentre} = index.locationOf(vm);
       away.set(dataCentre, (away.get(dataCentre) ?? 0) + 1);
     }
     const limits = new Set<string>();
     for (const [dataCentre, count] of away) {
       const total = index.dataCentreSize(dataCentre);
-      if (count > 2 && count > total * this.options.shareOfDataCentre)
+      if (count > 2 && count > total * this.options.maximumDataCentreShare)
         limits.add(dataCentre);
     }
     return limits;
@@ -97,10 +105,14 @@
 function needsRepair(input: PlannerInput, vm: string): boolean {
   const condition = input.state.conditions.get(vm);
   if (condition === VmCondition.Down) return true;
-  return condition === VmCondition.Suspected && input.suspected.has(vm);
+  return condition === VmCondition.Suspected && input.suspectedVms.has(vm);
 }
 
-function repair(state: FleetState, vm: string, downFor: number): Proposal {
+function repair(
+  state: FleetState,
+  vm: string,
+  downFor: number,
+): ProposedRecord {
   const condition = state.conditions.get(vm) ?? VmCondition.Up;
   return {
     record: {
--- a/packages/fleet/src/drain-watch.ts
+++ b/packages/fleet/src/slow-drain-reporter.ts
@@ -1,50 +1,50 @@
 import {SubjectKind, type Decision} from '@gentiandoor/kernel';
 import {
-  WorkStep,
+  PlannedWorkStep,
   checkDrained,
   type FleetState,
   type PlannedWork,
 } from '@gentiandoor/shared-state';
 
 /** A drain that takes longer is named; exchanges of the offices' services end within minutes. */
-const SLOW_MILLISECONDS = 60_000;
+const SLOW_DRAIN_MILLISECONDS = 60_000;
 
 /**
  * Names what holds planned stops up: one daemon that cannot acknowledge, or a long job, holds
  * a move or reboot for as long as it lasts, and operators must be told which. Each drain is
  * named once for each thing that it waits for.
  */
-export class DrainWatch {
-  private readonly since = new Map<number, number>();
-  private readonly named = new Map<number, string>();
+export class SlowDrainReporter {
+  private readonly drainingSince = new Map<number, number>();
+  private readonly reportedCauses = new Map<number, string>();
 
   /** Decisions to wait, for drains that have become slow since the last look. */
-  look(state: FleetState, now: number): Decision[] {
+  report(state: FleetState, now: number): Decision[] {
     const decisions: Decision[] = [];
     const present = new Set<number>();
     for (const work of state.work.values()) {
-      if (work.step !== WorkStep.Draining) continue;
+      if (work.step !== PlannedWorkStep.Draining) continue;
       present.add(work.startedAt);
-      const decision = this.lookAt(state, work, now);
+      const decision = this.reportDrain(state, work, now);
       if (decision) decisions.push(decision);
     }
     this.forgetOthers(present);
     return decisions;
   }
 
-  private lookAt(
+  private reportDrain(
     state: FleetState,
     work: PlannedWork,
     now: number,
   ): Decision | undefined {
     const {startedAt} = work;
-    const since = this.since.get(startedAt) ?? now;
-    this.since.set(startedAt, since);
-    if (now - since < SLOW_MILLISECONDS) return undefined;
+    const since = this.drainingSince.get(startedAt) ?? now;
+    this.drainingSince.set(startedAt, since);
+    if (now - since < SLOW_DRAIN_MILLISECONDS) return undefined;
     const cause = checkDrained(state, work)?.detail;
-    if (cause === undefined || cause === this.named.get(startedAt))
+    if (cause === undefined || cause === this.reportedCauses.get(startedAt))
       return undefined;
-    this.named.set(startedAt, cause);
+    this.reportedCauses.set(startedAt, cause);
     return {
       subject: SubjectKind.Vm,
       id: work.vm,
@@ -59,7 +59,7 @@
   }
 
   private forgetOthers(present: ReadonlySet<number>): void {
-    for (const known of [this.since, this.named])
+    for (const known of [this.drainingSince, this.reportedCauses])
       for (const startedAt of known.keys())
         if (!present.has(startedAt)) known.delete(startedAt);
   }
--- a/packages/fleet/src/team-order.ts
+++ b/packages/fleet/src/team-order.ts
@@ -1,6 +1,6 @@
-import {jobsOf, type FleetState} from '@gentiandoor/shared-state';
+import {jobIndexOf, type FleetState} from '@gentiandoor/shared-state';
 
-interface TeamTurn {
+interface TeamUsage {
   readonly name: string;
   readonly urgent: boolean;
   readonly weight: number;
@@ -16,18 +16,18 @@
  * gains by splitting itself.
  */
 export class TeamOrder {
-  private readonly turns = new Map<string, TeamTurn>();
+  private readonly usageByTeam = new Map<string, TeamUsage>();
 
   constructor(
     private readonly state: FleetState,
     private readonly pool: string,
   ) {
-    const jobs = jobsOf(state);
+    const jobs = jobIndexOf(state);
     const teams = state.inForce?.bundle.teams ?? {};
-    for (const [name, keys] of jobs.queues.get(pool) ?? []) {
-      if (keys.size === 0) continue;
+    for (const [name, queuedKeys] of jobs.queues.get(pool) ?? []) {
+      if (queuedKeys.size === 0) continue;
       const team = teams[name];
-      this.turns.set(name, {
+      this.usageByTeam.set(name, {
         name,
         urgent: team?.urgent ?? false,
         weight: team?.weight ?? 1,
@@ -40,38 +40,38 @@
 
   /** The team whose turn it is; undefined when none is left. */
   next(): string | undefined {
-    let best: TeamTurn | undefined;
-    for (const turn of this.turns.values())
+    let best: TeamUsage | undefined;
+    for (const turn of this.usageByTeam.values())
       if (!best || goesBefore(turn, best)) best = turn;
     return best?.name;
   }
 
   /** Queued keys of a team that were not taken in this round, in order of submission. */
-  *keys(team: string): Iterable<string> {
-    const taken = this.turns.get(team)?.taken;
-    const queue = jobsOf(this.state).queues.get(this.pool)?.get(team) ?? [];
+  *queuedKeys(team: string): Iterable<string> {
+    const taken = this.usageByTeam.get(team)?.taken;
+    const queue = jobIndexOf(this.state).queues.get(this.pool)?.get(team) ?? [];
     for (const key of queue) if (!taken?.has(key)) yield key;
   }
 
-  hasRoom(team: string, slots: number): boolean {
-    const turn = this.turns.get(team);
+  isWithinQuota(team: string, slots: number): boolean {
+    const turn = this.usageByTeam.get(team);
     return turn !== undefined && turn.slots + slots <= turn.quota;
   }
 
-  take(team: string, key: string, slots: number): void {
-    const turn = this.turns.get(team);
+  recordTaken(team: string, key: string, slots: number): void {
+    const turn = this.usageByTeam.get(team);
     if (!turn) return;
     turn.slots += slots;
     turn.taken.add(key);
   }
 
   /** The team has nothing more that can be placed in this round. */
-  drop(team: string): void {
-    this.turns.delete(team);
+  exclude(team: string): void {
+    this.usageByTeam.delete(team);
   }
 }
 
-function goesBefore(left: TeamTurn, right: TeamTurn): boolean {
+function goesBefore(left: TeamUsage, right: TeamUsage): boolean {
   if (left.urgent !== right.urgent) return left.urgent;
   return left.slots / left.weight < right.slots / right.weight;
 }
--- a/packages/fleet/src/vm-observer.ts
+++ b/packages/fleet/src/vm-observer.ts
@@ -1,13 +1,17 @@
 import {SubjectKind} from '@gentiandoor/kernel';
 import {
   ListedState,
-  MOST_BATCHED,
+  MAXIMUM_BATCH_ENTRIES,
   RecordKind,
   VmCondition,
-  WorkStep,
+  PlannedWorkStep,
   type VmReport,
 } from '@gentiandoor/shared-state';
-import type {PlannerInput, PlannerPart, Proposal} from './planner-input.js';
+import type {
+  PlannerInput,
+  PlanningStage,
+  ProposedRecord,
+} from './planner-input.js';
 
 /** Bounds of the observer, in milliseconds. */
 export interface VmObserverOptions {
@@ -16,17 +20,17 @@
   /** Good news must last this long before it counts. */
   readonly upAfterMilliseconds: number;
   /** A list older than this says nothing. */
-  readonly listAgeMilliseconds: number;
+  readonly maximumListAgeMilliseconds: number;
 }
 
 /** A list read once a second that loses a VM for a few reads is common; half a minute is not. */
 export const VM_OBSERVER_DEFAULTS: VmObserverOptions = {
   downAfterMilliseconds: 30_000,
   upAfterMilliseconds: 30_000,
-  listAgeMilliseconds: 30_000,
+  maximumListAgeMilliseconds: 30_000,
 };
 
-interface Sighting {
+interface Observation {
   readonly condition: VmCondition;
   readonly since: number;
 }
@@ -38,24 +42,24 @@
  * records and a drain admitted in between. So a VM costs at most two records per
  * `upAfterMilliseconds`, however often it flaps.
  */
-export class VmObserver implements PlannerPart {
-  private readonly sightings = new Map<string, Sighting>();
+export class VmObserver implements PlanningStage {
+  private readonly observations = new Map<string, Observation>();
 
   constructor(private readonly options = VM_OBSERVER_DEFAULTS) {}
 
-  plan(input: PlannerInput): Proposal[] {
+  plan(input: PlannerInput): ProposedRecord[] {
     const reports: VmReport[] = [];
     const isFresh =
-      input.listAgeMilliseconds <= this.options.listAgeMilliseconds;
+      input.vmListAgeMilliseconds <= this.options.maximumListAgeMilliseconds;
     for (const vm of input.state.vms.keys()) {
-      const condition = this.judge(input, vm, isFresh);
+      const condition = this.conditionOf(input, vm, isFresh);
       const known = input.state.conditions.get(vm) ?? VmCondition.Up;
       if (condition !== known) reports.push({vm, condition});
     }
     return proposals(reports);
   }
 
-  private judge(
+  private conditionOf(
     input: PlannerInput,
     vm: string,
     isFresh: boolean,
@@ -63,39 +67,39 @@
     const known = input.state.conditions.get(vm) ?? VmCondition.Up;
     // A VM that was asked to reboot is expected to be away; it counts as planned.
     const work = input.state.work.get(vm);
-    const isExpected = work?.step === WorkStep.Asked;
-    const seen = this.look(input, vm, known, isFresh);
+    const isExpected = work?.step === PlannedWorkStep.Asked;
+    const seen = this.observedCondition(input, vm, known, isFresh);
     if (seen === VmCondition.Up && known === VmCondition.Up) {
-      this.sightings.delete(vm);
+      this.observations.delete(vm);
       return known;
     }
     if (isExpected && seen !== VmCondition.Up) return known;
     const since = this.since(vm, seen, input.now);
-    return this.settle(known, seen, input.now - since);
+    return this.debounce(known, seen, input.now - since);
   }
 
-  private look(
+  private observedCondition(
     input: PlannerInput,
     vm: string,
     known: VmCondition,
     isFresh: boolean,
   ): VmCondition {
-    const isSuspected = input.suspected.has(vm);
+    const isSuspected = input.suspectedVms.has(vm);
     if (!isFresh) return isSuspected ? VmCondition.Suspected : known;
-    const listed = input.list.get(vm);
+    const listed = input.vmList.get(vm);
     if (!listed) return VmCondition.Down;
     if (listed.state === ListedState.Leaving) return VmCondition.Leaving;
     return isSuspected ? VmCondition.Suspected : VmCondition.Up;
   }
 
   private since(vm: string, seen: VmCondition, now: number): number {
-    const before = this.sightings.get(vm);
+    const before = this.observations.get(vm);
     if (before?.condition === seen) return before.since;
-    this.sightings.set(vm, {condition: seen, since: now});
+    this.observations.set(vm, {condition: seen, since: now});
     return now;
   }
 
-  private settle(
+  private debounce(
     known: VmCondition,
     seen: VmCondition,
     lasted: number,
@@ -110,10 +114,10 @@
   }
 }
 
-function proposals(reports: readonly VmReport[]): Proposal[] {
-  const batches: Proposal[] = [];
-  for (let from = 0; from < reports.length; from += MOST_BATCHED) {
-    const batch = reports.slice(from, from + MOST_BATCHED);
+function proposals(reports: readonly VmReport[]): ProposedRecord[] {
+  const batches: ProposedRecord[] = [];
+  for (let from = 0; from < reports.length; from += MAXIMUM_BATCH_ENTRIES) {
+    const batch = reports.slice(from, from + MAXIMUM_BATCH_ENTRIES);
     batches.push({
       record: {kind: RecordKind.VmReported, reports: batch},
       decision: {
--- a/packages/fleet/src/wave-order.ts
+++ b/packages/fleet/src/wave-order.ts
@@ -1,21 +1,21 @@
 import {
   WaveVmStep,
-  capacityOf,
+  capacityIndexOf,
   type FleetState,
   type Wave,
 } from '@gentiandoor/shared-state';
 
 /** VMs of one data centre that a wave covers, rack by rack. */
-export interface WaveStretch {
+export interface DataCentreVms {
   readonly dataCentre: string;
   readonly vms: readonly string[];
 }
 
 /** Orders a wave's VMs by data centre and rack; kept per wave, since a wave's VMs never grow. */
 export class WaveOrder {
-  private readonly orders = new Map<string, WaveStretch[]>();
+  private readonly orders = new Map<string, DataCentreVms[]>();
 
-  stretches(state: FleetState, wave: Wave): readonly WaveStretch[] {
+  vmsByDataCentre(state: FleetState, wave: Wave): readonly DataCentreVms[] {
     const key = `${wave.id}@${wave.startedAt}`;
     const known = this.orders.get(key);
     if (known) return known;
@@ -25,7 +25,7 @@
   }
 
   /** Forgets waves that have ended. */
-  keepOnly(waves: readonly Wave[]): void {
+  retain(waves: readonly Wave[]): void {
     const keys = new Set(waves.map(wave => `${wave.id}@${wave.startedAt}`));
     for (const key of this.orders.keys()) {
       if (!keys.has(key)) this.orders.delete(key);
@@ -33,7 +33,7 @@
   }
 }
 
-function orderVms(state: FleetState, wave: Wave): WaveStretch[] {
+function orderVms(state: FleetState, wave: Wave): DataCentreVms[] {
   const vms = [...state.waveVms]
     .filter(([, entry]) => entry.wave === wave.id)
     .filter(([, entry]) => entry.step === WaveVmStep.Remaining)
@@ -45,11 +45,11 @@
 export function orderByDomain(
   state: FleetState,
   ids: readonly string[],
-): WaveStretch[] {
-  const index = capacityOf(state);
+): DataCentreVms[] {
+  const index = capacityIndexOf(state);
   const stretches = new Map<string, string[]>();
   const vms = ids
-    .map(vm => ({vm, place: index.place(vm)}))
+    .map(vm => ({vm, place: index.locationOf(vm)}))
     .sort(
       (left, right) =>
         compare(left.place.dataCentre, right.place.dataCentre) ||
--- a/packages/fleet/src/wave-pace.ts
+++ b/packages/fleet/src/wave-pace.ts
@@ -1,4 +1,8 @@
-import {WorkKind, type PlannedWork, type Wave} from '@gentiandoor/shared-state';
+import {
+  PlannedWorkKind,
+  type PlannedWork,
+  type Wave,
+} from '@gentiandoor/shared-state';
 
 /** Failures after which a wave stops, if they are also a large share. */
 const FAILURES_TO_STOP = 3;
@@ -7,13 +11,13 @@
 const FAILURES_BEFORE_SUCCESS = 2;
 
 /** What the pace rule says of a wave now. */
-export interface PaceVerdict {
+export interface WavePace {
   /** VMs that may be under maintenance at one time. */
-  readonly limit: number;
+  readonly maximumActive: number;
   readonly done: number;
   readonly failures: number;
   /** Why the wave must stop; undefined when it may go on. */
-  readonly stop?: string;
+  readonly stopReason?: string;
 }
 
 /**
@@ -25,21 +29,23 @@
  * the fleet's ordinary rate (210 of 31,000 VMs a day) three chance failures among fifteen
  * reboots of half an hour are less likely than one in ten million.
  */
-export function wavePace(
-  wave: Wave,
-  active: readonly PlannedWork[],
-): PaceVerdict {
+export function wavePace(wave: Wave, active: readonly PlannedWork[]): WavePace {
   const {resumedAt} = wave;
   const done = wave.done - resumedAt.done;
   const ended = wave.failed + wave.handedOver - resumedAt.failures;
   const failures = ended + active.filter(isRetrying(wave)).length;
-  const limit = Math.max(1, Math.floor((1 + done) / 2 ** failures));
-  return {limit, done, failures, stop: stopReason(done, failures)};
+  const maximumActive = Math.max(1, Math.floor((1 + done) / 2 ** failures));
+  return {
+    maximumActive: maximumActive,
+    done,
+    failures,
+    stopReason: stopReason(done, failures),
+  };
 }
 
 function isRetrying(wave: Wave): (work: PlannedWork) => boolean {
   return work =>
-    work.kind === WorkKind.Maintenance &&
+    work.kind === PlannedWorkKind.Maintenance &&
     work.attempts > 1 &&
     work.startedAt > wave.resumedAt.offset;
 }
--- a/packages/fleet/src/wave-planner.ts
+++ b/packages/fleet/src/wave-planner.ts
@@ -1,19 +1,23 @@
-import {SubjectKind, type TurnedDown} from '@gentiandoor/kernel';
+import {SubjectKind, type RejectedAlternative} from '@gentiandoor/kernel';
 import {
   RecordKind,
   WaveChange,
   WaveState,
   WaveVmStep,
-  WorkKind,
-  isEnded,
+  PlannedWorkKind,
+  isWaveEnded,
   type FleetState,
   type PlannedWork,
   type Wave,
 } from '@gentiandoor/shared-state';
-import type {PlannerInput, PlannerPart, Proposal} from './planner-input.js';
-import {chooseVms, presentDataCentre} from './wave-choice.js';
-import {WaveOrder, type WaveStretch} from './wave-order.js';
-import {wavePace, type PaceVerdict} from './wave-pace.js';
+import type {
+  PlannerInput,
+  PlanningStage,
+  ProposedRecord,
+} from './planner-input.js';
+import {selectVms, currentDataCentreOf} from './wave-vm-selection.js';
+import {WaveOrder, type DataCentreVms} from './wave-order.js';
+import {wavePace, type WavePace} from './wave-pace.js';
 
 /**
  * Takes VMs of running waves out, one data centre after the other, within budgets and pace.
@@ -21,14 +25,14 @@
  * all data centres at once; without the pace a shared fault eats each pool to its budget.
  * In one round it takes at most one VM of a pool: the budget counts only what was folded.
  */
-export class WavePlanner implements PlannerPart {
+export class WavePlanner implements PlanningStage {
   private readonly order = new WaveOrder();
 
-  plan(input: PlannerInput): Proposal[] {
+  plan(input: PlannerInput): ProposedRecord[] {
     const waves = [...input.state.waves.values()].filter(
-      wave => !isEnded(wave),
+      wave => !isWaveEnded(wave),
     );
-    this.order.keepOnly(waves);
+    this.order.retain(waves);
     const active = activeWork(input.state);
     const taken = new Set<string>();
     return waves.flatMap(wave =>
@@ -41,30 +45,35 @@
     wave: Wave,
     active: readonly PlannedWork[],
     taken: Set<string>,
-  ): Proposal[] {
+  ): ProposedRecord[] {
     if (wave.state !== WaveState.Running) return [];
     const pace = wavePace(wave, active);
-    if (pace.stop !== undefined) return [hold(wave, pace, pace.stop)];
+    if (pace.stopReason !== undefined)
+      return [hold(wave, pace, pace.stopReason)];
     if (active.length === 0 && this.isDone(state, wave)) return [finish(wave)];
-    const room = pace.limit - active.length;
+    const room = pace.maximumActive - active.length;
     if (room <= 0) return [];
-    return this.take(state, wave, active, pace, room, taken);
+    return this.startVms(state, wave, active, pace, room, taken);
   }
 
-  private take(
+  private startVms(
     state: FleetState,
     wave: Wave,
     active: readonly PlannedWork[],
-    pace: PaceVerdict,
-    room: number,
-    taken: Set<string>,
-  ): Proposal[] {
-    const {stretch, vms, turnedDown} = chooseVms(state, {
-      stretches: this.order.stretches(state, wave),
-      present: presentDataCentre(state, active),
-      room,
-      taken,
-      isLeft: vm => isLeft(state, wave, vm),
+    pace: WavePace,
+    maximumVms: number,
+    usedPools: Set<string>,
+  ): ProposedRecord[] {
+    const {
+      dataCentreVms: stretch,
+      vms,
+      turnedDown,
+    } = selectVms(state, {
+      vmsByDataCentre: this.order.vmsByDataCentre(state, wave),
+      currentDataCentre: currentDataCentreOf(state, active),
+      maximumVms: maximumVms,
+      usedPools: usedPools,
+      isRemaining: vm => isRemaining(state, wave, vm),
     });
     if (!stretch) return [];
     return vms.map(vm => start(wave, vm, stretch, pace, turnedDown));
@@ -72,8 +81,8 @@
 
   private isDone(state: FleetState, wave: Wave): boolean {
     return this.order
-      .stretches(state, wave)
-      .every(({vms}) => vms.every(vm => !isLeft(state, wave, vm)));
+      .vmsByDataCentre(state, wave)
+      .every(({vms}) => vms.every(vm => !isRemaining(state, wave, vm)));
   }
 }
 
@@ -81,7 +90,8 @@
 export function activeWork(state: FleetState): Map<string, PlannedWork[]> {
   const byWave = new Map<string, PlannedWork[]>();
   for (const work of state.work.values()) {
-    if (work.kind !== WorkKind.Maintenance || work.wave === undefined) continue;
+    if (work.kind !== PlannedWorkKind.Maintenance || work.wave === undefined)
+      continue;
     const list = byWave.get(work.wave) ?? [];
     list.push(work);
     byWave.set(work.wave, list);
@@ -90,7 +100,11 @@
 }
 
 /** Whether the wave still has to take the VM: not yet taken, still owned, not in operators' hands. */
-export function isLeft(state: FleetState, wave: Wave, vm: string): boolean {
+export function isRemaining(
+  state: FleetState,
+  wave: Wave,
+  vm: string,
+): boolean {
   const entry = state.waveVms.get(vm);
   return (
     entry?.wave === wave.id &&
@@ -103,10 +117,10 @@
 function start(
   wave: Wave,
   vm: string,
-  stretch: WaveStretch,
-  pace: PaceVerdict,
-  turnedDown: readonly TurnedDown[],
-): Proposal {
+  stretch: DataCentreVms,
+  pace: WavePace,
+  turnedDown: readonly RejectedAlternative[],
+): ProposedRecord {
   return {
     record: {
       kind: RecordKind.MaintenanceStarted,
@@ -122,7 +136,7 @@
       cause: `wave ${wave.id} by ${wave.startedBy}: ${wave.reason}`,
       evidence: {
         dataCentre: stretch.dataCentre,
-        limit: pace.limit,
+        limit: pace.maximumActive,
         active: wave.active,
         done: wave.done,
         total: wave.total,
@@ -132,7 +146,7 @@
   };
 }
 
-function hold(wave: Wave, pace: PaceVerdict, reason: string): Proposal {
+function hold(wave: Wave, pace: WavePace, reason: string): ProposedRecord {
   return {
     record: {
       kind: RecordKind.WaveChanged,
@@ -154,7 +168,7 @@
   };
 }
 
-function finish(wave: Wave): Proposal {
+function finish(wave: Wave): ProposedRecord {
   const reason = `${wave.done} done, ${wave.failed} failed, ${wave.handedOver} handed over of ${wave.total}`;
   return {
     record: {
--- a/packages/fleet/src/wave-preview.ts
+++ b/packages/fleet/src/wave-preview.ts
@@ -1,19 +1,19 @@
-import type {TurnedDown} from '@gentiandoor/kernel';
+import type {RejectedAlternative} from '@gentiandoor/kernel';
 import {
   WaveState,
   WaveVmStep,
-  capacityOf,
-  coveredVms,
-  waveOverlap,
+  capacityIndexOf,
+  vmsInScope,
+  checkWaveOverlap,
   type FleetState,
   type PlannedWork,
   type Wave,
   type WaveScope,
 } from '@gentiandoor/shared-state';
-import {chooseVms, presentDataCentre} from './wave-choice.js';
-import {orderByDomain, type WaveStretch} from './wave-order.js';
+import {selectVms, currentDataCentreOf} from './wave-vm-selection.js';
+import {orderByDomain, type DataCentreVms} from './wave-order.js';
 import {wavePace} from './wave-pace.js';
-import {activeWork, isLeft} from './wave-planner.js';
+import {activeWork, isRemaining} from './wave-planner.js';
 
 /** A rack's share of a wave. */
 export interface PreviewedRack {
@@ -37,7 +37,7 @@
   readonly next: readonly string[];
   /** Why it would take nothing, or not more; one sentence each. */
   readonly heldBack: readonly string[];
-  readonly turnedDown: readonly TurnedDown[];
+  readonly turnedDown: readonly RejectedAlternative[];
 }
 
 /** What a wave that runs or is held would do now. */
@@ -46,14 +46,14 @@
     .filter(([, entry]) => entry.wave === wave.id)
     .filter(([, entry]) => entry.step === WaveVmStep.Remaining)
     .map(([vm]) => vm)
-    .filter(vm => isLeft(state, wave, vm));
+    .filter(vm => isRemaining(state, wave, vm));
   const active = activeWork(state).get(wave.id) ?? [];
   return preview(state, wave, vms, active);
 }
 
 /** What a wave over these VMs would do if it were started now. */
 export function previewScope(state: FleetState, scope: WaveScope): WavePreview {
-  const covered = coveredVms(state, scope);
+  const covered = vmsInScope(state, scope);
   const vms = covered.filter(vm => !state.handedOver.has(vm));
   const shown = preview(state, unstarted(vms.length), vms, []);
   const refusal = startRefusal(state, covered);
@@ -67,7 +67,7 @@
   covered: readonly string[],
 ): string | undefined {
   if (covered.length === 0) return 'the scope covers no VM; widen it';
-  return waveOverlap(state, covered)?.detail;
+  return checkWaveOverlap(state, covered)?.detail;
 }
 
 function preview(
@@ -78,20 +78,28 @@
 ): WavePreview {
   const pace = wavePace(wave, active);
   const stretches = orderByDomain(state, vms);
-  const isMoving = wave.state === WaveState.Running && !pace.stop;
-  const room = isMoving ? Math.max(0, pace.limit - active.length) : 0;
-  const {vms: next, turnedDown} = chooseVms(state, {
-    stretches: room > 0 ? stretches : [],
-    present: presentDataCentre(state, active),
-    room,
-    taken: new Set(),
-    isLeft: () => true,
+  const isMoving = wave.state === WaveState.Running && !pace.stopReason;
+  const maximumVms = isMoving
+    ? Math.max(0, pace.maximumActive - active.length)
+    : 0;
+  const {vms: next, turnedDown} = selectVms(state, {
+    vmsByDataCentre: maximumVms > 0 ? stretches : [],
+    currentDataCentre: currentDataCentreOf(state, active),
+    maximumVms: maximumVms,
+    usedPools: new Set(),
+    isRemaining: () => true,
   });
-  const heldBack = [...reasons(wave, pace.stop, pace.limit, active.length)];
+  const heldBack = [
+    ...reasons(wave, pace.stopReason, pace.maximumActive, active.length),
+  ];
   if (heldBack.length === 0 && next.length === 0 && vms.length > 0)
     heldBack.push('no VM that is left can be taken now');
   const order = racksOf(state, stretches);
-  const counts = {left: vms.length, active: active.length, limit: pace.limit};
+  const counts = {
+    left: vms.length,
+    active: active.length,
+    limit: pace.maximumActive,
+  };
   return {...counts, order, next, heldBack, turnedDown};
 }
 
@@ -110,13 +118,13 @@
 
 function racksOf(
   state: FleetState,
-  stretches: readonly WaveStretch[],
+  stretches: readonly DataCentreVms[],
 ): PreviewedRack[] {
-  const index = capacityOf(state);
+  const index = capacityIndexOf(state);
   return stretches.flatMap(({dataCentre, vms}) => {
     const counts = new Map<string, number>();
     for (const vm of vms) {
-      const {rack} = index.place(vm);
+      const {rack} = index.locationOf(vm);
       counts.set(rack, (counts.get(rack) ?? 0) + 1);
     }
     return [...counts].map(([rack, count]) => ({dataCentre, rack, vms: count}));
--- a/packages/jobs/src/__tests__/crash-count.test.ts
+++ b/packages/jobs/src/__tests__/crash-count.test.ts
@@ -60,8 +60,8 @@
     const job = newExecution();
     crash(job, AT_START, AT_START);
     const [task] = job.readyTasks(0);
-    assert.equal(job.noteSurvival(task), true);
-    assert.equal(job.noteSurvival(task), false);
+    assert.equal(job.clearCrashes(task), true);
+    assert.equal(job.clearCrashes(task), false);
     assert.equal(crash(job, AT_START, AT_START), JobState.Running);
   });
 
--- a/packages/jobs/src/__tests__/jobs.test.ts
+++ b/packages/jobs/src/__tests__/jobs.test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import fastCheck from 'fast-check';
 import {
-  EndEffect,
+  RunEndEffect,
   JobExecution,
   JobRecordKind,
   JobState,
@@ -41,7 +41,7 @@
   return new JobExecution(submission(steps, differences), emptyProgress());
 }
 
-function finishAll(job: JobExecution, end = RunEnd.Done): EndEffect[] {
+function finishAll(job: JobExecution, end = RunEnd.Done): RunEndEffect[] {
   return job.readyTasks(0).map(task => {
     const run = job.beginRun(task, 'worker');
     return job.endRun(task, run, end, '', 3);
@@ -63,7 +63,10 @@
       job.readyTasks(0).map(task => task.step),
       [1, 1],
     );
-    assert.deepEqual(finishAll(job), [EndEffect.TaskDone, EndEffect.JobEnded]);
+    assert.deepEqual(finishAll(job), [
+      RunEndEffect.TaskDone,
+      RunEndEffect.JobEnded,
+    ]);
     assert.equal(job.progress.state, JobState.Completed);
   });
 
@@ -79,7 +82,7 @@
     const [task] = job.readyTasks(0);
     job.endRun(task, job.beginRun(task, 'one'), RunEnd.Lost, '', 3);
     job.beginRun(task, 'two');
-    assert.equal(job.endRun(task, 1, RunEnd.Failed, '', 3), EndEffect.Stale);
+    assert.equal(job.endRun(task, 1, RunEnd.Failed, '', 3), RunEndEffect.Stale);
     assert.deepEqual(job.readyTasks(0), []);
   });
 
@@ -102,8 +105,11 @@
     finishAll(job, RunEnd.Failed);
     const task = job.task('0.0.0');
     assert.ok(task);
-    assert.equal(job.noteLateEnd(task, 1, RunEnd.Failed, 3), EndEffect.Again);
-    job.noteLateEnd(task, 1, RunEnd.Failed, 3);
+    assert.equal(
+      job.applyLateRunEnd(task, 1, RunEnd.Failed, 3),
+      RunEndEffect.Retry,
+    );
+    job.applyLateRunEnd(task, 1, RunEnd.Failed, 3);
     assert.equal(job.ended, false);
     finishAll(job, RunEnd.Failed);
     assert.equal(job.progress.state, JobState.Failed);
@@ -114,10 +120,13 @@
     finishAll(job, RunEnd.Lost);
     const [task] = job.readyTasks(0);
     const second = job.beginRun(task, 'other');
-    assert.equal(job.noteLateEnd(task, 1, RunEnd.Done, 3), EndEffect.JobEnded);
+    assert.equal(
+      job.applyLateRunEnd(task, 1, RunEnd.Done, 3),
+      RunEndEffect.JobEnded,
+    );
     assert.equal(
       job.endRun(task, second, RunEnd.Stopped, '', 3),
-      EndEffect.JobEnded,
+      RunEndEffect.JobEnded,
     );
     assert.equal(job.progress.state, JobState.Completed);
   });
@@ -129,7 +138,10 @@
     finishAll(job, RunEnd.Lost);
     const task = job.task('0.0.0');
     assert.ok(task);
-    assert.equal(job.noteLateEnd(task, 1, RunEnd.Done, 3), EndEffect.JobEnded);
+    assert.equal(
+      job.applyLateRunEnd(task, 1, RunEnd.Done, 3),
+      RunEndEffect.JobEnded,
+    );
     assert.deepEqual(job.readyTasks(0), []);
   });
 
@@ -147,7 +159,7 @@
     for (const task of tasks) job.beginRun(task, `on-${task.index}`, 1);
     assert.equal(
       job.endRun(tasks[1], 1, RunEnd.Done, '', 3),
-      EndEffect.JobEnded,
+      RunEndEffect.JobEnded,
     );
     assert.equal(job.progress.state, JobState.Completed);
   });
@@ -158,7 +170,7 @@
     });
     assert.equal(job.readyTasks(999).length, 0);
     assert.equal(job.readyTasks(1_000).length, 1);
-    assert.equal(job.nextDueAfter(1_000), 1_500);
+    assert.equal(job.nextScheduledStartAfter(1_000), 1_500);
     assert.equal(job.readyTasks(1_500).length, 2);
   });
 });
--- a/packages/jobs/src/crash-count.ts
+++ b/packages/jobs/src/crash-count.ts
@@ -9,11 +9,11 @@
 /** A crash counts as one at the start of a run within this time after it. */
 export const CRASH_AT_START_MILLISECONDS = 300;
 /** A run that lives so long clears its task of earlier crashes. */
-export const SURVIVAL_MILLISECONDS = 3_000;
+export const CRASH_RESET_MILLISECONDS = 3_000;
 /** Three workers that happen to crash just then are far less likely than one task at fault. */
-const MOST_CRASHES_AT_START = 3;
+const MAXIMUM_CRASHES_AT_START = 3;
 /** Crashes later in a run, or beside other tasks, prove less: workers also crash by themselves. */
-const MOST_CRASHES = 5;
+const MAXIMUM_CRASHES = 5;
 
 /** What is known of one crash of a worker under a run. */
 export interface RunCrash {
@@ -24,7 +24,7 @@
 }
 
 /** The count of a task under which no worker has crashed. */
-export function noCrashes(): CrashCount {
+export function emptyCrashCount(): CrashCount {
   return {total: 0, atStart: 0};
 }
 
@@ -35,6 +35,6 @@
 ): boolean {
   count.total++;
   if (isAtStart) count.atStart++;
-  const isProven = isIsolated && count.atStart >= MOST_CRASHES_AT_START;
-  return isProven || count.total >= MOST_CRASHES;
+  const isProven = isIsolated && count.atStart >= MAXIMUM_CRASHES_AT_START;
+  return isProven || count.total >= MAXIMUM_CRASHES;
 }
--- a/packages/jobs/src/job-execution.ts
+++ b/packages/jobs/src/job-execution.ts
@@ -8,7 +8,7 @@
   type StepSpecification,
   type TaskIndex,
 } from './job.js';
-import {countCrash, noCrashes, type RunCrash} from './crash-count.js';
+import {countCrash, emptyCrashCount, type RunCrash} from './crash-count.js';
 import {
   emptyTaskProgress,
   type JobProgress,
@@ -31,16 +31,16 @@
 }
 
 /** Run time to expect of a task of a step, in milliseconds. */
-export type ExpectedTime = (step: StepSpecification) => number;
+export type StepEstimate = (step: StepSpecification) => number;
 
 /** What the end of a run changed. */
-export enum EndEffect {
+export enum RunEndEffect {
   /** A run that is not the task's last one; nothing changed. */
   Stale = 'stale',
   /** The task is done. */
   TaskDone = 'task_done',
   /** The task is to be started again. */
-  Again = 'again',
+  Retry = 'again',
   /** The job has come to its end by it. */
   JobEnded = 'job_ended',
 }
@@ -86,7 +86,7 @@
   }
 
   /** Wall-clock time at which an occurrence is due; 0 for a job without occurrences. */
-  dueAt(occurrence: number): number {
+  scheduledStartAt(occurrence: number): number {
     const {repeat} = this.job;
     if (!repeat) return 0;
     return (
@@ -124,25 +124,25 @@
     end: RunEnd,
     checkpoint: string,
     maximumAttempts: number,
-  ): EndEffect {
+  ): RunEndEffect {
     const effect = this.closeRun(task, run);
-    if (effect !== EndEffect.Stale && checkpoint !== '')
+    if (effect !== RunEndEffect.Stale && checkpoint !== '')
       task.progress.checkpoint = checkpoint;
-    return effect ?? this.countEnd(task, run, end, maximumAttempts);
+    return effect ?? this.applyRunEnd(task, run, end, maximumAttempts);
   }
 
   /** Notes that a worker crashed under a run. */
-  crashRun(task: ExecutableTask, run: number, crash: RunCrash): EndEffect {
+  crashRun(task: ExecutableTask, run: number, crash: RunCrash): RunEndEffect {
     const effect = this.closeRun(task, run);
     if (effect) return effect;
     const isGivenUp = countCrash(task.progress.crashes, crash);
-    return isGivenUp ? this.fail() : EndEffect.Again;
+    return isGivenUp ? this.fail() : RunEndEffect.Retry;
   }
 
   /** Notes that a run has lived long; returns true when that clears its task of earlier crashes. */
-  noteSurvival({progress}: ExecutableTask): boolean {
+  clearCrashes({progress}: ExecutableTask): boolean {
     if (progress.crashes.total === 0) return false;
-    progress.crashes = noCrashes();
+    progress.crashes = emptyCrashCount();
     return true;
   }
 
@@ -150,18 +150,18 @@
    * Notes the end of a run that had been given up, read when its worker came back: a task that was
    * done is done, and a failed end counts as an attempt.
    */
-  noteLateEnd(
+  applyLateRunEnd(
     task: ExecutableTask,
     run: number,
     end: RunEnd,
     maximumAttempts: number,
-  ): EndEffect {
+  ): RunEndEffect {
     const {progress} = task;
     const isAlive = run === progress.run && progress.worker !== '';
     if (this.ended || progress.done || run > progress.run || isAlive)
-      return EndEffect.Stale;
-    if (end !== RunEnd.Done && end !== RunEnd.Failed) return EndEffect.Stale;
-    return this.countEnd(task, run, end, maximumAttempts);
+      return RunEndEffect.Stale;
+    if (end !== RunEnd.Done && end !== RunEnd.Failed) return RunEndEffect.Stale;
+    return this.applyRunEnd(task, run, end, maximumAttempts);
   }
 
   /** Ends the job at a caller's wish. */
@@ -170,13 +170,16 @@
   }
 
   /** Longest chain of task times of all steps, in milliseconds. */
-  wholeChain(expected: ExpectedTime): number {
-    return longestChain(this.job, expected, () => true);
+  criticalPathMilliseconds(expected: StepEstimate): number {
+    return longestPathMilliseconds(this.job, expected, () => true);
   }
 
   /** Longest chain of task times of `occurrence`'s open steps, in milliseconds. */
-  remainingChain(occurrence: number, expected: ExpectedTime): number {
-    return longestChain(
+  remainingCriticalPathMilliseconds(
+    occurrence: number,
+    expected: StepEstimate,
+  ): number {
+    return longestPathMilliseconds(
       this.job,
       expected,
       step => (this.groups.get(groupKey(occurrence, step))?.remaining ?? 0) > 0,
@@ -184,7 +187,7 @@
   }
 
   /** Sum over the open tasks of `occurrence` of what one of their step asks for. */
-  remainingWork(occurrence: number, workOfTask: ExpectedTime): number {
+  remainingWork(occurrence: number, workOfTask: StepEstimate): number {
     return this.job.steps.reduce((sum, step, index) => {
       const open = this.groups.get(groupKey(occurrence, index))?.remaining ?? 0;
       return sum + open * workOfTask(step);
@@ -192,40 +195,46 @@
   }
 
   /** Wall-clock time of the next occurrence that is not due yet; undefined for none. */
-  nextDueAfter(now: number): number | undefined {
+  nextScheduledStartAfter(now: number): number | undefined {
     if (!this.job.repeat || this.ended) return undefined;
     for (let k = 0; k < this.job.repeat.count; k++)
-      if (this.dueAt(k) > now) return this.dueAt(k);
+      if (this.scheduledStartAt(k) > now) return this.scheduledStartAt(k);
     return undefined;
   }
 
   /** Notes that a run is over; undefined where what follows depends on how it ended. */
-  private closeRun(task: ExecutableTask, run: number): EndEffect | undefined {
+  private closeRun(
+    task: ExecutableTask,
+    run: number,
+  ): RunEndEffect | undefined {
     const {progress} = task;
-    if (progress.run !== run || progress.worker === '') return EndEffect.Stale;
+    if (progress.run !== run || progress.worker === '')
+      return RunEndEffect.Stale;
     progress.worker = '';
-    if (this.ended) return EndEffect.JobEnded;
+    if (this.ended) return RunEndEffect.JobEnded;
     // An earlier run was found to be done while this one was alive.
-    return progress.done ? EndEffect.TaskDone : undefined;
+    return progress.done ? RunEndEffect.TaskDone : undefined;
   }
 
-  private countEnd(
+  private applyRunEnd(
     task: ExecutableTask,
     run: number,
     end: RunEnd,
     maximumAttempts: number,
-  ): EndEffect {
+  ): RunEndEffect {
     const {longRunning} = task.specification;
     if (end === RunEnd.Done && !longRunning) return this.completeRun(task);
-    if (end !== RunEnd.Failed || longRunning) return EndEffect.Again;
+    if (end !== RunEnd.Failed || longRunning) return RunEndEffect.Retry;
     const {failedRuns} = task.progress;
     if (!failedRuns.includes(run)) failedRuns.push(run);
-    return failedRuns.length < maximumAttempts ? EndEffect.Again : this.fail();
+    return failedRuns.length < maximumAttempts
+      ? RunEndEffect.Retry
+      : this.fail();
   }
 
-  private fail(): EndEffect {
+  private fail(): RunEndEffect {
     this.progress.state = JobState.Failed;
-    return EndEffect.JobEnded;
+    return RunEndEffect.JobEnded;
   }
 
   private addGroup(
@@ -252,7 +261,7 @@
 
   private isGroupReady(group: StepGroup, now: number): boolean {
     if (group.remaining === 0) return false;
-    if (now < this.dueAt(group.occurrence)) return false;
+    if (now < this.scheduledStartAt(group.occurrence)) return false;
     return this.job.steps[group.step].after.every(
       earlier =>
         this.groups.get(groupKey(group.occurrence, earlier))?.remaining === 0,
@@ -260,9 +269,9 @@
   }
 
   /** One end of a gang's run as done stands for all its members. */
-  private completeRun(task: ExecutableTask): EndEffect {
+  private completeRun(task: ExecutableTask): RunEndEffect {
     if (!task.specification.gang) return this.completeTask(task);
-    let effect = EndEffect.TaskDone;
+    let effect = RunEndEffect.TaskDone;
     for (const member of this.tasksOfStep(task.occurrence, task.step)) {
       if (member.progress.done) continue;
       member.progress.worker = '';
@@ -271,19 +280,19 @@
     return effect;
   }
 
-  private completeTask(task: ExecutableTask): EndEffect {
+  private completeTask(task: ExecutableTask): RunEndEffect {
     task.progress.done = true;
     const group = this.groups.get(groupKey(task.occurrence, task.step));
     if (group && --group.remaining === 0) this.openGroups--;
-    if (this.openGroups > 0) return EndEffect.TaskDone;
+    if (this.openGroups > 0) return RunEndEffect.TaskDone;
     this.progress.state = JobState.Completed;
-    return EndEffect.JobEnded;
+    return RunEndEffect.JobEnded;
   }
 }
 
-function longestChain(
+function longestPathMilliseconds(
   job: JobSubmission,
-  expected: ExpectedTime,
+  expected: StepEstimate,
   counts: (step: number) => boolean,
 ): number {
   const length: number[] = [];
--- a/packages/jobs/src/job-progress.ts
+++ b/packages/jobs/src/job-progress.ts
@@ -1,4 +1,4 @@
-import {noCrashes, type CrashCount} from './crash-count.js';
+import {emptyCrashCount, type CrashCount} from './crash-count.js';
 import {JobState} from './job.js';
 
 /** What must outlast the coordinator about one task. */
@@ -32,7 +32,7 @@
     run: 0,
     done: false,
     failedRuns: [],
-    crashes: noCrashes(),
+    crashes: emptyCrashCount(),
     checkpoint: '',
     worker: '',
   };
--- a/packages/jobs/src/job-records.ts
+++ b/packages/jobs/src/job-records.ts
@@ -60,7 +60,7 @@
 }
 
 /** Records that drop everything about a job, by the stream in which they lie. */
-export function dropJobRecords(jobId: string): {
+export function jobRecordTombstones(jobId: string): {
   readonly progress: KeyedRecord;
   readonly submission: readonly KeyedRecord[];
 } {
--- a/packages/kernel/src/__tests__/bounded-logger.test.ts
+++ b/packages/kernel/src/__tests__/rate-limited-logger.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {BoundedLogger} from '../bounded-logger.js';
+import {RateLimitedLogger} from '../rate-limited-logger.js';
 import {VirtualClock} from '../clock.js';
 import {LogEvent} from '../log-events.js';
 import {SilentLogger, type LogFields} from '../logger.js';
 
-class ListLogger extends SilentLogger {
+class RecordingLogger extends SilentLogger {
   readonly lines: Array<{event: LogEvent; fields?: LogFields}> = [];
 
   override info(event?: LogEvent, fields?: LogFields): void {
@@ -20,9 +20,9 @@
 describe('BoundedLogger', () => {
   // Under a burst the log of starts alone would take the processor that the starts need.
   it('leaves out lines over the bound and tells how many', () => {
-    const list = new ListLogger();
+    const list = new RecordingLogger();
     const clock = new VirtualClock();
-    const logger = new BoundedLogger(list, clock, 10);
+    const logger = new RateLimitedLogger(list, clock, 10);
     for (let line = 0; line < 25; line++) logger.info(LogEvent.RunOrdered);
     logger.info(LogEvent.RunEnded);
     assert.equal(list.lines.length, 11);
--- a/packages/kernel/src/admin-routes.ts
+++ b/packages/kernel/src/admin-routes.ts
@@ -8,14 +8,14 @@
 }
 
 /** What the admin port sends back. */
-export interface AdminAnswer {
+export interface AdminResponse {
   readonly status: number;
   /** Sent as JSON. */
   readonly body: unknown;
 }
 
 /** Answers one path of the admin port. */
-export type AdminHandler = (request: AdminRequest) => Promise<AdminAnswer>;
+export type AdminHandler = (request: AdminRequest) => Promise<AdminResponse>;
 
 /** Methods of the admin port: GET reads, POST changes. */
 export enum AdminMethod {
--- a/packages/kernel/src/clock.ts
+++ b/packages/kernel/src/clock.ts
@@ -54,15 +54,15 @@
 }
 
 interface PendingTimer {
-  readonly due: number;
-  readonly order: number;
+  readonly dueAt: number;
+  readonly sequence: number;
   readonly action: () => void;
 }
 
 /** A clock for tests and models: time moves only by `advance`. */
 export class VirtualClock implements Clock {
   private now = 0;
-  private order = 0;
+  private nextSequence = 0;
   private readonly pending = new Set<PendingTimer>();
 
   constructor(private readonly wallStart = 1_700_000_000_000) {}
@@ -77,8 +77,8 @@
 
   schedule(delayMilliseconds: number, action: () => void): Timer {
     const timer: PendingTimer = {
-      due: this.now + Math.max(0, delayMilliseconds),
-      order: this.order++,
+      dueAt: this.now + Math.max(0, delayMilliseconds),
+      sequence: this.nextSequence++,
       action,
     };
     this.pending.add(timer);
@@ -90,7 +90,7 @@
     const end = this.now + milliseconds;
     for (let next = this.nextDue(end); next; next = this.nextDue(end)) {
       this.pending.delete(next);
-      this.now = Math.max(this.now, next.due);
+      this.now = Math.max(this.now, next.dueAt);
       next.action();
     }
     this.now = end;
@@ -99,12 +99,12 @@
   /** As `advance`, and lets promises settle after each timer. */
   async advanceAsync(milliseconds: number): Promise<void> {
     const end = this.now + milliseconds;
-    await settlePromises();
+    await yieldToEventLoop();
     for (let next = this.nextDue(end); next; next = this.nextDue(end)) {
       this.pending.delete(next);
-      this.now = Math.max(this.now, next.due);
+      this.now = Math.max(this.now, next.dueAt);
       next.action();
-      await settlePromises();
+      await yieldToEventLoop();
     }
     this.now = end;
   }
@@ -112,7 +112,7 @@
   private nextDue(end: number): PendingTimer | undefined {
     let best: PendingTimer | undefined;
     for (const timer of this.pending) {
-      if (timer.due > end) continue;
+      if (timer.dueAt > end) continue;
       if (!best || isBefore(timer, best)) best = timer;
     }
     return best;
@@ -120,10 +120,10 @@
 }
 
 function isBefore(left: PendingTimer, right: PendingTimer): boolean {
-  if (left.due !== right.due) return left.due < right.due;
-  return left.order < right.order;
+  if (left.dueAt !== right.dueAt) return left.dueAt < right.dueAt;
+  return left.sequence < right.sequence;
 }
 
-function settlePromises(): Promise<void> {
+function yieldToEventLoop(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
--- a/packages/kernel/src/decision-journal.ts
+++ b/packages/kernel/src/decision-journal.ts
@@ -13,7 +13,7 @@
 }
 
 /** An alternative that a decision turned down. */
-export interface TurnedDown {
+export interface RejectedAlternative {
   readonly choice: string;
   readonly because: string;
 }
@@ -30,7 +30,7 @@
   readonly cause: string;
   /** Facts that the rule looked at. */
   readonly evidence: Readonly<Record<string, string | number | boolean>>;
-  readonly turnedDown?: readonly TurnedDown[];
+  readonly turnedDown?: readonly RejectedAlternative[];
 }
 
 /** A decision as kept. */
@@ -40,28 +40,28 @@
 }
 
 const DEFAULT_CAPACITY = 5000;
-const DEFAULT_PER_SUBJECT = 50;
+const DEFAULT_ENTRIES_PER_SUBJECT = 50;
 
 /** Keeps recent decisions for `explain`; bounded in memory, the oldest go first. */
 export class DecisionJournal {
-  private readonly subjects = new Map<string, JournalEntry[]>();
+  private readonly entriesBySubject = new Map<string, JournalEntry[]>();
   private size = 0;
 
   constructor(
     private readonly clock: Clock,
     private readonly capacity = DEFAULT_CAPACITY,
-    private readonly perSubject = DEFAULT_PER_SUBJECT,
+    private readonly entriesPerSubject = DEFAULT_ENTRIES_PER_SUBJECT,
   ) {}
 
   record(decision: Decision): void {
     const key = subjectKey(decision.subject, decision.id);
-    const entries = this.subjects.get(key) ?? [];
+    const entries = this.entriesBySubject.get(key) ?? [];
     // Set again, so that the map's order is by last decision and the stalest subject goes first.
-    this.subjects.delete(key);
-    this.subjects.set(key, entries);
+    this.entriesBySubject.delete(key);
+    this.entriesBySubject.set(key, entries);
     entries.push({...decision, at: this.clock.wallMilliseconds()});
     this.size++;
-    if (entries.length > this.perSubject) {
+    if (entries.length > this.entriesPerSubject) {
       entries.shift();
       this.size--;
     }
@@ -69,16 +69,16 @@
   }
 
   /** Decisions about one subject, oldest first. */
-  about(subject: SubjectKind, id: string): readonly JournalEntry[] {
-    return this.subjects.get(subjectKey(subject, id)) ?? [];
+  entriesAbout(subject: SubjectKind, id: string): readonly JournalEntry[] {
+    return this.entriesBySubject.get(subjectKey(subject, id)) ?? [];
   }
 
   private evict(): void {
     while (this.size > this.capacity) {
-      const [stalest] = this.subjects;
+      const [stalest] = this.entriesBySubject;
       if (!stalest) return;
       const [key, entries] = stalest;
-      this.subjects.delete(key);
+      this.entriesBySubject.delete(key);
       this.size -= entries.length;
     }
   }
--- a/packages/kernel/src/error-kinds.ts
+++ b/packages/kernel/src/error-kinds.ts
@@ -1,5 +1,5 @@
 /** Whether the request was run by a target. */
-export enum RunOutcome {
+export enum RequestExecution {
   /** No byte of the request went to a target, or the target said so itself. */
   NotRun = 'no',
   /** Bytes were sent and no whole answer came back. */
@@ -44,186 +44,195 @@
 }
 
 /** What a caller is told for an error kind. */
-export interface ErrorAnswer {
+export interface ErrorResponse {
   /** HTTP status code. */
   readonly status: number;
   /** Whether the request was run. */
-  readonly run: RunOutcome;
+  readonly run: RequestExecution;
   /** Seconds for `Retry-After`; undefined where a retry does not help. */
   readonly retryAfterSeconds?: number;
   /** One sentence for the caller: what happened and what to do. */
   readonly advice: string;
 }
 
-const {NotRun, Unknown, Run} = RunOutcome;
+const {NotRun, Unknown, Run} = RequestExecution;
 
-function answer(
+function tableEntry(
   status: number,
-  run: RunOutcome,
+  run: RequestExecution,
   advice: string,
   retryAfterSeconds?: number,
-): ErrorAnswer {
+): ErrorResponse {
   return {status, run, advice, retryAfterSeconds};
 }
 
 /** The table from error kind to answer. docs/errors.md is held against it by a test. */
-export const ERROR_ANSWERS: Readonly<Record<ErrorKind, ErrorAnswer>> = {
-  [ErrorKind.BadRequest]: answer(
+export const ERROR_RESPONSES: Readonly<Record<ErrorKind, ErrorResponse>> = {
+  [ErrorKind.BadRequest]: tableEntry(
     400,
     NotRun,
     'The request is malformed; correct it.',
   ),
-  [ErrorKind.HeadTooLarge]: answer(
+  [ErrorKind.HeadTooLarge]: tableEntry(
     431,
     NotRun,
     'The request head is over the limit.',
   ),
-  [ErrorKind.BodyTooLarge]: answer(
+  [ErrorKind.BodyTooLarge]: tableEntry(
     413,
     NotRun,
     'The request body is over the limit.',
   ),
-  [ErrorKind.BodyTimeout]: answer(
+  [ErrorKind.BodyTimeout]: tableEntry(
     408,
     NotRun,
     'The request body came too slowly.',
     1,
   ),
-  [ErrorKind.CallerGone]: answer(
+  [ErrorKind.CallerGone]: tableEntry(
     499,
     NotRun,
     'The caller closed the connection.',
   ),
-  [ErrorKind.UpgradeRefused]: answer(
+  [ErrorKind.UpgradeRefused]: tableEntry(
     501,
     NotRun,
     'Protocol upgrades are not supported.',
   ),
-  [ErrorKind.ExpectationRefused]: answer(
+  [ErrorKind.ExpectationRefused]: tableEntry(
     417,
     NotRun,
     'Only Expect: 100-continue is supported.',
   ),
-  [ErrorKind.UnknownService]: answer(
+  [ErrorKind.UnknownService]: tableEntry(
     404,
     NotRun,
     'No service of that name is in the bundle in force.',
   ),
-  [ErrorKind.UnknownCaller]: answer(
+  [ErrorKind.UnknownCaller]: tableEntry(
     401,
     NotRun,
     'Send a caller key that the bundle in force knows.',
   ),
-  [ErrorKind.KeyRequired]: answer(
+  [ErrorKind.KeyRequired]: tableEntry(
     428,
     NotRun,
     'This service needs an Idempotency-Key header.',
   ),
-  [ErrorKind.KeyInvalid]: answer(
+  [ErrorKind.KeyInvalid]: tableEntry(
     400,
     NotRun,
     'The Idempotency-Key is malformed.',
   ),
-  [ErrorKind.KeyReused]: answer(
+  [ErrorKind.KeyReused]: tableEntry(
     422,
     NotRun,
     'The Idempotency-Key was used for another request.',
   ),
-  [ErrorKind.KeyInProgress]: answer(
+  [ErrorKind.KeyInProgress]: tableEntry(
     409,
     Unknown,
     'A request with this key is running; ask again later.',
     1,
   ),
-  [ErrorKind.KeyAlreadyRun]: answer(
+  [ErrorKind.KeyAlreadyRun]: tableEntry(
     409,
     Run,
     'A request with this key was run; its answer is no longer held.',
   ),
-  [ErrorKind.KeyOutcomeUnknown]: answer(
+  [ErrorKind.KeyOutcomeUnknown]: tableEntry(
     409,
     Unknown,
     'A request with this key may have been run; it will not be run again.',
   ),
-  [ErrorKind.KeyForgotten]: answer(
+  [ErrorKind.KeyForgotten]: tableEntry(
     409,
     Unknown,
     'This key is older than the claims that are kept; it will not be run.',
   ),
-  [ErrorKind.ClaimUnavailable]: answer(
+  [ErrorKind.ClaimUnavailable]: tableEntry(
     503,
     NotRun,
     'The platform log cannot be reached to claim the key.',
     2,
   ),
-  [ErrorKind.NoBundle]: answer(
+  [ErrorKind.NoBundle]: tableEntry(
     503,
     NotRun,
     'No configuration is in force at this daemon yet.',
     2,
   ),
-  [ErrorKind.NoTarget]: answer(
+  [ErrorKind.NoTarget]: tableEntry(
     503,
     NotRun,
     'No VM of the pool can take the request.',
     1,
   ),
-  [ErrorKind.QueueFull]: answer(503, NotRun, 'The service is saturated.', 1),
-  [ErrorKind.QueueTimeout]: answer(
+  [ErrorKind.QueueFull]: tableEntry(
+    503,
+    NotRun,
+    'The service is saturated.',
+    1,
+  ),
+  [ErrorKind.QueueTimeout]: tableEntry(
     503,
     NotRun,
     'The request waited as long as it may.',
     1,
   ),
-  [ErrorKind.QueueDropped]: answer(
+  [ErrorKind.QueueDropped]: tableEntry(
     503,
     NotRun,
     'A standing queue is being cut short.',
     1,
   ),
-  [ErrorKind.QuotaExceeded]: answer(
+  [ErrorKind.QuotaExceeded]: tableEntry(
     429,
     NotRun,
     'The quota of the team is used up.',
     1,
   ),
-  [ErrorKind.Draining]: answer(
+  [ErrorKind.Draining]: tableEntry(
     503,
     NotRun,
     'This daemon is stopping; connect again.',
     1,
   ),
-  [ErrorKind.TargetRefused]: answer(
+  [ErrorKind.TargetRefused]: tableEntry(
     503,
     NotRun,
     'The target refused the request before running it.',
     1,
   ),
-  [ErrorKind.TargetUnreachable]: answer(
+  [ErrorKind.TargetUnreachable]: tableEntry(
     503,
     NotRun,
     'No connection to a target could be opened.',
     1,
   ),
-  [ErrorKind.TargetFailed]: answer(
+  [ErrorKind.TargetFailed]: tableEntry(
     502,
     Unknown,
     'The connection to the target broke after the request was sent.',
   ),
-  [ErrorKind.TargetTimeout]: answer(
+  [ErrorKind.TargetTimeout]: tableEntry(
     504,
     Unknown,
     'The target did not answer in time.',
   ),
-  [ErrorKind.AnswerTruncated]: answer(
+  [ErrorKind.AnswerTruncated]: tableEntry(
     502,
     Unknown,
     'The answer of the target broke off.',
   ),
-  [ErrorKind.AnswerMalformed]: answer(
+  [ErrorKind.AnswerMalformed]: tableEntry(
     502,
     Unknown,
     'The answer of the target was malformed.',
   ),
-  [ErrorKind.Internal]: answer(500, Unknown, 'The daemon failed; see its log.'),
+  [ErrorKind.Internal]: tableEntry(
+    500,
+    Unknown,
+    'The daemon failed; see its log.',
+  ),
 };
--- a/packages/kernel/src/errors.ts
+++ b/packages/kernel/src/errors.ts
@@ -1,5 +1,5 @@
 import ModernError from 'modern-errors';
-import {ErrorKind, RunOutcome, ERROR_ANSWERS} from './error-kinds.js';
+import {ErrorKind, RequestExecution, ERROR_RESPONSES} from './error-kinds.js';
 
 /** Base of all errors of this project. */
 export const BaseError = ModernError.subclass('BaseError');
@@ -11,11 +11,11 @@
 export const BundleError = BaseError.subclass('BundleError');
 
 /** Which part of the platform's log failed, and what is known of the effect. */
-export enum LogFailure {
+export enum PlatformLogFailure {
   /** The log did not take the call; nothing was appended. */
   Refused = 'refused',
   /** No answer came; an append may or may not have taken effect. */
-  NoAnswer = 'no_answer',
+  NoResponse = 'no_answer',
   /** The offset asked for is no longer kept. */
   Gap = 'gap',
 }
@@ -23,7 +23,7 @@
 /** A failed call to the platform's log. */
 export class PlatformLogError extends Error {
   constructor(
-    readonly failure: LogFailure,
+    readonly failure: PlatformLogFailure,
     message: string,
     options?: ErrorOptions,
   ) {
@@ -35,22 +35,22 @@
 /** A request that ends without a target's whole answer. */
 export class RequestError extends Error {
   /** Whether the request was run; the table's entry unless known better. */
-  readonly run: RunOutcome;
+  readonly run: RequestExecution;
 
   constructor(
     readonly kind: ErrorKind,
     detail: string,
     options: {
-      run?: RunOutcome;
+      run?: RequestExecution;
       retryAfterSeconds?: number;
       cause?: unknown;
     } = {},
   ) {
     super(detail, {cause: options.cause});
     this.name = 'RequestError';
-    this.run = options.run ?? ERROR_ANSWERS[kind].run;
+    this.run = options.run ?? ERROR_RESPONSES[kind].run;
     this.retryAfterSeconds =
-      options.retryAfterSeconds ?? ERROR_ANSWERS[kind].retryAfterSeconds;
+      options.retryAfterSeconds ?? ERROR_RESPONSES[kind].retryAfterSeconds;
   }
 
   /** Seconds for `Retry-After`; undefined where a retry does not help. */
--- a/packages/kernel/src/index.ts
+++ b/packages/kernel/src/index.ts
@@ -16,6 +16,6 @@
 export * from './decision-journal.js';
 export * from './log-event-catalogue.js';
 export * from './metric-catalogue.js';
-export * from './resolve-now.js';
+export * from './resolve-dependencies.js';
 export * from './readiness.js';
-export * from './bounded-logger.js';
+export * from './rate-limited-logger.js';
--- a/packages/kernel/src/log-event-catalogue.ts
+++ b/packages/kernel/src/log-event-catalogue.ts
@@ -6,9 +6,9 @@
   readonly action: string;
 }
 
-const NOTHING = 'nothing';
+const NO_ACTION = 'nothing';
 
-function entry(meaning: string, action = NOTHING): LogEventEntry {
+function entry(meaning: string, action = NO_ACTION): LogEventEntry {
   return {meaning, action};
 }
 
--- a/packages/kernel/src/plugin.ts
+++ b/packages/kernel/src/plugin.ts
@@ -22,7 +22,7 @@
   /** Adds its services to the container. `options` is the checked section. */
   register(container: AwilixContainer, options: unknown): void;
   /** Names of the registered service that implements `Plugin`. */
-  readonly service: string;
+  readonly registrationName: string;
 }
 
 /** The plug-ins of a daemon, in the order in which they start. */
--- a/packages/kernel/src/readiness.ts
+++ b/packages/kernel/src/readiness.ts
@@ -10,7 +10,7 @@
   }
 
   /** Names of the parts that are not ready. */
-  waitingFor(): string[] {
+  unreadyParts(): string[] {
     return [...this.checks]
       .filter(([, check]) => !check())
       .map(([name]) => name);
--- a/packages/kernel/src/settings.ts
+++ b/packages/kernel/src/settings.ts
@@ -41,7 +41,7 @@
 
 /** Reads INI text; a doubled section or key is an error, not a silent merge. */
 export function parseSettings(text: string, path: string): SettingsFile {
-  rejectDoubles(text, path);
+  rejectDuplicates(text, path);
   const sections = new Map<string, SettingsSection>();
   for (const [name, value] of Object.entries(
     parse(text) as Record<string, unknown>,
@@ -57,18 +57,18 @@
 }
 
 /** Line ends at which the INI library cuts or drops lines that an editor shows as one. */
-const STRAY_LINE_END = /\r(?!\n)|\u2028|\u2029/;
+const UNSUPPORTED_LINE_BREAK = /\r(?!\n)|\u2028|\u2029/;
 /** Quotes, escapes and comment marks, which the INI library takes out of names. */
-const MARKS_IN_NAME = /["';#\\]/;
-const PROTOTYPE = '__proto__';
+const SPECIAL_CHARACTERS_IN_NAME = /["';#\\]/;
+const PROTOTYPE_KEY = '__proto__';
 
 /**
  * Finds what the INI library would merge or leave out without a word: a section or a key that
  * stands twice, lacks a name or has one that the library changes. Throws `SettingsError` with
  * the line number.
  */
-export function rejectDoubles(text: string, path: string): void {
-  if (STRAY_LINE_END.test(text))
+export function rejectDuplicates(text: string, path: string): void {
+  if (UNSUPPORTED_LINE_BREAK.test(text))
     throw new SettingsError(`${path}: expected lines to end with a newline`);
   const sections = new Set<string>();
   let keys = new Set<string>();
@@ -79,7 +79,7 @@
     const header = /^\[([^\]]*)\]$/.exec(line);
     if (header) {
       section = header[1].trim();
-      rejectName(section, `${path}:${index + 1}`);
+      rejectUnsafeName(section, `${path}:${index + 1}`);
       if (sections.has(section)) {
         throw new SettingsError(
           `${path}:${index + 1}: section [${section}] stands twice: expected it once`,
@@ -95,7 +95,7 @@
         `${path}:${index + 1}: expected "key = value", found "${line}"`,
       );
     }
-    rejectName(key, `${path}:${index + 1}`);
+    rejectUnsafeName(key, `${path}:${index + 1}`);
     if (!key.endsWith('[]') && keys.has(key)) {
       throw new SettingsError(
         `${path}:${index + 1}: [${section}] key ${key} stands twice: expected it once`,
@@ -109,10 +109,10 @@
  * The INI library drops `__proto__` and reads `listen;a` as `listen`: the operator would see
  * a setting in the file that has no effect, or one that a later line replaced.
  */
-function rejectName(name: string, place: string): void {
+function rejectUnsafeName(name: string, place: string): void {
   const parts = name.replace(/\[\]$/, '').split('.');
-  const isPlain = name !== '' && !MARKS_IN_NAME.test(name);
-  if (isPlain && !parts.some(part => part.trim() === PROTOTYPE)) return;
+  const isPlain = name !== '' && !SPECIAL_CHARACTERS_IN_NAME.test(name);
+  if (isPlain && !parts.some(part => part.trim() === PROTOTYPE_KEY)) return;
   throw new SettingsError(
     `${place}: expected a plain name, found "${name.slice(0, 100)}"`,
   );
@@ -148,7 +148,7 @@
     );
 }
 
-const ADDRESS = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/;
+const ADDRESS_PATTERN = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/;
 
 /** An IP number with a port, such as 127.0.0.1:8080. */
 export function addressSetting() {
@@ -156,7 +156,7 @@
     .string({
       error: 'expected an IP number with a port, such as 127.0.0.1:8080',
     })
-    .regex(ADDRESS, {
+    .regex(ADDRESS_PATTERN, {
       error: 'expected an IP number with a port, such as 127.0.0.1:8080',
     });
 }
--- a/packages/kernel/src/target-transport.ts
+++ b/packages/kernel/src/target-transport.ts
@@ -20,11 +20,11 @@
   readonly body: OutgoingBody;
   readonly idempotent: boolean;
   /** Longest time from dispatch to the head of the answer, in milliseconds. */
-  readonly headMilliseconds: number;
+  readonly responseHeadTimeoutMilliseconds: number;
 }
 
 /** Takes an answer as it comes. */
-export interface AnswerSink {
+export interface ResponseSink {
   onHead(status: number, headers: readonly string[]): void;
   /** False asks the transport to pause until `resume`. */
   onData(chunk: Buffer): boolean;
@@ -34,11 +34,11 @@
 /** How an exchange ended. */
 export enum ExchangeEnd {
   /** The whole answer was handed to the sink. */
-  Whole = 'whole',
+  Complete = 'whole',
   /** Ended before any byte of the request went out. */
   NotSent = 'not_sent',
   /** The connection broke after bytes went out and before a head came. */
-  Broken = 'broken',
+  ConnectionLost = 'broken',
   /** The target sent what is no HTTP answer, or one whose end cannot be told. */
   Malformed = 'malformed',
   /** No head of an answer in time. */
@@ -67,9 +67,9 @@
 
 /** Carries requests to targets: one exchange a connection at a time, never resent. */
 export interface TargetTransport {
-  begin(
+  startExchange(
     target: TargetAddress,
     request: OutgoingRequest,
-    sink: AnswerSink,
+    sink: ResponseSink,
   ): Exchange;
 }
--- a/packages/organisations/src/__tests__/access.test.ts
+++ b/packages/organisations/src/__tests__/access.test.ts
@@ -3,16 +3,19 @@
 import {
   AccessVerdict,
   NO_LIMIT,
-  judgeAccess,
-  maySee,
+  decideAccess,
+  mayAccessJob,
   type AccessFacts,
   type Organisation,
 } from '../index.js';
 
-const BOUNDS = {inForce: 3_000, stretch: 6_000};
+const BOUNDS = {
+  configurationInForceMilliseconds: 3_000,
+  extensionMilliseconds: 6_000,
+};
 const ORGANISATION: Organisation = {
   name: 'advisers',
-  keys: [],
+  keyDigests: [],
   weight: 1,
   limit: NO_LIMIT,
 };
@@ -23,14 +26,19 @@
     organisation: undefined,
     changesJobs: true,
     ageMilliseconds: 100,
-    wasVerified: undefined,
+    wasRefreshed: undefined,
     ...differences,
   };
-  return judgeAccess(facts, BOUNDS);
+  return decideAccess(facts, BOUNDS);
 }
 
 describe('judgeAccess', () => {
-  const {Admitted, Refused, Verify, Unsure} = AccessVerdict;
+  const {
+    Admitted,
+    Refused,
+    NeedsRefresh: Verify,
+    Undetermined: Unsure,
+  } = AccessVerdict;
   const known = {organisation: ORGANISATION};
   const reads = {changesJobs: false};
   const cases: ReadonlyArray<
@@ -66,11 +74,11 @@
     ],
     ['an unknown key', {}, Verify],
     ['an unknown key, by an old configuration', {ageMilliseconds: 9e9}, Verify],
-    ['an unknown key, read again', {wasVerified: true}, Refused],
-    ['an unknown key, the store is silent', {wasVerified: false}, Unsure],
+    ['an unknown key, read again', {wasRefreshed: true}, Refused],
+    ['an unknown key, the store is silent', {wasRefreshed: false}, Unsure],
     [
       'a key that came with the reading',
-      {...known, wasVerified: true},
+      {...known, wasRefreshed: true},
       Admitted,
     ],
   ];
@@ -87,19 +95,19 @@
   };
 
   it('shows a job to its organisation, through any of its queues', () => {
-    assert.ok(maySee(job, caller));
-    assert.ok(maySee(job, {...caller, queue: 'reviews'}));
+    assert.ok(mayAccessJob(job, caller));
+    assert.ok(mayAccessJob(job, {...caller, queue: 'reviews'}));
   });
 
   it('hides a job from other organisations and from public queues', () => {
-    assert.ok(!maySee(job, {...caller, organisation: 'auditors'}));
+    assert.ok(!mayAccessJob(job, {...caller, organisation: 'auditors'}));
     const stranger = {...caller, organisation: undefined, isPublicQueue: true};
-    assert.ok(!maySee(job, {...stranger, queue: 'reviews'}));
+    assert.ok(!mayAccessJob(job, {...stranger, queue: 'reviews'}));
   });
 
   it('shows a job of no organisation, and one whose queue was opened', () => {
-    assert.ok(maySee({queue: 'quotes'}, caller));
+    assert.ok(mayAccessJob({queue: 'quotes'}, caller));
     const stranger = {...caller, organisation: undefined, isPublicQueue: true};
-    assert.ok(maySee(job, stranger));
+    assert.ok(mayAccessJob(job, stranger));
   });
 });
--- a/packages/organisations/src/__tests__/keys.test.ts
+++ b/packages/organisations/src/__tests__/keys.test.ts
@@ -5,23 +5,23 @@
 import {
   AccessGuard,
   AccessVerdict,
-  KeyRing,
+  KeyOwnerIndex,
   NO_LIMIT,
-  OrganisationBook,
-  OrganisationLabels,
+  OrganisationRegistry,
+  OrganisationMetricLabels,
   digestKey,
-  type Admission,
-  type KeySource,
+  type AccessDecision,
+  type KeyConfiguration,
   type Organisation,
 } from '../index.js';
 
 function organisation(name: string, ...keys: string[]): Organisation {
-  return {name, keys: keys.map(digestKey), weight: 1, limit: NO_LIMIT};
+  return {name, keyDigests: keys.map(digestKey), weight: 1, limit: NO_LIMIT};
 }
 
 describe('KeyRing', () => {
   it('finds the owner of a key and of no other', () => {
-    const ring = new KeyRing([
+    const ring = new KeyOwnerIndex([
       organisation('advisers', 'a1', 'a2'),
       organisation('auditors', 'b1'),
     ]);
@@ -32,13 +32,16 @@
   });
 
   it('opens nothing with a key that two organisations hold', () => {
-    const ring = new KeyRing([
+    const ring = new KeyOwnerIndex([
       organisation('advisers', 'a1', 'same'),
       organisation('auditors', 'same', 'b1'),
     ]);
     assert.equal(ring.ownerOf('same'), undefined);
     assert.equal(ring.ownerOf('a1')?.name, 'advisers');
-    assert.deepEqual([...ring.conflicts].sort(), ['advisers', 'auditors']);
+    assert.deepEqual([...ring.conflictingOrganisations].sort(), [
+      'advisers',
+      'auditors',
+    ]);
   });
 
   it('knows every key that it was given, whatever its bytes, and no other', () => {
@@ -47,7 +50,7 @@
         fastCheck.uniqueArray(fastCheck.string({minLength: 1, unit: 'binary'})),
         fastCheck.string({unit: 'binary', maxLength: 10_000}),
         (keys, other) => {
-          const ring = new KeyRing([organisation('advisers', ...keys)]);
+          const ring = new KeyOwnerIndex([organisation('advisers', ...keys)]);
           for (const key of keys)
             assert.equal(ring.ownerOf(key)?.name, 'advisers');
           const isKnown = ring.ownerOf(other) !== undefined;
@@ -60,7 +63,7 @@
 
 describe('OrganisationBook', () => {
   it('goes on with what an organisation was while its settings are bad', () => {
-    const book = new OrganisationBook();
+    const book = new OrganisationRegistry();
     const before = organisation('advisers', 'a1');
     book.replace({organisations: [before], rejected: []});
     book.replace({
@@ -71,18 +74,18 @@
         {name: undefined, reason: 'organisation is not an object'},
       ],
     });
-    assert.equal(book.keys.ownerOf('a1')?.name, 'advisers');
-    assert.equal(book.keys.ownerOf('b1')?.name, 'auditors');
+    assert.equal(book.keyOwners.ownerOf('a1')?.name, 'advisers');
+    assert.equal(book.keyOwners.ownerOf('b1')?.name, 'auditors');
     assert.equal([...book.all()].length, 2);
   });
 
   it('keeps the limit of an organisation that has left, but not its keys', () => {
-    const book = new OrganisationBook();
+    const book = new OrganisationRegistry();
     const limit = {...NO_LIMIT, processorMillicores: 4_000};
     const before = {...organisation('advisers', 'a1'), limit};
     book.replace({organisations: [before], rejected: []});
     book.replace({organisations: [], rejected: []});
-    assert.equal(book.keys.ownerOf('a1'), undefined);
+    assert.equal(book.keyOwners.ownerOf('a1'), undefined);
     assert.deepEqual(book.find('advisers')?.limit, limit);
     assert.deepEqual([...book.all()], []);
   });
@@ -90,40 +93,43 @@
 
 describe('OrganisationLabels', () => {
   it('bounds the number of labels', () => {
-    const labels = new OrganisationLabels();
+    const labels = new OrganisationMetricLabels();
     const seen = new Set<string>();
     for (let index = 0; index < 5_000; index++)
-      seen.add(labels.of(`o${index}`));
+      seen.add(labels.labelFor(`o${index}`));
     assert.ok(seen.size <= 51, `${seen.size} labels`);
-    assert.equal(labels.of('o0'), 'o0');
+    assert.equal(labels.labelFor('o0'), 'o0');
   });
 });
 
 describe('AccessGuard', () => {
-  class Source implements KeySource {
-    keys = new KeyRing([organisation('advisers', 'old')]);
+  class Source implements KeyConfiguration {
+    keyOwners = new KeyOwnerIndex([organisation('advisers', 'old')]);
     ageMilliseconds = 100;
     reads = 0;
     answers = true;
-    next: KeyRing | undefined;
+    next: KeyOwnerIndex | undefined;
 
     async refresh(): Promise<boolean> {
       this.reads++;
       if (!this.answers) return false;
-      this.keys = this.next ?? this.keys;
+      this.keyOwners = this.next ?? this.keyOwners;
       this.ageMilliseconds = 0;
       return true;
     }
   }
 
-  const bounds = {inForce: 3_000, stretch: 6_000};
+  const bounds = {
+    configurationInForceMilliseconds: 3_000,
+    extensionMilliseconds: 6_000,
+  };
   const call = {isPublic: false, changesJobs: true};
 
   async function admitted(
     guard: AccessGuard,
     clock: VirtualClock,
     key: string,
-  ): Promise<Admission> {
+  ): Promise<AccessDecision> {
     const admission = guard.admit({...call, key});
     await clock.advanceAsync(300);
     return admission;
@@ -133,7 +139,7 @@
   // change is acknowledged: its callers give up on a key that is good. The guard reads again before it says no.
   it('lets a new key in that the configuration at hand does not hold yet', async () => {
     const source = new Source();
-    source.next = new KeyRing([organisation('advisers', 'old', 'new')]);
+    source.next = new KeyOwnerIndex([organisation('advisers', 'old', 'new')]);
     const clock = new VirtualClock();
     const guard = new AccessGuard(source, bounds, clock);
     const admission = await admitted(guard, clock, 'new');
@@ -147,7 +153,7 @@
     const clock = new VirtualClock();
     const guard = new AccessGuard(source, bounds, clock);
     const {verdict} = await admitted(guard, clock, 'new');
-    assert.equal(verdict, AccessVerdict.Unsure);
+    assert.equal(verdict, AccessVerdict.Undetermined);
   });
 
   // A caller that tries keys one after the other makes each daemon read the store for each of them: with
@@ -177,7 +183,7 @@
       (await admitted(guard, clock, 'new')).verdict,
       AccessVerdict.Refused,
     );
-    source.next = new KeyRing([organisation('advisers', 'new')]);
+    source.next = new KeyOwnerIndex([organisation('advisers', 'new')]);
     assert.equal(
       (await admitted(guard, clock, 'new')).verdict,
       AccessVerdict.Admitted,
--- a/packages/organisations/src/__tests__/room-ledger.test.ts
+++ b/packages/organisations/src/__tests__/resource-reservations.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import fastCheck from 'fast-check';
-import {RoomLedger, isWithin, type RoomAmount} from '../index.js';
+import {ResourceReservations, isWithin, type Resources} from '../index.js';
 
-function room(cores: number, gigabytes = 0): RoomAmount {
+function room(cores: number, gigabytes = 0): Resources {
   return {
     processorMillicores: cores * 1_000,
     memoryMegabytes: gigabytes * 1_000,
@@ -13,10 +13,10 @@
 
 describe('RoomLedger', () => {
   it('counts a run once, until it is over', () => {
-    const ledger = new RoomLedger();
-    ledger.take('a/1', 'advisers', room(2));
-    ledger.take('a/1', 'advisers', room(2));
-    ledger.take('b/1', 'auditors', room(4));
+    const ledger = new ResourceReservations();
+    ledger.reserve('a/1', 'advisers', room(2));
+    ledger.reserve('a/1', 'advisers', room(2));
+    ledger.reserve('b/1', 'auditors', room(4));
     assert.equal(ledger.usedBy('advisers').processorMillicores, 2_000);
     assert.equal(ledger.release('a/1'), 'advisers');
     assert.equal(ledger.release('a/1'), undefined);
@@ -25,31 +25,31 @@
   });
 
   it('lets start what is within the limit, by every amount, all or none', () => {
-    const ledger = new RoomLedger();
-    ledger.take('a/1', 'advisers', room(2, 1));
+    const ledger = new ResourceReservations();
+    ledger.reserve('a/1', 'advisers', room(2, 1));
     const limit = room(4, 2);
-    assert.ok(ledger.allows('advisers', limit, [room(2, 1)]));
-    assert.ok(!ledger.allows('advisers', limit, [room(2, 1), room(1)]));
-    assert.ok(!ledger.allows('advisers', limit, [room(1, 2)]));
-    assert.ok(ledger.allows('auditors', limit, [room(2, 1), room(1, 1)]));
+    assert.ok(ledger.canReserve('advisers', limit, [room(2, 1)]));
+    assert.ok(!ledger.canReserve('advisers', limit, [room(2, 1), room(1)]));
+    assert.ok(!ledger.canReserve('advisers', limit, [room(1, 2)]));
+    assert.ok(ledger.canReserve('auditors', limit, [room(2, 1), room(1, 1)]));
   });
 
   it('knows no limit where it is 0', () => {
-    const ledger = new RoomLedger();
-    ledger.take('a/1', 'advisers', room(1_000));
-    assert.ok(ledger.allows('advisers', room(0), [room(1_000)]));
+    const ledger = new ResourceReservations();
+    ledger.reserve('a/1', 'advisers', room(1_000));
+    assert.ok(ledger.canReserve('advisers', room(0), [room(1_000)]));
   });
 
   // A limit lowered below the size of one task would hold up what was taken in before for good: its caller
   // sees the job run and never end. One task at a time goes on; a whole gang of them does not.
   it('lets a single task go that is over a lowered limit, when nothing else runs', () => {
-    const ledger = new RoomLedger();
+    const ledger = new ResourceReservations();
     const limit = room(1);
-    assert.ok(ledger.allows('advisers', limit, [room(3)]));
-    assert.ok(!ledger.allows('advisers', limit, [room(3), room(3)]));
-    ledger.take('a/1', 'advisers', room(3));
-    assert.ok(ledger.holds('advisers', limit, room(3)));
-    assert.ok(!ledger.allows('advisers', limit, [room(1)]));
+    assert.ok(ledger.canReserve('advisers', limit, [room(3)]));
+    assert.ok(!ledger.canReserve('advisers', limit, [room(3), room(3)]));
+    ledger.reserve('a/1', 'advisers', room(3));
+    assert.ok(ledger.isWithinLimit('advisers', limit, room(3)));
+    assert.ok(!ledger.canReserve('advisers', limit, [room(1)]));
   });
 
   it('never allows more than the limit and one task, whatever starts and ends', () => {
@@ -61,15 +61,15 @@
     });
     fastCheck.assert(
       fastCheck.property(fastCheck.array(move, {maxLength: 60}), moves => {
-        const ledger = new RoomLedger();
+        const ledger = new ResourceReservations();
         const alive: string[] = [];
         moves.forEach(({ends, limit, sizes}, turn) => {
           if (ends) ledger.release(alive.shift() ?? '');
           const amounts = sizes.map(cores => room(cores));
-          if (!ledger.allows('o', room(limit), amounts)) return;
+          if (!ledger.canReserve('o', room(limit), amounts)) return;
           const wasIdle = ledger.usedBy('o').processorMillicores === 0;
           amounts.forEach((amount, index) => {
-            ledger.take(`${turn}.${index}`, 'o', amount);
+            ledger.reserve(`${turn}.${index}`, 'o', amount);
             alive.push(`${turn}.${index}`);
           });
           const isOneTask = wasIdle && amounts.length === 1;
--- a/packages/organisations/src/__tests__/share-order.test.ts
+++ b/packages/organisations/src/__tests__/share-policy.test.ts
@@ -2,23 +2,23 @@
 import {describe, it} from 'node:test';
 import {SeededRandom} from '@gentiandoor/kernel';
 import {
-  BeyondShareBehind,
+  OverShareLast,
   LeastShareFirst,
-  RoomLedger,
-  StandingOrder,
-  useOfShare,
-  type PoolClaims,
-  type RoomAmount,
-  type ShareOrder,
-  type SharedWork,
+  ResourceReservations,
+  UnchangedOrder,
+  shareUtilisation,
+  type PoolShares,
+  type Resources,
+  type SharePolicy,
+  type OrganisationWork,
 } from '../index.js';
 
-const POOL: RoomAmount = {
+const POOL: Resources = {
   processorMillicores: 100_000,
   memoryMegabytes: 200_000,
   accelerators: 0,
 };
-const TASK: RoomAmount = {
+const TASK: Resources = {
   processorMillicores: 1_000,
   memoryMegabytes: 1_000,
   accelerators: 0,
@@ -29,23 +29,23 @@
   ['other', 2],
 ]);
 
-function claims(ledger: RoomLedger): PoolClaims {
+function claims(ledger: ResourceReservations): PoolShares {
   return {
-    pool: POOL,
+    capacity: POOL,
     totalWeight: 5,
     weightOf: name => WEIGHTS.get(name) ?? 0,
     usedBy: name => ledger.usedBy(name),
   };
 }
 
-interface Job extends SharedWork {
+interface Job extends OrganisationWork {
   readonly id: number;
   readonly at: number;
 }
 
 /** A pool in which jobs take a second on average; counts the jobs of each organisation that wait for no more than that. */
 class Pool {
-  private readonly ledger = new RoomLedger();
+  private readonly ledger = new ResourceReservations();
   private readonly random = new SeededRandom(11);
   private running: Array<{id: number; until: number}> = [];
   private waiting: Job[] = [];
@@ -53,7 +53,7 @@
   private readonly sent = new Map<string, number>();
   private ids = 0;
 
-  constructor(private readonly order: ShareOrder) {}
+  constructor(private readonly order: SharePolicy) {}
 
   send(organisation: string, at: number): void {
     this.waiting.push({organisation, id: this.ids++, at});
@@ -65,11 +65,11 @@
       if (until <= now) this.ledger.release(String(id));
     this.running = this.running.filter(({until}) => until > now);
     const started = new Set<Job>();
-    for (const job of this.order.arrange(this.waiting, claims(this.ledger))) {
+    for (const job of this.order.order(this.waiting, claims(this.ledger))) {
       if (this.running.length >= 100) break;
       const takes = 200 + 1_600 * this.random.nextFraction();
       this.running.push({id: job.id, until: now + takes});
-      this.ledger.take(String(job.id), job.organisation ?? '', TASK);
+      this.ledger.reserve(String(job.id), job.organisation ?? '', TASK);
       started.add(job);
       if (now - job.at <= 1_000) this.notePrompt(job);
     }
@@ -91,7 +91,7 @@
 }
 
 /** Ten seconds in which `hot` sends `times` its usual of 40 jobs a second, the others half of the room. */
-function playHotOrganisation(order: ShareOrder, times: number): Pool {
+function playHotOrganisation(order: SharePolicy, times: number): Pool {
   const pool = new Pool(order);
   const random = new SeededRandom(5);
   const rates = new Map([
@@ -111,12 +111,12 @@
 describe('one organisation that sends five times its usual', () => {
   // Everybody's jobs wait behind those of one organisation, which takes as much of the pool as it sends.
   it('makes the others wait where nobody looks at shares', () => {
-    const pool = playHotOrganisation(new StandingOrder(), 5);
+    const pool = playHotOrganisation(new UnchangedOrder(), 5);
     assert.ok(pool.promptShare('small') < 0.5);
     assert.ok(pool.promptShare('other') < 0.5);
   });
 
-  for (const order of [new LeastShareFirst(), new BeyondShareBehind()])
+  for (const order of [new LeastShareFirst(), new OverShareLast()])
     it(`costs the others nothing with ${order.constructor.name}`, () => {
       const pool = playHotOrganisation(order, 5);
       assert.ok(pool.promptShare('small') > 0.98);
@@ -125,7 +125,7 @@
     });
 
   it('changes nothing while there is room for all', () => {
-    const pool = playHotOrganisation(new BeyondShareBehind(), 1);
+    const pool = playHotOrganisation(new OverShareLast(), 1);
     for (const name of WEIGHTS.keys())
       assert.equal(pool.promptShare(name), 1, name);
   });
@@ -133,23 +133,23 @@
 
 describe('useOfShare', () => {
   it('counts the amount of which an organisation has most, for its weight', () => {
-    const ledger = new RoomLedger();
-    ledger.take('a', 'small', {...TASK, memoryMegabytes: 40_000});
-    assert.equal(useOfShare('small', claims(ledger)), 1);
-    ledger.take('b', 'other', {...TASK, processorMillicores: 80_000});
-    assert.equal(useOfShare('other', claims(ledger)), 2);
+    const ledger = new ResourceReservations();
+    ledger.reserve('a', 'small', {...TASK, memoryMegabytes: 40_000});
+    assert.equal(shareUtilisation('small', claims(ledger)), 1);
+    ledger.reserve('b', 'other', {...TASK, processorMillicores: 80_000});
+    assert.equal(shareUtilisation('other', claims(ledger)), 2);
   });
 
   it('gives no share to a weight of 0: its work goes last', () => {
-    const ledger = new RoomLedger();
-    const work: SharedWork[] = [
+    const ledger = new ResourceReservations();
+    const work: OrganisationWork[] = [
       {organisation: 'nobody'},
       {organisation: 'small'},
       {organisation: undefined},
     ];
-    const order = [
-      ...new BeyondShareBehind().arrange(work, claims(ledger)),
-    ].map(({organisation}) => organisation);
+    const order = [...new OverShareLast().order(work, claims(ledger))].map(
+      ({organisation}) => organisation,
+    );
     assert.deepEqual(order, ['small', undefined, 'nobody']);
   });
 });
--- a/packages/organisations/src/access-guard.ts
+++ b/packages/organisations/src/access-guard.ts
@@ -1,16 +1,16 @@
 import {sleep, type Clock} from '@gentiandoor/kernel';
 import {
   AccessVerdict,
-  judgeAccess,
-  type AccessBounds,
+  decideAccess,
+  type ConfigurationAgeLimits,
   type AccessFacts,
 } from './access.js';
-import type {KeyRing} from './key-ring.js';
+import type {KeyOwnerIndex} from './key-owner-index.js';
 import type {Organisation} from './organisation.js';
 
 /** The configuration as a guard needs it. */
-export interface KeySource {
-  readonly keys: KeyRing;
+export interface KeyConfiguration {
+  readonly keyOwners: KeyOwnerIndex;
   /** Milliseconds since the configuration at hand was the newest one for certain. */
   readonly ageMilliseconds: number;
   /** Reads the configuration anew; false when the store does not answer. */
@@ -18,7 +18,7 @@
 }
 
 /** A call that is to be judged. */
-export interface GuardedCall {
+export interface AccessRequest {
   readonly isPublic: boolean;
   /** Empty where the call shows none. */
   readonly key: string;
@@ -27,60 +27,60 @@
 }
 
 /** How a call was judged. */
-export interface Admission {
+export interface AccessDecision {
   readonly verdict: AccessVerdict;
   readonly organisation: Organisation | undefined;
 }
 
 /** Unknown keys cost the store so many reads a second at most, however many calls show them. */
-const VERIFICATION_GAP_MILLISECONDS = 250;
+const MINIMUM_REFRESH_INTERVAL_MILLISECONDS = 250;
 
 /** Judges calls by their keys, and reads the configuration again before it refuses one. */
 export class AccessGuard {
-  private verifiedAt = -Infinity;
+  private refreshedAt = -Infinity;
   /** A reading that has not begun yet. */
-  private upcoming: Promise<boolean> | undefined;
+  private pendingRefresh: Promise<boolean> | undefined;
 
   constructor(
-    private readonly source: KeySource,
-    private readonly bounds: AccessBounds,
+    private readonly source: KeyConfiguration,
+    private readonly bounds: ConfigurationAgeLimits,
     private readonly clock: Clock,
   ) {}
 
-  async admit(call: GuardedCall): Promise<Admission> {
-    const first = this.judge(call, undefined);
-    if (first.verdict !== AccessVerdict.Verify) return first;
-    return this.judge(call, await this.verify());
+  async admit(call: AccessRequest): Promise<AccessDecision> {
+    const first = this.decide(call, undefined);
+    if (first.verdict !== AccessVerdict.NeedsRefresh) return first;
+    return this.decide(call, await this.refresh());
   }
 
-  private judge(
-    {isPublic, key, changesJobs}: GuardedCall,
+  private decide(
+    {isPublic, key, changesJobs}: AccessRequest,
     wasVerified: boolean | undefined,
-  ): Admission {
-    const {keys, ageMilliseconds} = this.source;
+  ): AccessDecision {
+    const {keyOwners: keys, ageMilliseconds} = this.source;
     const organisation = isPublic ? undefined : keys.ownerOf(key);
     const facts: AccessFacts = {
       isPublic,
       organisation,
       changesJobs,
       ageMilliseconds,
-      wasVerified,
+      wasRefreshed: wasVerified,
     };
-    return {verdict: judgeAccess(facts, this.bounds), organisation};
+    return {verdict: decideAccess(facts, this.bounds), organisation};
   }
 
   /** Calls share the next reading: one that is under way may have missed what they wait for. */
-  private verify(): Promise<boolean> {
-    this.upcoming ??= this.verifyAfterGap();
-    return this.upcoming;
+  private refresh(): Promise<boolean> {
+    this.pendingRefresh ??= this.refreshAfterInterval();
+    return this.pendingRefresh;
   }
 
-  private async verifyAfterGap(): Promise<boolean> {
+  private async refreshAfterInterval(): Promise<boolean> {
     const now = this.clock.monotonicMilliseconds();
-    const wait = this.verifiedAt + VERIFICATION_GAP_MILLISECONDS - now;
+    const wait = this.refreshedAt + MINIMUM_REFRESH_INTERVAL_MILLISECONDS - now;
     await sleep(this.clock, Math.max(0, wait));
-    this.upcoming = undefined;
-    this.verifiedAt = this.clock.monotonicMilliseconds();
+    this.pendingRefresh = undefined;
+    this.refreshedAt = this.clock.monotonicMilliseconds();
     return this.source.refresh();
   }
 }
--- a/packages/organisations/src/access.ts
+++ b/packages/organisations/src/access.ts
@@ -6,9 +6,9 @@
   /** Its key opens nothing, by a configuration that was read after the call came. */
   Refused = 'refused',
   /** The key is not known; a newer configuration may hold it. */
-  Verify = 'verify',
+  NeedsRefresh = 'verify',
   /** The configuration at hand is too old to tell. */
-  Unsure = 'unsure',
+  Undetermined = 'unsure',
 }
 
 /** What is known of a call when it is judged. */
@@ -22,15 +22,15 @@
   /** Milliseconds since the configuration at hand was the newest one for certain. */
   readonly ageMilliseconds: number;
   /** Whether the configuration was read again since the call came; undefined where that was not tried. */
-  readonly wasVerified: boolean | undefined;
+  readonly wasRefreshed: boolean | undefined;
 }
 
 /** How old a configuration may be, in milliseconds. */
-export interface AccessBounds {
+export interface ConfigurationAgeLimits {
   /** Within this a configuration is in force everywhere. */
-  readonly inForce: number;
+  readonly configurationInForceMilliseconds: number;
   /** So much longer where the store serves only some of the daemons. */
-  readonly stretch: number;
+  readonly extensionMilliseconds: number;
 }
 
 /** Room for the way of a call and for clocks that run apart. */
@@ -43,20 +43,27 @@
  * organisation with a new key. So a key is refused only by what was read after the call came, and new work is
  * taken only while the configuration is within its bound; asking for a job goes on until that is stretched.
  */
-export function judgeAccess(
+export function decideAccess(
   facts: AccessFacts,
-  bounds: AccessBounds,
+  bounds: ConfigurationAgeLimits,
 ): AccessVerdict {
-  const {isPublic, organisation, changesJobs, wasVerified} = facts;
+  const {
+    isPublic,
+    organisation,
+    changesJobs,
+    wasRefreshed: wasVerified,
+  } = facts;
   if (isPublic) return AccessVerdict.Admitted;
   if (!organisation) {
-    if (wasVerified === undefined) return AccessVerdict.Verify;
-    return wasVerified ? AccessVerdict.Refused : AccessVerdict.Unsure;
+    if (wasVerified === undefined) return AccessVerdict.NeedsRefresh;
+    return wasVerified ? AccessVerdict.Refused : AccessVerdict.Undetermined;
   }
-  const bound = bounds.inForce + (changesJobs ? 0 : bounds.stretch);
+  const bound =
+    bounds.configurationInForceMilliseconds +
+    (changesJobs ? 0 : bounds.extensionMilliseconds);
   return facts.ageMilliseconds <= bound - MARGIN_MILLISECONDS
     ? AccessVerdict.Admitted
-    : AccessVerdict.Unsure;
+    : AccessVerdict.Undetermined;
 }
 
 /** Who calls, and through which queue. */
@@ -75,7 +82,7 @@
 }
 
 /** Whether a caller may ask for a job or cancel it. */
-export function maySee(job: OwnedJob, caller: Caller): boolean {
+export function mayAccessJob(job: OwnedJob, caller: Caller): boolean {
   if (job.organisation === undefined) return true;
   if (job.organisation === caller.organisation) return true;
   // Operators have opened the queue of the job to all.
--- a/packages/organisations/src/key-ring.ts
+++ b/packages/organisations/src/key-owner-index.ts
@@ -2,15 +2,15 @@
 import type {Organisation} from './organisation.js';
 
 /** Finds the organisation that a key belongs to. */
-export class KeyRing {
+export class KeyOwnerIndex {
   private readonly owners = new Map<KeyDigest, Organisation>();
   /** Names of organisations that hold a key of another one. */
-  readonly conflicts: readonly string[];
+  readonly conflictingOrganisations: readonly string[];
 
   constructor(organisations: Iterable<Organisation>) {
     const shared = new Map<KeyDigest, Set<string>>();
     for (const organisation of organisations)
-      for (const key of organisation.keys) {
+      for (const key of organisation.keyDigests) {
         const owner = this.owners.get(key);
         if (owner && owner.name !== organisation.name)
           shared.set(
@@ -25,7 +25,7 @@
       }
     // A key of two organisations would show each of them the jobs of the other: it opens nothing.
     for (const key of shared.keys()) this.owners.delete(key);
-    this.conflicts = [
+    this.conflictingOrganisations = [
       ...new Set([...shared.values()].flatMap(set => [...set])),
     ];
   }
--- a/packages/organisations/src/limit-fit.ts
+++ b/packages/organisations/src/limit-fit.ts
@@ -1,8 +1,8 @@
-import type {RoomAmount} from './organisation.js';
-import {isWithin} from './room-ledger.js';
+import type {Resources} from './organisation.js';
+import {isWithin} from './resource-reservations.js';
 
 /** The part of a step that says what must run together. */
-export interface StepRoom extends RoomAmount {
+export interface StepResources extends Resources {
   readonly taskCount: number;
   /** The tasks work only together. */
   readonly gang: boolean;
@@ -14,13 +14,13 @@
  * would wait for room that never comes; its caller is better told at once.
  */
 export function canEverRun(
-  steps: readonly StepRoom[],
-  limit: RoomAmount,
+  steps: readonly StepResources[],
+  limit: Resources,
 ): boolean {
-  return steps.every(step => isWithin(togetherOf(step), limit));
+  return steps.every(step => isWithin(concurrentResources(step), limit));
 }
 
-function togetherOf(step: StepRoom): RoomAmount {
+function concurrentResources(step: StepResources): Resources {
   const tasks = step.gang ? step.taskCount : 1;
   return {
     processorMillicores: tasks * step.processorMillicores,
--- a/packages/organisations/src/organisation-labels.ts
+++ b/packages/organisations/src/organisation-metric-labels.ts
@@ -1,4 +1,4 @@
-const MOST_LABELS = 50;
+const MAXIMUM_LABELS = 50;
 const OTHER = 'other';
 
 /**
@@ -6,11 +6,11 @@
  * Load: a configuration of thousands of organisations. Each label is a line in every reading of the metrics
  * and stays for the life of the process, so only the first ones that send anything get one of their own.
  */
-export class OrganisationLabels {
+export class OrganisationMetricLabels {
   private readonly names = new Set<string>();
 
-  of(name: string): string {
-    if (this.names.size < MOST_LABELS) this.names.add(name);
+  labelFor(name: string): string {
+    if (this.names.size < MAXIMUM_LABELS) this.names.add(name);
     return this.names.has(name) ? name : OTHER;
   }
 }
--- a/packages/organisations/src/organisation-book.ts
+++ b/packages/organisations/src/organisation-registry.ts
@@ -1,9 +1,9 @@
-import {KeyRing} from './key-ring.js';
+import {KeyOwnerIndex} from './key-owner-index.js';
 import {
   NO_LIMIT,
   type Organisation,
   type RejectedOrganisation,
-  type RoomAmount,
+  type Resources,
 } from './organisation.js';
 
 /** Organisations as one version of the configuration names them. */
@@ -13,18 +13,18 @@
 }
 
 /** The organisations in force, through all versions of the configuration. */
-export class OrganisationBook {
+export class OrganisationRegistry {
   private present = new Map<string, Organisation>();
   private readonly departed = new Map<string, Organisation>();
-  private ring = new KeyRing([]);
+  private keyOwnerIndex = new KeyOwnerIndex([]);
 
   /** Organisations of the newest version. */
   all(): Iterable<Organisation> {
     return this.present.values();
   }
 
-  get keys(): KeyRing {
-    return this.ring;
+  get keyOwners(): KeyOwnerIndex {
+    return this.keyOwnerIndex;
   }
 
   /** Takes a newer version. One whose settings can't be read stays as it was: the others must not wait for it. */
@@ -38,7 +38,7 @@
       if (!next.has(name)) this.departed.set(name, one);
     for (const name of next.keys()) this.departed.delete(name);
     this.present = next;
-    this.ring = new KeyRing(next.values());
+    this.keyOwnerIndex = new KeyOwnerIndex(next.values());
   }
 
   /** Also finds one that has left the configuration: what was taken in from it goes on within its last limit. */
@@ -47,7 +47,7 @@
   }
 
   /** Its limit, also of one that has left; none where it is not known. */
-  limitOf(name: string): RoomAmount {
+  limitOf(name: string): Resources {
     return this.find(name)?.limit ?? NO_LIMIT;
   }
 }
--- a/packages/organisations/src/organisation.ts
+++ b/packages/organisations/src/organisation.ts
@@ -1,7 +1,7 @@
 import type {KeyDigest} from './key-digest.js';
 
 /** Room on workers, of a task, of an organisation's running work, or of its limit. */
-export interface RoomAmount {
+export interface Resources {
   readonly processorMillicores: number;
   readonly memoryMegabytes: number;
   readonly accelerators: number;
@@ -11,11 +11,11 @@
 export interface Organisation {
   readonly name: string;
   /** Digests of the keys that its callers show; empty once all were taken away. */
-  readonly keys: readonly KeyDigest[];
+  readonly keyDigests: readonly KeyDigest[];
   /** Its share of the room when all is full, against the weights of the others. */
   readonly weight: number;
   /** What it may have running on all workers together; an amount of 0 is no limit. */
-  readonly limit: RoomAmount;
+  readonly limit: Resources;
 }
 
 /** An organisation whose settings could not be read. */
@@ -27,7 +27,7 @@
 }
 
 /** Limit of organisations for which none is set. */
-export const NO_LIMIT: RoomAmount = {
+export const NO_LIMIT: Resources = {
   processorMillicores: 0,
   memoryMegabytes: 0,
   accelerators: 0,
--- a/packages/organisations/src/room-ledger.ts
+++ b/packages/organisations/src/resource-reservations.ts
@@ -1,11 +1,11 @@
-import type {RoomAmount} from './organisation.js';
+import type {Resources} from './organisation.js';
 
 interface Entry {
   readonly organisation: string;
-  readonly amount: RoomAmount;
+  readonly amount: Resources;
 }
 
-const NOTHING: RoomAmount = {
+const NO_RESOURCES: Resources = {
   processorMillicores: 0,
   memoryMegabytes: 0,
   accelerators: 0,
@@ -17,15 +17,18 @@
  * or never, a run on a silent worker, and one that an earlier coordinator ordered may all be alive, and an
  * organisation would be brought over its limit by what is started in their place.
  */
-export class RoomLedger {
+export class ResourceReservations {
   private readonly entries = new Map<string, Entry>();
-  private readonly sums = new Map<string, RoomAmount>();
+  private readonly sums = new Map<string, Resources>();
 
   /** Counts a run; `runName` is its own among all runs. */
-  take(runName: string, organisation: string, amount: RoomAmount): void {
+  reserve(runName: string, organisation: string, amount: Resources): void {
     if (this.entries.has(runName)) return;
     this.entries.set(runName, {organisation, amount});
-    this.sums.set(organisation, sum([this.usedBy(organisation), amount]));
+    this.sums.set(
+      organisation,
+      sumResources([this.usedBy(organisation), amount]),
+    );
   }
 
   /** The run is over; returns its organisation, undefined where it was not counted. */
@@ -45,31 +48,35 @@
     return this.sums.keys();
   }
 
-  usedBy(organisation: string): RoomAmount {
-    return this.sums.get(organisation) ?? NOTHING;
+  usedBy(organisation: string): Resources {
+    return this.sums.get(organisation) ?? NO_RESOURCES;
   }
 
   /** Whether tasks of these amounts may all start now. */
-  allows(
+  canReserve(
     organisation: string,
-    limit: RoomAmount,
-    amounts: readonly RoomAmount[],
+    limit: Resources,
+    amounts: readonly Resources[],
   ): boolean {
     const used = this.usedBy(organisation);
     const isAlone = amounts.length === 1 && isNothing(used);
     // A limit below the size of one task must not hold up for good what was taken in.
-    return isAlone || isWithin(sum([used, ...amounts]), limit);
+    return isAlone || isWithin(sumResources([used, ...amounts]), limit);
   }
 
   /** Whether what is counted for an organisation is within a limit, that of a single run at least. */
-  holds(organisation: string, limit: RoomAmount, last: RoomAmount): boolean {
+  isWithinLimit(
+    organisation: string,
+    limit: Resources,
+    last: Resources,
+  ): boolean {
     const used = this.usedBy(organisation);
     return isWithin(used, limit) || isNothing(difference(used, last));
   }
 }
 
 /** Whether an amount is within a limit; a limit of 0 is none. */
-export function isWithin(amount: RoomAmount, limit: RoomAmount): boolean {
+export function isWithin(amount: Resources, limit: Resources): boolean {
   return (
     isUnder(amount.processorMillicores, limit.processorMillicores) &&
     isUnder(amount.memoryMegabytes, limit.memoryMegabytes) &&
@@ -78,18 +85,18 @@
 }
 
 /** Sum of amounts of room. */
-export function sum(amounts: readonly RoomAmount[]): RoomAmount {
+export function sumResources(amounts: readonly Resources[]): Resources {
   return amounts.reduce(
     (total, one) => ({
       processorMillicores: total.processorMillicores + one.processorMillicores,
       memoryMegabytes: total.memoryMegabytes + one.memoryMegabytes,
       accelerators: total.accelerators + one.accelerators,
     }),
-    NOTHING,
+    NO_RESOURCES,
   );
 }
 
-function difference(from: RoomAmount, amount: RoomAmount): RoomAmount {
+function difference(from: Resources, amount: Resources): Resources {
   return {
     processorMillicores: from.processorMillicores - amount.processorMillicores,
     memoryMegabytes: from.memoryMegabytes - amount.memoryMegabytes,
@@ -101,7 +108,7 @@
   return limit === 0 || value <= limit;
 }
 
-function isNothing(amount: RoomAmount): boolean {
+function isNothing(amount: Resources): boolean {
   return (
     amount.processorMillicores <= 0 &&
     amount.memoryMegabytes <= 0 &&
--- a/packages/plugin-admin/src/admin-server.ts
+++ b/packages/plugin-admin/src/admin-server.ts
@@ -5,7 +5,7 @@
   AdminMethod,
   MetricName,
   splitAddress,
-  type AdminAnswer,
+  type AdminResponse,
   type AdminHandler,
   type AdminRoutes,
   type DaemonIdentity,
@@ -18,7 +18,7 @@
 import type {Member, SharedState, VmList} from '@gentiandoor/shared-state';
 import type {AdminOptions} from './admin-options.js';
 import {BundleRoutes} from './bundle-routes.js';
-import {BodyRefused, readJsonBody} from './json-body.js';
+import {BodyRefusedError, readJsonBody} from './json-body.js';
 
 /** What the admin port needs. */
 export interface AdminServerDependencies {
@@ -57,7 +57,7 @@
 
   constructor(private readonly dependencies: AdminServerDependencies) {
     const koa = new Koa();
-    koa.use(context => this.answer(context));
+    koa.use(context => this.routeRequest(context));
     const {adminRoutes, adminOptions: options, metrics} = dependencies;
     this.server = http.createServer(
       {requestTimeout: options.request_milliseconds},
@@ -67,9 +67,11 @@
     this.server.on('drop', () =>
       metrics.increment(MetricName.ConnectionsRefused, {port: 'admin'}),
     );
-    adminRoutes.add(AdminMethod.Get, '/status', async () => ok(this.status()));
+    adminRoutes.add(AdminMethod.Get, '/status', async () =>
+      okResponse(this.status()),
+    );
     adminRoutes.add(AdminMethod.Get, '/metrics', async () =>
-      ok(metrics.memory.snapshot()),
+      okResponse(metrics.memory.snapshot()),
     );
     new BundleRoutes(dependencies.sharedState).register(adminRoutes);
   }
@@ -98,13 +100,13 @@
     this.server.closeAllConnections();
   }
 
-  private async answer(context: Koa.Context): Promise<void> {
+  private async routeRequest(context: Koa.Context): Promise<void> {
     if (context.path === '/health/live') {
       context.body = {live: true};
       return;
     }
     if (context.path === '/health/ready') {
-      const waitingFor = this.waitingFor;
+      const waitingFor = this.unreadyParts;
       const ready = waitingFor.length === 0;
       context.status = ready ? 200 : 503;
       context.body = {ready, waitingFor};
@@ -126,15 +128,15 @@
       context.body = {error: `no admin path ${context.method} ${context.path}`};
       return;
     }
-    const {status, body} = await this.handle(handler, context);
+    const {status, body} = await this.callHandler(handler, context);
     context.status = status;
     context.body = body;
   }
 
-  private async handle(
+  private async callHandler(
     handler: AdminHandler,
     context: Koa.Context,
-  ): Promise<AdminAnswer> {
+  ): Promise<AdminResponse> {
     const {path, query, req: request} = context;
     const limit = this.dependencies.adminOptions.body_bytes;
     try {
@@ -144,7 +146,7 @@
           : undefined;
       return await handler({path, query: firstValues(query), body});
     } catch (error) {
-      if (!(error instanceof BodyRefused)) throw error;
+      if (!(error instanceof BodyRefusedError)) throw error;
       // The rest of a refused body is not read: the connection ends with the answer.
       context.set('connection', 'close');
       return {status: error.status, body: {error: error.message}};
@@ -152,9 +154,9 @@
   }
 
   /** What keeps the balancer away. */
-  get waitingFor(): string[] {
+  get unreadyParts(): string[] {
     const {drainState, readiness, sharedState} = this.dependencies;
-    const found = readiness.waitingFor();
+    const found = readiness.unreadyParts();
     if (drainState.isDraining) found.push('end of the graceful stop');
     if (sharedState.state.inForce === undefined) found.push('bundle in force');
     return found;
@@ -185,7 +187,7 @@
   }
 }
 
-function ok(body: unknown): AdminAnswer {
+function okResponse(body: unknown): AdminResponse {
   return {status: 200, body};
 }
 
--- a/packages/plugin-admin/src/bundle-routes.ts
+++ b/packages/plugin-admin/src/bundle-routes.ts
@@ -3,23 +3,23 @@
 import {
   AdminMethod,
   BundleError,
-  type AdminAnswer,
+  type AdminResponse,
   type AdminRequest,
   type AdminRoutes,
 } from '@gentiandoor/kernel';
 import {
   RecordKind,
-  makeProposal,
+  makeProposalRecord,
   parseBundle,
-  type PastBundle,
+  type BundleHistoryEntry,
   type SharedState,
 } from '@gentiandoor/shared-state';
-import {publishAnswer} from './publish-answer.js';
+import {publishOperatorRecord} from './publish-operator-record.js';
 
-const WRITER = 'operator';
+const OPERATOR_WRITER = 'operator';
 
-const proposalBody = z.strictObject({text: z.string()});
-const signOffBody = z.strictObject({
+const proposalBodySchema = z.strictObject({text: z.string()});
+const signOffBodySchema = z.strictObject({
   version: z.number().int(),
   digest: z.string(),
   operator: z.string(),
@@ -99,16 +99,16 @@
   }
 
   /** Newest first. */
-  private history(): PastBundle[] {
+  private history(): BundleHistoryEntry[] {
     const {history} = this.sharedState.state;
     return [...history.values()].sort(
       (left, right) => right.version - left.version,
     );
   }
 
-  private async propose(request: AdminRequest): Promise<AdminAnswer> {
-    const body = proposalBody.safeParse(request.body);
-    if (!body.success) return badBody('{"text": "the bundle in INI"}');
+  private async propose(request: AdminRequest): Promise<AdminResponse> {
+    const body = proposalBodySchema.safeParse(request.body);
+    if (!body.success) return badBodyResponse('{"text": "the bundle in INI"}');
     const {text} = body.data;
     try {
       parseBundle(text);
@@ -116,18 +116,18 @@
       if (!(error instanceof BundleError)) throw error;
       return {status: 400, body: {error: error.message}};
     }
-    const head = {id: randomUUID(), writer: WRITER};
-    return publishAnswer(
+    const head = {id: randomUUID(), writer: OPERATOR_WRITER};
+    return publishOperatorRecord(
       this.sharedState,
-      makeProposal(this.sharedState.state, head, text),
+      makeProposalRecord(this.sharedState.state, head, text),
     );
   }
 
-  private async signOff(request: AdminRequest): Promise<AdminAnswer> {
-    const body = signOffBody.safeParse(request.body);
+  private async signOff(request: AdminRequest): Promise<AdminResponse> {
+    const body = signOffBodySchema.safeParse(request.body);
     if (!body.success)
-      return badBody('version, digest, operator and signature');
-    return publishAnswer(this.sharedState, {
+      return badBodyResponse('version, digest, operator and signature');
+    return publishOperatorRecord(this.sharedState, {
       kind: RecordKind.BundleSigned,
       id: randomUUID(),
       writer: body.data.operator,
@@ -136,6 +136,6 @@
   }
 }
 
-function badBody(expected: string): AdminAnswer {
+function badBodyResponse(expected: string): AdminResponse {
   return {status: 400, body: {error: `expected a JSON body with ${expected}`}};
 }
--- a/packages/plugin-admin/src/index.ts
+++ b/packages/plugin-admin/src/index.ts
@@ -5,14 +5,14 @@
 
 export {AdminServer, type StatusView} from './admin-server.js';
 export type {BundlesView, InForceView, ProposalView} from './bundle-routes.js';
-export type {PublishResult} from './publish-answer.js';
+export type {PublishResult} from './publish-operator-record.js';
 
 /** Registers the operators' edge. */
 export function registerAdmin(registry: PluginRegistry): void {
   registry.add({
     name: 'admin',
     options: adminOptions,
-    service: 'admin',
+    registrationName: 'admin',
     register(container, options) {
       container.register({
         adminOptions: asValue(options),
--- a/packages/plugin-admin/src/json-body.ts
+++ b/packages/plugin-admin/src/json-body.ts
@@ -1,10 +1,10 @@
 import type {IncomingMessage} from 'node:http';
 
-const STATUS_BAD_INPUT = 400;
-const STATUS_TOO_LARGE = 413;
+const STATUS_BAD_REQUEST = 400;
+const STATUS_CONTENT_TOO_LARGE = 413;
 
 /** A body that no handler gets to see. */
-export class BodyRefused extends Error {
+export class BodyRefusedError extends Error {
   constructor(
     /** HTTP status code. */
     readonly status: number,
@@ -29,24 +29,24 @@
     request.on('data', (chunk: Buffer) => {
       length += chunk.length;
       if (length <= limit) chunks.push(chunk);
-      else reject(tooLarge(limit));
+      else reject(bodyTooLargeError(limit));
     });
     request.once('end', resolve);
     request.once('close', () =>
-      reject(new BodyRefused(STATUS_BAD_INPUT, 'the body was cut')),
+      reject(new BodyRefusedError(STATUS_BAD_REQUEST, 'the body was cut')),
     );
   });
   await ended;
   try {
     return JSON.parse(Buffer.concat(chunks).toString('utf8')) as unknown;
   } catch {
-    throw new BodyRefused(STATUS_BAD_INPUT, 'expected a JSON body');
+    throw new BodyRefusedError(STATUS_BAD_REQUEST, 'expected a JSON body');
   }
 }
 
-function tooLarge(limit: number): BodyRefused {
-  return new BodyRefused(
-    STATUS_TOO_LARGE,
+function bodyTooLargeError(limit: number): BodyRefusedError {
+  return new BodyRefusedError(
+    STATUS_CONTENT_TOO_LARGE,
     `expected a body of up to ${limit} bytes; the setting is [admin] body_bytes`,
   );
 }
--- a/packages/plugin-admin/src/publish-answer.ts
+++ b/packages/plugin-admin/src/publish-operator-record.ts
@@ -1,4 +1,4 @@
-import {PlatformLogError, type AdminAnswer} from '@gentiandoor/kernel';
+import {PlatformLogError, type AdminResponse} from '@gentiandoor/kernel';
 import {
   decodeRecord,
   encodeRecord,
@@ -7,7 +7,7 @@
 } from '@gentiandoor/shared-state';
 
 /** Longest wait for the log to take and return a record, in milliseconds. */
-const PUBLISH_MILLISECONDS = 5000;
+const PUBLISH_TIMEOUT_MILLISECONDS = 5000;
 
 /** What the fold made of an operator's record. */
 export interface PublishResult {
@@ -19,17 +19,17 @@
 }
 
 /** Publishes an operator's record and tells what became of it. */
-export async function publishAnswer(
+export async function publishOperatorRecord(
   sharedState: SharedState,
   record: FleetRecord,
-): Promise<AdminAnswer> {
+): Promise<AdminResponse> {
   // A record that no fold can read would go to the log and never come back with a verdict:
   // the operator would wait in vain and be told that its fate is unknown.
   const decoded = decodeRecord(encodeRecord(record));
   if ('unreadable' in decoded)
     return {status: 400, body: {error: decoded.unreadable}};
   try {
-    const signal = AbortSignal.timeout(PUBLISH_MILLISECONDS);
+    const signal = AbortSignal.timeout(PUBLISH_TIMEOUT_MILLISECONDS);
     const {offset, rejection} = await sharedState.publish(record, signal);
     const result: PublishResult = {
       accepted: rejection === undefined,
--- a/packages/plugin-caller-http/src/__tests__/bad-input.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/bad-input.test.ts
@@ -5,9 +5,9 @@
 import {KeyRule} from '@gentiandoor/shared-state';
 import {RawTarget} from '@gentiandoor/stand-ins';
 import {CallerEdge} from './caller-edge.js';
-import {RawCaller, type RawAnswer} from './raw-caller.js';
+import {RawCaller, type RawResponse} from './raw-caller.js';
 
-const KEY_OF_TAILOR = 'tailor-key';
+const TAILOR_KEY = 'tailor-key';
 
 interface BadInput {
   readonly what: string;
@@ -215,7 +215,7 @@
       callers: {
         tailor: {
           team: 'guild',
-          keyDigest: createHash('sha256').update(KEY_OF_TAILOR).digest('hex'),
+          keyDigest: createHash('sha256').update(TAILOR_KEY).digest('hex'),
         },
       },
     });
@@ -227,7 +227,7 @@
     it(`${what} is answered ${status} ${reason}, and nothing goes to a target`, async () => {
       const caller = new RawCaller(edge.address);
       caller.send(...lines);
-      const answer = await caller.answer();
+      const answer = await caller.readResponse();
       caller.destroy();
       assert.equal(answer.status, status);
       assert.equal(headerOf(answer, 'gentiandoor-reason'), reason);
@@ -243,7 +243,7 @@
     it('is answered 408 and nothing goes to a target', async () => {
       const caller = new RawCaller(edge.address);
       caller.send(...post('/desk/x', 'content-length: 10'), 'part');
-      const answer = await caller.answer();
+      const answer = await caller.readResponse();
       assert.equal(answer.status, 408);
       assert.equal(headerOf(answer, 'gentiandoor-run'), 'no');
       assert.equal(headerOf(answer, 'retry-after'), '1');
@@ -256,9 +256,9 @@
     it('is answered 408 and the connection closes', async () => {
       const caller = new RawCaller(edge.address);
       caller.send('GET /desk/x HTTP/1.1', 'host: a');
-      const answer = await caller.answer();
+      const answer = await caller.readResponse();
       assert.equal(answer.status, 408);
-      await caller.end();
+      await caller.untilClosed();
     });
   });
 
@@ -268,10 +268,10 @@
     it('the good one gets its own answer and then the connection closes', async () => {
       const caller = new RawCaller(edge.address);
       caller.send(...get('/desk/x'), 'garbage with no sense', '', '');
-      const answer = await caller.answer();
+      const answer = await caller.readResponse();
       assert.equal(answer.status, 200);
       assert.equal(answer.body, 'whole');
-      await caller.end();
+      await caller.untilClosed();
       assert.equal(caller.received, '');
       assert.equal(target.received.length, 1);
     });
@@ -280,10 +280,8 @@
   describe('a key of a known caller', () => {
     it('is let in, and the target learns the name and not the key', async () => {
       const caller = new RawCaller(edge.address);
-      caller.send(
-        ...get('/counter/x', `authorization: Bearer ${KEY_OF_TAILOR}`),
-      );
-      assert.equal((await caller.answer()).status, 200);
+      caller.send(...get('/counter/x', `authorization: Bearer ${TAILOR_KEY}`));
+      assert.equal((await caller.readResponse()).status, 200);
       const [{head}] = target.received;
       assert.match(head, /^gentiandoor-caller: tailor$/m);
       assert.doesNotMatch(head, /authorization/i);
@@ -303,7 +301,7 @@
       const caller = new RawCaller(wide.address);
       const short = Array.from({length: 2500}, () => 'a:b');
       caller.send(...get('/desk/x', ...short, 'x-last: 1'));
-      assert.equal((await caller.answer()).status, 200);
+      assert.equal((await caller.readResponse()).status, 200);
       assert.match(target.received[0].head, /^x-last: 1$/m);
       caller.destroy();
       await wide.stop();
@@ -321,7 +319,7 @@
           'http2-settings: AA',
         ),
       );
-      assert.equal((await caller.answer()).status, 200);
+      assert.equal((await caller.readResponse()).status, 200);
       assert.doesNotMatch(target.received[0].head, /http2-settings|upgrade/i);
       caller.destroy();
     });
@@ -331,7 +329,7 @@
     it('is served by its path', async () => {
       const caller = new RawCaller(edge.address);
       caller.send(...get('http://any.example/desk/x?q=1'));
-      assert.equal((await caller.answer()).status, 200);
+      assert.equal((await caller.readResponse()).status, 200);
       assert.match(target.received[0].head, /^GET \/desk\/x\?q=1 /);
       caller.destroy();
     });
@@ -344,8 +342,8 @@
         ...post('/nothing/x', 'expect: 100-continue', 'content-length: 4'),
         '',
       );
-      assert.equal((await caller.answer()).status, 404);
-      await caller.end();
+      assert.equal((await caller.readResponse()).status, 404);
+      await caller.untilClosed();
     });
 
     it('is answered with Continue when the body is wanted', async () => {
@@ -354,10 +352,10 @@
         ...post('/desk/x', 'expect: 100-continue', 'content-length: 4'),
         '',
       );
-      assert.equal((await caller.answer()).status, 100);
+      assert.equal((await caller.readResponse()).status, 100);
       assert.equal(target.receivedBytes, 0);
       caller.send('body');
-      assert.equal((await caller.answer()).status, 200);
+      assert.equal((await caller.readResponse()).status, 200);
       assert.equal(target.received[0].body, 'body');
       assert.doesNotMatch(target.received[0].head, /^expect/im);
       caller.destroy();
@@ -383,6 +381,6 @@
   return [`POST ${path} HTTP/1.1`, 'host: a', ...headers, ''];
 }
 
-function headerOf(answer: RawAnswer, name: string): string | undefined {
+function headerOf(answer: RawResponse, name: string): string | undefined {
   return new RegExp(`^${name}: (.*)$`, 'im').exec(answer.head)?.[1];
 }
--- a/packages/plugin-caller-http/src/__tests__/caller-edge.ts
+++ b/packages/plugin-caller-http/src/__tests__/caller-edge.ts
@@ -8,9 +8,9 @@
   type LogFields,
 } from '@gentiandoor/kernel';
 import {
-  RetryVerdict,
+  RetryDecision,
   isSafeToRepeat,
-  type RetryQuestion,
+  type FailedAttempt,
   type TargetOutcome,
 } from '@gentiandoor/decisions';
 import {
@@ -20,11 +20,11 @@
   emptyFleetState,
   type Bundle,
   type CallerEntry,
-  type OnceOnly,
+  type IdempotencyGuard,
   type ServiceEntry,
   type SharedState,
 } from '@gentiandoor/shared-state';
-import {LocalOnceOnly} from '@gentiandoor/plugin-once-only';
+import {LocalIdempotencyGuard} from '@gentiandoor/plugin-once-only';
 import {HttpTargetTransport} from '@gentiandoor/plugin-target-http';
 import {CallerDirectory} from '../caller-directory.js';
 import {callerHttpOptions} from '../caller-http-options.js';
@@ -47,12 +47,12 @@
 };
 
 /** Hands the targets out in turn and counts the slots in use. */
-export class TurnRouter {
+export class RoundRobinRouter {
   inUse = 0;
   retries = 0;
   /** What exchanges showed of their targets. */
   readonly outcomes: TargetOutcome[] = [];
-  private turn = 0;
+  private nextIndex = 0;
 
   constructor(
     private readonly services: Readonly<Record<string, ServiceEntry>>,
@@ -64,7 +64,7 @@
   }
 
   async acquire(): Promise<HeldSlot> {
-    const address = this.addresses[this.turn++ % this.addresses.length];
+    const address = this.addresses[this.nextIndex++ % this.addresses.length];
     this.inUse++;
     let held = true;
     const release = () => {
@@ -76,11 +76,11 @@
   }
 
   /** As the daemon's own policy, with one retry and no budget. */
-  judgeRetry(_service: string, question: RetryQuestion): RetryVerdict {
-    if (!isSafeToRepeat(question)) return RetryVerdict.MayHaveRun;
-    if (question.attempts > 1) return RetryVerdict.AttemptsSpent;
+  judgeRetry(_service: string, question: FailedAttempt): RetryDecision {
+    if (!isSafeToRepeat(question)) return RetryDecision.MayHaveRun;
+    if (question.attempts > 1) return RetryDecision.AttemptsExhausted;
     this.retries++;
-    return RetryVerdict.Retry;
+    return RetryDecision.Retry;
   }
 }
 
@@ -90,7 +90,7 @@
   readonly fields: LogFields | undefined;
 }
 
-class NotingLogger extends SilentLogger {
+class RecordingLogger extends SilentLogger {
   constructor(private readonly warnings: Warning[]) {
     super();
   }
@@ -101,13 +101,13 @@
 }
 
 /** What a test sets of a caller edge. */
-export interface CallerEdgeParts {
+export interface CallerEdgeOptions {
   readonly targets: readonly string[];
   readonly settings?: Readonly<Record<string, number>>;
   readonly targetSettings?: Readonly<Record<string, number>>;
   readonly services?: Readonly<Record<string, Partial<ServiceEntry>>>;
   readonly callers?: Readonly<Record<string, CallerEntry>>;
-  readonly onceOnly?: OnceOnly;
+  readonly onceOnly?: IdempotencyGuard;
 }
 
 /** The caller edge with a real transport and given targets, without the rest of a daemon. */
@@ -115,17 +115,17 @@
   readonly drainState = new DrainState();
   readonly metrics = new MemoryMetrics();
   readonly warnings: Warning[] = [];
-  readonly router: TurnRouter;
+  readonly router: RoundRobinRouter;
   readonly server: CallerHttpServer;
   readonly transport: HttpTargetTransport;
 
-  constructor(parts: CallerEdgeParts) {
+  constructor(parts: CallerEdgeOptions) {
     const clock = new SystemClock();
-    const logger = new NotingLogger(this.warnings);
+    const logger = new RecordingLogger(this.warnings);
     const {drainState, metrics} = this;
     const services = servicesOf(parts.services ?? {desk: {}});
     const sharedState = stateOf(services, parts.callers ?? {});
-    this.router = new TurnRouter(services, parts.targets);
+    this.router = new RoundRobinRouter(services, parts.targets);
     const options = callerHttpOptions.parse({
       listen: '127.0.0.1:0',
       ...parts.settings,
@@ -155,7 +155,8 @@
       decisionJournal: new DecisionJournal(clock),
       callerDirectory: new CallerDirectory({sharedState}),
       onceOnly:
-        parts.onceOnly ?? new LocalOnceOnly({onceOnlyOptions: {keys: 100}}),
+        parts.onceOnly ??
+        new LocalIdempotencyGuard({onceOnlyOptions: {keys: 100}}),
     };
     const requestDispatcher = new RequestDispatcher(shared);
     const requestHandler = new RequestHandler({
--- a/packages/plugin-caller-http/src/__tests__/error-answers.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/error-responses.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {after, before, describe, it} from 'node:test';
 import {request} from 'undici';
-import {ERROR_ANSWERS, ErrorKind, RequestError} from '@gentiandoor/kernel';
+import {ERROR_RESPONSES, ErrorKind, RequestError} from '@gentiandoor/kernel';
 import {RawTarget} from '@gentiandoor/stand-ins';
 import {CallerEdge} from './caller-edge.js';
 
@@ -40,7 +40,7 @@
   for (const kind of Object.values(ErrorKind)) {
     it(`${kind} is answered as the table says`, async () => {
       thrown = new RequestError(kind, 'refused');
-      const {status, run, retryAfterSeconds} = ERROR_ANSWERS[kind];
+      const {status, run, retryAfterSeconds} = ERROR_RESPONSES[kind];
       assert.deepEqual(await ask(), {
         status,
         run,
--- a/packages/plugin-caller-http/src/__tests__/graceful-stop.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/graceful-stop.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {after, afterEach, before, beforeEach, describe, it} from 'node:test';
 import {LogEvent} from '@gentiandoor/kernel';
-import {RawFault, RawTarget} from '@gentiandoor/stand-ins';
+import {RawTargetBehaviour, RawTarget} from '@gentiandoor/stand-ins';
 import {CallerEdge} from './caller-edge.js';
 import {RawCaller} from './raw-caller.js';
 
@@ -15,7 +15,7 @@
   before(() => target.start());
   after(() => target.stop());
   beforeEach(async () => {
-    target.fault = RawFault.None;
+    target.behaviour = RawTargetBehaviour.None;
     target.received.length = 0;
     edge = new CallerEdge({
       targets: [target.address],
@@ -39,7 +39,7 @@
         const caller = new RawCaller(edge.address);
         for (;;) {
           caller.send(...GET);
-          const {status, head} = await caller.answer();
+          const {status, head} = await caller.readResponse();
           assert.equal(status, 200);
           answered++;
           if (/^connection: close$/im.test(head)) return;
@@ -50,7 +50,7 @@
       await Promise.all(callers);
       await drained;
       assert.equal(target.received.length, answered);
-      assert.equal(edge.server.unfinished.requests, 0);
+      assert.equal(edge.server.inFlightCounts.requests, 0);
     });
   });
 
@@ -60,12 +60,12 @@
     it('answers a request that comes within the keep-alive time', async () => {
       const caller = new RawCaller(edge.address);
       caller.send(...GET);
-      const first = await caller.answer();
+      const first = await caller.readResponse();
       assert.match(first.head, /^keep-alive: timeout=/im);
       const drained = stopGracefully(edge);
       await until(() => edge.server.port === 0);
       caller.send(...GET);
-      const {status, head} = await caller.answer();
+      const {status, head} = await caller.readResponse();
       assert.equal(status, 200);
       assert.match(head, /^connection: close$/im);
       await drained;
@@ -76,7 +76,7 @@
     // Two requests are under way on one connection when the stop begins. Were the first answer
     // to say that the connection closes, the second request would run and never be answered.
     it('answers all that were taken and closes behind the last', async () => {
-      target.fault = RawFault.Silent;
+      target.behaviour = RawTargetBehaviour.Silent;
       const caller = new RawCaller(edge.address);
       caller.send(
         'POST /desk/1 HTTP/1.1',
@@ -95,8 +95,8 @@
       await until(() => target.received.length === 2);
       const drained = stopGracefully(edge);
       target.writeUnasked('HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone');
-      const first = await caller.answer();
-      const second = await caller.answer();
+      const first = await caller.readResponse();
+      const second = await caller.readResponse();
       assert.doesNotMatch(first.head, /^connection: close$/im);
       assert.match(second.head, /^connection: close$/im);
       await drained;
@@ -105,7 +105,7 @@
 
   describe('that is ended by force', () => {
     it('says what it cut', async () => {
-      target.fault = RawFault.Silent;
+      target.behaviour = RawTargetBehaviour.Silent;
       const caller = new RawCaller(edge.address);
       caller.send(
         'POST /desk/x HTTP/1.1',
@@ -123,13 +123,13 @@
           fields: {requests: 2, nonIdempotent: 1},
         },
       ]);
-      await caller.end();
+      await caller.untilClosed();
     });
   });
 
   describe('with an answer that is still to come', () => {
     it('waits for it', async () => {
-      target.fault = RawFault.Silent;
+      target.behaviour = RawTargetBehaviour.Silent;
       const caller = new RawCaller(edge.address);
       caller.send(
         'POST /desk/x HTTP/1.1',
@@ -146,7 +146,7 @@
       await until(() => edge.server.port === 0);
       assert.equal(over, false);
       target.writeUnasked('HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone');
-      assert.equal((await caller.answer()).body, 'done');
+      assert.equal((await caller.readResponse()).body, 'done');
       await drained;
     });
   });
--- a/packages/plugin-caller-http/src/__tests__/keyed-requests.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/keyed-requests.test.ts
@@ -3,20 +3,20 @@
 import {request} from 'undici';
 import type {
   HeldAnswer,
-  KeyDecision,
-  OnceOnly,
+  KeyedRequestDecision,
+  IdempotencyGuard,
 } from '@gentiandoor/shared-state';
-import {RawFault, RawTarget} from '@gentiandoor/stand-ins';
+import {RawTargetBehaviour, RawTarget} from '@gentiandoor/stand-ins';
 import {CallerEdge} from './caller-edge.js';
 import {RawCaller} from './raw-caller.js';
 
 /** Lets everything run and notes how each claim ended. */
-class NotingOnceOnly implements OnceOnly {
+class RecordingIdempotencyGuard implements IdempotencyGuard {
   readonly ends: string[] = [];
   held: HeldAnswer | undefined;
   began = 0;
 
-  async begin(): Promise<KeyDecision> {
+  async begin(): Promise<KeyedRequestDecision> {
     this.began++;
     return {
       run: true,
@@ -39,12 +39,12 @@
   before(() => target.start());
   after(() => target.stop());
   beforeEach(() => {
-    target.fault = RawFault.None;
+    target.behaviour = RawTargetBehaviour.None;
     target.received.length = 0;
   });
   afterEach(() => edge.stop());
 
-  async function startEdge(onceOnly?: OnceOnly): Promise<void> {
+  async function startEdge(onceOnly?: IdempotencyGuard): Promise<void> {
     edge = new CallerEdge({
       targets: [target.address],
       services: {desk: {deadlineMilliseconds: 1000}},
@@ -103,8 +103,8 @@
       const caller = new RawCaller(edge.address);
       const head = ['POST /desk/x HTTP/1.1', 'host: a', 'idempotency-key: k'];
       caller.send(...head, 'content-length: 0', '', '');
-      assert.equal((await caller.answer()).body.length, body.length);
-      target.fault = RawFault.Silent;
+      assert.equal((await caller.readResponse()).body.length, body.length);
+      target.behaviour = RawTargetBehaviour.Silent;
       caller.send('GET /desk/y HTTP/1.1', 'host: a', '', '');
       await until(() => target.received.length === 1);
       caller.destroy();
@@ -131,7 +131,7 @@
     // its end, so the second request gets its answer and the target runs once.
     it('gets the answer of that run when it asks again', async () => {
       await startEdge();
-      target.fault = RawFault.Silent;
+      target.behaviour = RawTargetBehaviour.Silent;
       const caller = new RawCaller(edge.address);
       caller.send(
         'POST /desk/x HTTP/1.1',
@@ -152,28 +152,28 @@
   });
 
   describe('ends its claim exactly once', () => {
-    const ends: ReadonlyArray<readonly [RawFault, string]> = [
-      [RawFault.None, 'finish'],
-      [RawFault.SpoofedHeaders, 'finish'],
-      [RawFault.Busy, 'release'],
-      [RawFault.ResetOnRequest, 'lose'],
-      [RawFault.ResetInBody, 'lose'],
-      [RawFault.NoLength, 'lose'],
-      [RawFault.Silent, 'lose'],
+    const ends: ReadonlyArray<readonly [RawTargetBehaviour, string]> = [
+      [RawTargetBehaviour.None, 'finish'],
+      [RawTargetBehaviour.SpoofedHeaders, 'finish'],
+      [RawTargetBehaviour.Busy, 'release'],
+      [RawTargetBehaviour.ResetOnRequest, 'lose'],
+      [RawTargetBehaviour.ResetInBody, 'lose'],
+      [RawTargetBehaviour.NoLength, 'lose'],
+      [RawTargetBehaviour.Silent, 'lose'],
     ];
     for (const [fault, end] of ends) {
       it(`by ${end} when the target does ${fault}`, async () => {
-        const onceOnly = new NotingOnceOnly();
+        const onceOnly = new RecordingIdempotencyGuard();
         await startEdge(onceOnly);
-        target.fault = fault;
+        target.behaviour = fault;
         await post('k1', 'crest').catch(() => undefined);
-        await until(() => edge.server.unfinished.requests === 0);
+        await until(() => edge.server.inFlightCounts.requests === 0);
         assert.deepEqual(onceOnly.ends, [end]);
       });
     }
 
     it('by release when no target can be reached', async () => {
-      const onceOnly = new NotingOnceOnly();
+      const onceOnly = new RecordingIdempotencyGuard();
       edge = new CallerEdge({targets: ['127.0.0.1:1'], onceOnly});
       await edge.start();
       const answer = await post('k1', 'crest');
@@ -182,9 +182,9 @@
     });
 
     it('without an answer where that is too large to hold', async () => {
-      const onceOnly = new NotingOnceOnly();
+      const onceOnly = new RecordingIdempotencyGuard();
       await startEdge(onceOnly);
-      target.fault = RawFault.Silent;
+      target.behaviour = RawTargetBehaviour.Silent;
       const answer = post('k1', 'crest');
       await until(() => target.received.length === 1);
       target.writeUnasked(
@@ -218,7 +218,7 @@
 
   describe('on an idempotent method', () => {
     it('needs no claim', async () => {
-      const onceOnly = new NotingOnceOnly();
+      const onceOnly = new RecordingIdempotencyGuard();
       await startEdge(onceOnly);
       const answer = await request(`http://${edge.address}/desk/x`, {
         headers: {'idempotency-key': 'k1'},
--- a/packages/plugin-caller-http/src/__tests__/load-summaries.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/load-summary-broadcaster.test.ts
@@ -1,18 +1,22 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {VirtualClock} from '@gentiandoor/kernel';
-import {PeerShare, SharedTeamQuota, type PeerUse} from '@gentiandoor/decisions';
+import {
+  PeerAwareLimiter,
+  SharedTeamQuota,
+  type PeerUsage,
+} from '@gentiandoor/decisions';
 import {
   NoPeerLinks,
   type Peer,
   type PeerTopic,
 } from '@gentiandoor/shared-state';
-import {LoadSummaries} from '../load-summaries.js';
+import {LoadSummaryBroadcaster} from '../load-summary-broadcaster.js';
 import type {PoolTable} from '../pool-table.js';
 
 const PEERS = 32;
 const TARGETS = 2000;
-const LONGEST_EXPIRY_MILLISECONDS = 60_000;
+const MAXIMUM_EXPIRY_MILLISECONDS = 60_000;
 const BYTES_PER_SECOND = 4000;
 
 interface Summary {
@@ -38,15 +42,15 @@
   }
 }
 
-function poolsOf(uses: ReadonlyMap<string, PeerUse>): PoolTable {
+function poolsOf(uses: ReadonlyMap<string, PeerUsage>): PoolTable {
   const pool = {
     inFlight: uses.size,
     waiting: 0,
-    uses: () => uses,
-    leaving: () => [],
+    usage: () => uses,
+    leavingTargets: () => [],
   };
   return {
-    all: () => new Map([['previews', pool]]).entries(),
+    entries: () => new Map([['previews', pool]]).entries(),
   } as unknown as PoolTable;
 }
 
@@ -57,7 +61,7 @@
     it('tells of the busiest, within its bytes, in a summary that peers believe', () => {
       const clock = new VirtualClock();
       const peers = new ManyPeers();
-      const quotaShare = new PeerShare(clock, 'self', 0);
+      const quotaShare = new PeerAwareLimiter(clock, 'self', 0);
       const uses = new Map(
         Array.from({length: TARGETS}, (_, index) => [
           `vm-${index}`,
@@ -66,25 +70,25 @@
       );
       const quota = new SharedTeamQuota(quotaShare);
       const tick = () => undefined;
-      new LoadSummaries(
+      new LoadSummaryBroadcaster(
         clock,
         peers,
         poolsOf(uses),
         quota,
         quotaShare,
         tick,
-      ).wake();
-      clock.advance(LONGEST_EXPIRY_MILLISECONDS);
+      ).start();
+      clock.advance(MAXIMUM_EXPIRY_MILLISECONDS);
       assert.ok(peers.sent.length > 0);
       for (const {pools, expiryMilliseconds} of peers.sent) {
-        assert.ok(expiryMilliseconds <= LONGEST_EXPIRY_MILLISECONDS);
+        assert.ok(expiryMilliseconds <= MAXIMUM_EXPIRY_MILLISECONDS);
         assert.deepEqual(pools.previews.uses[0], ['vm-7', 5]);
         assert.ok(pools.previews.uses.length > 100);
       }
       const bytes = peers.sent
         .map(({pools}) => (60 + 12 * pools.previews.uses.length) * PEERS)
         .reduce((sum, each) => sum + each, 0);
-      const seconds = LONGEST_EXPIRY_MILLISECONDS / 1000;
+      const seconds = MAXIMUM_EXPIRY_MILLISECONDS / 1000;
       assert.ok(bytes <= BYTES_PER_SECOND * (seconds + 15));
     });
   });
--- a/packages/plugin-caller-http/src/__tests__/raw-caller.ts
+++ b/packages/plugin-caller-http/src/__tests__/raw-caller.ts
@@ -2,7 +2,7 @@
 import {splitAddress} from '@gentiandoor/kernel';
 
 /** An answer as its bytes said. */
-export interface RawAnswer {
+export interface RawResponse {
   readonly status: number;
   readonly head: string;
   readonly body: string;
@@ -16,14 +16,14 @@
   /** True when the daemon reset the connection in place of a clean end. */
   wasReset = false;
   private readonly socket: net.Socket;
-  private wake: () => void = () => {};
+  private notifyWaiting: () => void = () => {};
 
   constructor(address: string) {
     const {host, port} = splitAddress(address);
     this.socket = net.connect({host, port});
     this.socket.on('data', chunk => {
       this.received += chunk.toString('latin1');
-      this.wake();
+      this.notifyWaiting();
     });
     this.socket.on('end', () => this.onClose());
     this.socket.on('close', () => this.onClose());
@@ -49,34 +49,34 @@
   async until(condition: (received: string) => boolean): Promise<void> {
     while (!condition(this.received) && !this.closed) {
       await new Promise<void>(resolve => {
-        this.wake = resolve;
+        this.notifyWaiting = resolve;
       });
     }
   }
 
   /** The next whole answer with a length; throws when the connection closed without one. */
-  async answer(): Promise<RawAnswer> {
-    await this.until(bytes => takeAnswer(bytes) !== undefined);
-    const taken = takeAnswer(this.received);
+  async readResponse(): Promise<RawResponse> {
+    await this.until(bytes => parseResponse(bytes) !== undefined);
+    const taken = parseResponse(this.received);
     if (!taken) throw new Error(`closed after: ${this.received}`);
     this.received = this.received.slice(taken.length);
     return taken.answer;
   }
 
   /** Resolves when the daemon has closed its side. */
-  async end(): Promise<void> {
+  async untilClosed(): Promise<void> {
     await this.until(() => false);
   }
 
   private onClose(): void {
     this.closed = true;
-    this.wake();
+    this.notifyWaiting();
   }
 }
 
-function takeAnswer(
+function parseResponse(
   bytes: string,
-): {answer: RawAnswer; length: number} | undefined {
+): {answer: RawResponse; length: number} | undefined {
   const headEnd = bytes.indexOf('\r\n\r\n');
   if (headEnd < 0) return undefined;
   const head = bytes.slice(0, headEnd);
--- a/packages/plugin-caller-http/src/__tests__/refusal-journal.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/refusal-journal.test.ts
@@ -17,13 +17,13 @@
     const journal = new DecisionJournal(clock);
     const refusals = new RefusalJournal(clock, journal);
     for (let millisecond = 0; millisecond < 10_000; millisecond++) {
-      refusals.note(
+      refusals.record(
         'desk',
         new RequestError(ErrorKind.QueueFull, 'turned away'),
       );
       clock.advance(1);
     }
-    const entries = journal.about(SubjectKind.Service, 'desk');
+    const entries = journal.entriesAbout(SubjectKind.Service, 'desk');
     assert.equal(entries.length, 10);
     assert.equal(entries[1].decision, 'refused 1000 requests with queue_full');
     assert.equal(entries[1].evidence.run, 'no');
--- a/packages/plugin-caller-http/src/__tests__/request-outcomes.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/request-outcomes.test.ts
@@ -2,15 +2,15 @@
 import {after, afterEach, before, beforeEach, describe, it} from 'node:test';
 import {request} from 'undici';
 import {OutcomeKind} from '@gentiandoor/decisions';
-import {RawFault, RawTarget} from '@gentiandoor/stand-ins';
-import {CallerEdge, type CallerEdgeParts} from './caller-edge.js';
+import {RawTargetBehaviour, RawTarget} from '@gentiandoor/stand-ins';
+import {CallerEdge, type CallerEdgeOptions} from './caller-edge.js';
 import {RawCaller} from './raw-caller.js';
 
 const UNUSED_ADDRESS = '127.0.0.1:1';
 const BUFFERED_BYTES = 100;
 
 interface Outcome {
-  readonly fault: RawFault;
+  readonly fault: RawTargetBehaviour;
   readonly method: 'GET' | 'POST';
   readonly status: number;
   readonly reason: string | undefined;
@@ -20,7 +20,7 @@
 }
 
 function outcome(
-  fault: RawFault,
+  fault: RawTargetBehaviour,
   method: 'GET' | 'POST',
   status: number,
   reason: string | undefined,
@@ -31,17 +31,66 @@
 }
 
 const OUTCOMES: readonly Outcome[] = [
-  outcome(RawFault.None, 'GET', 200, undefined, 'yes', 1),
-  outcome(RawFault.None, 'POST', 200, undefined, 'yes', 1),
-  outcome(RawFault.Busy, 'GET', 503, 'target_refused', 'no', 2),
-  outcome(RawFault.Busy, 'POST', 503, 'target_refused', 'no', 2),
-  outcome(RawFault.ResetOnRequest, 'GET', 502, 'target_failed', 'unknown', 2),
-  outcome(RawFault.ResetOnRequest, 'POST', 502, 'target_failed', 'unknown', 1),
-  outcome(RawFault.NoLength, 'GET', 502, 'answer_malformed', 'unknown', 2),
-  outcome(RawFault.NoLength, 'POST', 502, 'answer_malformed', 'unknown', 1),
-  outcome(RawFault.Garbage, 'POST', 502, 'answer_malformed', 'unknown', 1),
-  outcome(RawFault.Silent, 'GET', 504, 'target_timeout', 'unknown', 1),
-  outcome(RawFault.Silent, 'POST', 504, 'target_timeout', 'unknown', 1),
+  outcome(RawTargetBehaviour.None, 'GET', 200, undefined, 'yes', 1),
+  outcome(RawTargetBehaviour.None, 'POST', 200, undefined, 'yes', 1),
+  outcome(RawTargetBehaviour.Busy, 'GET', 503, 'target_refused', 'no', 2),
+  outcome(RawTargetBehaviour.Busy, 'POST', 503, 'target_refused', 'no', 2),
+  outcome(
+    RawTargetBehaviour.ResetOnRequest,
+    'GET',
+    502,
+    'target_failed',
+    'unknown',
+    2,
+  ),
+  outcome(
+    RawTargetBehaviour.ResetOnRequest,
+    'POST',
+    502,
+    'target_failed',
+    'unknown',
+    1,
+  ),
+  outcome(
+    RawTargetBehaviour.NoLength,
+    'GET',
+    502,
+    'answer_malformed',
+    'unknown',
+    2,
+  ),
+  outcome(
+    RawTargetBehaviour.NoLength,
+    'POST',
+    502,
+    'answer_malformed',
+    'unknown',
+    1,
+  ),
+  outcome(
+    RawTargetBehaviour.Garbage,
+    'POST',
+    502,
+    'answer_malformed',
+    'unknown',
+    1,
+  ),
+  outcome(
+    RawTargetBehaviour.Silent,
+    'GET',
+    504,
+    'target_timeout',
+    'unknown',
+    1,
+  ),
+  outcome(
+    RawTargetBehaviour.Silent,
+    'POST',
+    504,
+    'target_timeout',
+    'unknown',
+    1,
+  ),
 ];
 
 describe('what the caller is told', () => {
@@ -51,7 +100,7 @@
   before(() => target.start());
   after(() => target.stop());
   beforeEach(() => {
-    target.fault = RawFault.None;
+    target.behaviour = RawTargetBehaviour.None;
     target.received.length = 0;
   });
   afterEach(async () => {
@@ -59,7 +108,7 @@
     edge = undefined;
   });
 
-  async function startEdge(parts: Partial<CallerEdgeParts> = {}) {
+  async function startEdge(parts: Partial<CallerEdgeOptions> = {}) {
     edge = new CallerEdge({
       targets: [target.address],
       services: {desk: {deadlineMilliseconds: 1500}},
@@ -78,7 +127,7 @@
     // all attempts together, and a request that must not run twice is sent once.
     it(`${method} when the target does ${fault}: ${status}, run ${run}`, async () => {
       const {address} = await startEdge();
-      target.fault = fault;
+      target.behaviour = fault;
       const answer = await request(`http://${address}/desk/x`, {
         method,
         body: method === 'POST' ? 'crest' : null,
@@ -92,10 +141,10 @@
   }
 
   for (const fault of [
-    RawFault.ResetInBody,
-    RawFault.CloseInBody,
-    RawFault.CloseInChunks,
-    RawFault.SilentInBody,
+    RawTargetBehaviour.ResetInBody,
+    RawTargetBehaviour.CloseInBody,
+    RawTargetBehaviour.CloseInChunks,
+    RawTargetBehaviour.SilentInBody,
   ]) {
     // The head and a part of the body are out when the target's answer breaks off. Only a
     // cut connection tells the caller so: no last chunk and no full length may follow.
@@ -103,10 +152,10 @@
       const {address} = await startEdge({
         targetSettings: {progress_milliseconds: 500},
       });
-      target.fault = fault;
+      target.behaviour = fault;
       const caller = new RawCaller(address);
       caller.send('GET /desk/x HTTP/1.1', 'host: a', '', '');
-      await caller.end();
+      await caller.untilClosed();
       assert.match(caller.received, /part/);
       assert.doesNotMatch(caller.received, /\r\n0\r\n\r\n$/);
       assert.equal(edge?.router.inUse, 0);
@@ -118,16 +167,16 @@
     // end clean, the caller would take the part for the whole.
     it('the connection is reset', async () => {
       const {address} = await startEdge();
-      target.fault = RawFault.CloseInChunks;
+      target.behaviour = RawTargetBehaviour.CloseInChunks;
       const caller = new RawCaller(address);
       caller.send('GET /desk/x HTTP/1.0', '', '');
-      await caller.end();
+      await caller.untilClosed();
       assert.equal(caller.wasReset, true);
     });
 
     it('by a stop by force, the connection is reset too', async () => {
       const {address, server} = await startEdge();
-      target.fault = RawFault.Silent;
+      target.behaviour = RawTargetBehaviour.Silent;
       const caller = new RawCaller(address);
       caller.send('GET /desk/x HTTP/1.0', '', '');
       await until(() => target.received.length === 1);
@@ -136,7 +185,7 @@
       );
       await caller.until(bytes => bytes.includes('part'));
       await server.stop();
-      await caller.end();
+      await caller.untilClosed();
       assert.equal(caller.wasReset, true);
     });
   });
@@ -163,8 +212,8 @@
     it('the outcome is unknown', async () => {
       const busy = new RawTarget();
       await busy.start();
-      busy.fault = RawFault.Busy;
-      target.fault = RawFault.ResetOnRequest;
+      busy.behaviour = RawTargetBehaviour.Busy;
+      target.behaviour = RawTargetBehaviour.ResetOnRequest;
       const {address} = await startEdge({
         targets: [target.address, busy.address],
       });
@@ -184,7 +233,7 @@
       const {address, router, server} = await startEdge({
         services: {desk: {deadlineMilliseconds: 60_000}},
       });
-      target.fault = RawFault.Silent;
+      target.behaviour = RawTargetBehaviour.Silent;
       const caller = new RawCaller(address);
       caller.send(
         'POST /desk/x HTTP/1.1',
@@ -197,17 +246,17 @@
       caller.destroy();
       await turns();
       assert.equal(router.inUse, 1);
-      assert.deepEqual(server.unfinished, {requests: 1, nonIdempotent: 1});
+      assert.deepEqual(server.inFlightCounts, {requests: 1, nonIdempotent: 1});
       target.writeUnasked('HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n');
       await until(() => router.inUse === 0);
-      assert.equal(server.unfinished.requests, 0);
+      assert.equal(server.inFlightCounts.requests, 0);
     });
   });
 
   describe('when the caller goes after a GET was sent', () => {
     it('the exchange is given up and the slot is free', async () => {
       const {address, router} = await startEdge();
-      target.fault = RawFault.Silent;
+      target.behaviour = RawTargetBehaviour.Silent;
       const caller = new RawCaller(address);
       caller.send('GET /desk/x HTTP/1.1', 'host: a', '', '');
       await until(() => target.received.length === 1);
@@ -230,7 +279,7 @@
         '',
         'x'.repeat(BUFFERED_BYTES + 1),
       );
-      const answer = await caller.answer();
+      const answer = await caller.readResponse();
       assert.equal(answer.status, 408);
       assert.match(answer.head, /^gentiandoor-run: unknown$/m);
       assert.match(answer.head, /^gentiandoor-reason: body_timeout$/m);
@@ -253,10 +302,10 @@
       );
       await until(() => target.receivedBytes > 200);
       caller.send('zz', '');
-      const answer = await caller.answer();
+      const answer = await caller.readResponse();
       assert.equal(answer.status, 400);
       assert.match(answer.head, /^gentiandoor-run: unknown$/m);
-      await caller.end();
+      await caller.untilClosed();
     });
   });
 
@@ -266,7 +315,7 @@
     // place: the rest of the first body is not taken for it.
     it('the caller gets it, and the next request its own', async () => {
       const {address} = await startEdge();
-      target.fault = RawFault.EarlyAnswer;
+      target.behaviour = RawTargetBehaviour.EarlyAnswer;
       const caller = new RawCaller(address);
       caller.send(
         'POST /desk/early HTTP/1.1',
@@ -275,11 +324,11 @@
         '',
         'x'.repeat(BUFFERED_BYTES + 1),
       );
-      assert.equal((await caller.answer()).status, 200);
+      assert.equal((await caller.readResponse()).status, 200);
       caller.send('x'.repeat(299 - BUFFERED_BYTES));
-      target.fault = RawFault.None;
+      target.behaviour = RawTargetBehaviour.None;
       caller.send('GET /desk/next HTTP/1.1', 'host: a', '', '');
-      assert.equal((await caller.answer()).body, 'whole');
+      assert.equal((await caller.readResponse()).body, 'whole');
       const last = target.received.at(-1);
       assert.match(last?.head ?? '', /^GET \/desk\/next /);
       caller.destroy();
@@ -287,18 +336,20 @@
   });
 
   describe('what the router is told of the target', () => {
-    const reports: ReadonlyArray<readonly [RawFault, OutcomeKind, boolean]> = [
-      [RawFault.None, OutcomeKind.Succeeded, false],
-      [RawFault.Leaving, OutcomeKind.Succeeded, true],
-      [RawFault.Busy, OutcomeKind.Busy, false],
-      [RawFault.ResetOnRequest, OutcomeKind.Broken, false],
-      [RawFault.ResetInBody, OutcomeKind.Truncated, false],
-      [RawFault.Silent, OutcomeKind.TimedOut, false],
+    const reports: ReadonlyArray<
+      readonly [RawTargetBehaviour, OutcomeKind, boolean]
+    > = [
+      [RawTargetBehaviour.None, OutcomeKind.Succeeded, false],
+      [RawTargetBehaviour.Leaving, OutcomeKind.Succeeded, true],
+      [RawTargetBehaviour.Busy, OutcomeKind.Busy, false],
+      [RawTargetBehaviour.ResetOnRequest, OutcomeKind.ConnectionLost, false],
+      [RawTargetBehaviour.ResetInBody, OutcomeKind.Truncated, false],
+      [RawTargetBehaviour.Silent, OutcomeKind.TimedOut, false],
     ];
     for (const [fault, kind, leaving] of reports) {
       it(`is ${kind} when it does ${fault}`, async () => {
         const {address, router} = await startEdge();
-        target.fault = fault;
+        target.behaviour = fault;
         const caller = new RawCaller(address);
         caller.send(
           'POST /desk/x HTTP/1.1',
@@ -318,7 +369,7 @@
   describe('headers', () => {
     it('of the system cannot be set by either side', async () => {
       const {address} = await startEdge();
-      target.fault = RawFault.SpoofedHeaders;
+      target.behaviour = RawTargetBehaviour.SpoofedHeaders;
       const answer = await request(`http://${address}/desk/x`, {
         headers: {
           'gentiandoor-caller': 'someone',
@@ -341,7 +392,7 @@
 
     it('in trailers are passed on, the system\u2019s own left out', async () => {
       const {address} = await startEdge();
-      target.fault = RawFault.Trailers;
+      target.behaviour = RawTargetBehaviour.Trailers;
       const answer = await request(`http://${address}/desk/x`);
       assert.equal(await answer.body.text(), 'whole');
       assert.deepEqual({...answer.trailers}, {'x-sum': '17'});
@@ -359,7 +410,7 @@
         '',
         '',
       );
-      await caller.end();
+      await caller.untilClosed();
       assert.match(caller.received, /content-length: 5\r\n/i);
       assert.match(caller.received, /\r\n\r\n$/);
     });
@@ -368,7 +419,7 @@
   describe('when the target refuses with a time to come back', () => {
     it('the caller is told that time', async () => {
       const {address} = await startEdge();
-      target.fault = RawFault.Busy;
+      target.behaviour = RawTargetBehaviour.Busy;
       const answer = await request(`http://${address}/desk/x`);
       await answer.body.dump();
       assert.equal(answer.headers['retry-after'], '7');
--- a/packages/plugin-caller-http/src/__tests__/service-router.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/service-router.test.ts
@@ -10,7 +10,7 @@
   SubjectKind,
   VirtualClock,
 } from '@gentiandoor/kernel';
-import {OutcomeKind, RetryVerdict} from '@gentiandoor/decisions';
+import {OutcomeKind, RetryDecision} from '@gentiandoor/decisions';
 import {
   ListedState,
   NoPeerLinks,
@@ -60,7 +60,7 @@
     this.sent.push(message);
   }
 
-  override handle(_topic?: PeerTopic, handler?: PeerHandler): void {
+  override setHandler(_topic?: PeerTopic, handler?: PeerHandler): void {
     this.handler = handler;
   }
 
@@ -221,7 +221,7 @@
         slot.report({kind, latencyMilliseconds: 0, leaving: false});
         slot.release();
       }
-      const [entry] = decisionJournal.about(SubjectKind.Vm, 'a-1');
+      const [entry] = decisionJournal.entriesAbout(SubjectKind.Vm, 'a-1');
       assert.equal(entry.rule, 'bounded-ejection');
       assert.equal(entry.evidence['failuresInARow'], 5);
       const ejected = {standing: 'ejected'};
@@ -233,14 +233,14 @@
     it('counts the retry, or why there is none', () => {
       const {router, metrics} = build();
       const question = {
-        kind: OutcomeKind.Broken,
+        kind: OutcomeKind.ConnectionLost,
         sent: true,
         idempotent: true,
         attempts: 1,
       };
-      assert.equal(router.judgeRetry(SERVICE, question), RetryVerdict.Retry);
+      assert.equal(router.judgeRetry(SERVICE, question), RetryDecision.Retry);
       const once = {...question, idempotent: false};
-      assert.equal(router.judgeRetry(SERVICE, once), RetryVerdict.MayHaveRun);
+      assert.equal(router.judgeRetry(SERVICE, once), RetryDecision.MayHaveRun);
       assert.equal(metrics.value(MetricName.Retries, {reason: 'broken'}), 1);
       const reason = {reason: 'may_have_run'};
       assert.equal(metrics.value(MetricName.RetriesDenied, reason), 1);
--- a/packages/plugin-caller-http/src/attempt-result.ts
+++ b/packages/plugin-caller-http/src/attempt-result.ts
@@ -2,12 +2,12 @@
   ErrorKind,
   ExchangeEnd,
   RequestError,
-  RunOutcome,
+  RequestExecution,
   type ExchangeResult,
 } from '@gentiandoor/kernel';
 import {OutcomeKind} from '@gentiandoor/decisions';
-import type {AnswerForwarder} from './answer-forwarder.js';
-import type {CallerSide} from './caller-side.js';
+import type {ResponseForwarder} from './response-forwarder.js';
+import type {CallerResponseWriter} from './caller-response-writer.js';
 
 const FIRST_SERVER_ERROR = 500;
 
@@ -21,20 +21,20 @@
   readonly sent: boolean;
 }
 
-const KIND_OF_END: Readonly<Record<ExchangeEnd, ErrorKind>> = {
-  [ExchangeEnd.Whole]: ErrorKind.Internal,
+const ERROR_KIND_BY_END: Readonly<Record<ExchangeEnd, ErrorKind>> = {
+  [ExchangeEnd.Complete]: ErrorKind.Internal,
   [ExchangeEnd.NotSent]: ErrorKind.TargetUnreachable,
-  [ExchangeEnd.Broken]: ErrorKind.TargetFailed,
+  [ExchangeEnd.ConnectionLost]: ErrorKind.TargetFailed,
   [ExchangeEnd.Malformed]: ErrorKind.AnswerMalformed,
   [ExchangeEnd.TimedOut]: ErrorKind.TargetTimeout,
   [ExchangeEnd.Truncated]: ErrorKind.AnswerTruncated,
   [ExchangeEnd.Aborted]: ErrorKind.CallerGone,
 };
 
-const OUTCOME_OF_END: Readonly<Record<ExchangeEnd, OutcomeKind>> = {
-  [ExchangeEnd.Whole]: OutcomeKind.Succeeded,
+const OUTCOME_BY_END: Readonly<Record<ExchangeEnd, OutcomeKind>> = {
+  [ExchangeEnd.Complete]: OutcomeKind.Succeeded,
   [ExchangeEnd.NotSent]: OutcomeKind.Unreachable,
-  [ExchangeEnd.Broken]: OutcomeKind.Broken,
+  [ExchangeEnd.ConnectionLost]: OutcomeKind.ConnectionLost,
   [ExchangeEnd.Malformed]: OutcomeKind.Truncated,
   [ExchangeEnd.TimedOut]: OutcomeKind.TimedOut,
   [ExchangeEnd.Truncated]: OutcomeKind.Truncated,
@@ -42,21 +42,21 @@
 };
 
 /** A request that ended before any exchange was begun. */
-export function notBegun(failure: RequestError): AttemptResult {
+export function exchangeNotStarted(failure: RequestError): AttemptResult {
   return {failure, outcome: undefined, sent: false};
 }
 
 /** The caller closed its connection; `run` says how far the request had come. */
-export function callerGone(run: RunOutcome): RequestError {
+export function callerGoneError(run: RequestExecution): RequestError {
   const detail = 'the caller closed the connection';
   return new RequestError(ErrorKind.CallerGone, detail, {run});
 }
 
 /** Reads what an exchange came to. */
-export function resultOf(
+export function toAttemptResult(
   result: ExchangeResult,
-  forwarder: AnswerForwarder,
-  caller: CallerSide,
+  forwarder: ResponseForwarder,
+  caller: CallerResponseWriter,
 ): AttemptResult {
   const {end, error} = result;
   const sent = end !== ExchangeEnd.NotSent;
@@ -68,29 +68,31 @@
     );
     return {failure, outcome: OutcomeKind.Busy, sent};
   }
-  if (end === ExchangeEnd.Whole) {
-    const failure = caller.isGone ? callerGone(RunOutcome.Run) : undefined;
+  if (end === ExchangeEnd.Complete) {
+    const failure = caller.isCallerGone
+      ? callerGoneError(RequestExecution.Run)
+      : undefined;
     return {failure, outcome: outcomeOfStatus(forwarder.status), sent};
   }
-  const run = sent ? RunOutcome.Unknown : RunOutcome.NotRun;
+  const run = sent ? RequestExecution.Unknown : RequestExecution.NotRun;
   const detail = error?.message ?? end;
   if (error instanceof RequestError) {
     // The request's own body failed, which says nothing about the target.
     const failure = new RequestError(error.kind, detail, {run, cause: error});
     return {failure, outcome: OutcomeKind.CallerGone, sent};
   }
-  const failure = new RequestError(KIND_OF_END[end], detail, {
+  const failure = new RequestError(ERROR_KIND_BY_END[end], detail, {
     run,
     cause: error,
   });
-  return {failure, outcome: OUTCOME_OF_END[end], sent};
+  return {failure, outcome: OUTCOME_BY_END[end], sent};
 }
 
 /** "Not run" must hold over all attempts: an earlier one may have been run. */
 export function withUnknownOutcome(error: RequestError): RequestError {
-  if (error.run !== RunOutcome.NotRun) return error;
+  if (error.run !== RequestExecution.NotRun) return error;
   return new RequestError(error.kind, error.message, {
-    run: RunOutcome.Unknown,
+    run: RequestExecution.Unknown,
     retryAfterSeconds: error.retryAfterSeconds,
     cause: error,
   });
--- a/packages/plugin-caller-http/src/body-reader.ts
+++ b/packages/plugin-caller-http/src/body-reader.ts
@@ -9,14 +9,14 @@
 /** Bounds of a request's body. */
 export interface BodyLimits {
   /** Up to this size the body is read whole. */
-  readonly bufferedBytes: number;
+  readonly maximumBufferedBytes: number;
   /** Largest body taken. */
-  readonly totalBytes: number;
+  readonly maximumBytes: number;
   /** Longest silence. */
-  readonly progressMilliseconds: number;
+  readonly progressTimeoutMilliseconds: number;
 }
 
-interface Waiter {
+interface PendingRead {
   resolve(chunk: Buffer | undefined): void;
   reject(error: RequestError): void;
 }
@@ -28,29 +28,29 @@
  * likes: short bodies are read whole before a target is chosen, and a silence ends both kinds.
  */
 export class BodyReader {
-  private waiter: Waiter | undefined;
+  private pendingRead: PendingRead | undefined;
   private failure: RequestError | undefined;
-  private seenBytes = 0;
+  private receivedBytes = 0;
 
   constructor(
     private readonly request: IncomingMessage,
     private readonly limits: BodyLimits,
     private readonly clock: Clock,
   ) {
-    request.on('readable', () => this.serve());
-    request.on('end', () => this.serve());
-    request.on('error', () => this.fail(callerGone()));
+    request.on('readable', () => this.resolvePendingRead());
+    request.on('end', () => this.resolvePendingRead());
+    request.on('error', () => this.fail(callerGoneError()));
     request.on('close', () => {
-      if (!request.complete) this.fail(callerGone());
+      if (!request.complete) this.fail(callerGoneError());
     });
   }
 
   /** The body, whole where it is short; null when empty. */
   async read(): Promise<OutgoingBody> {
     const chunks: Buffer[] = [];
-    while (this.seenBytes <= this.limits.bufferedBytes) {
-      const chunk = await this.next();
-      if (chunk === undefined) return joined(chunks);
+    while (this.receivedBytes <= this.limits.maximumBufferedBytes) {
+      const chunk = await this.nextChunk();
+      if (chunk === undefined) return concatenate(chunks);
       chunks.push(chunk);
     }
     return this.stream(chunks);
@@ -59,35 +59,38 @@
   /** Ends the reading; what waits for a chunk is rejected. */
   fail(error: RequestError): void {
     this.failure ??= error;
-    const {waiter} = this;
-    this.waiter = undefined;
+    const {pendingRead: waiter} = this;
+    this.pendingRead = undefined;
     waiter?.reject(this.failure);
   }
 
   private async *stream(first: readonly Buffer[]): AsyncGenerator<Buffer> {
     yield* first;
     for (;;) {
-      const chunk = await this.next();
+      const chunk = await this.nextChunk();
       if (chunk === undefined) return;
       yield chunk;
     }
   }
 
   /** The next chunk, or undefined at the end; rejects with `RequestError`. */
-  private async next(): Promise<Buffer | undefined> {
-    const {progressMilliseconds, totalBytes} = this.limits;
+  private async nextChunk(): Promise<Buffer | undefined> {
+    const {
+      progressTimeoutMilliseconds: progressMilliseconds,
+      maximumBytes: totalBytes,
+    } = this.limits;
     const timer = this.clock.schedule(progressMilliseconds, () =>
       this.fail(
         new RequestError(
           ErrorKind.BodyTimeout,
-          `${this.seenBytes} bytes came, then nothing for ${progressMilliseconds} ms`,
+          `${this.receivedBytes} bytes came, then nothing for ${progressMilliseconds} ms`,
         ),
       ),
     );
     try {
-      const chunk = await this.nextUntimed();
-      this.seenBytes += chunk?.length ?? 0;
-      if (this.seenBytes <= totalBytes) return chunk;
+      const chunk = await this.nextChunkUntimed();
+      this.receivedBytes += chunk?.length ?? 0;
+      if (this.receivedBytes <= totalBytes) return chunk;
     } finally {
       timer.cancel();
     }
@@ -98,15 +101,15 @@
     throw this.failure;
   }
 
-  private nextUntimed(): Promise<Buffer | undefined> {
+  private nextChunkUntimed(): Promise<Buffer | undefined> {
     return new Promise((resolve, reject) => {
-      this.waiter = {resolve, reject};
-      this.serve();
+      this.pendingRead = {resolve, reject};
+      this.resolvePendingRead();
     });
   }
 
-  private serve(): void {
-    const {waiter} = this;
+  private resolvePendingRead(): void {
+    const {pendingRead: waiter} = this;
     if (!waiter) return;
     if (this.failure) {
       this.fail(this.failure);
@@ -114,17 +117,17 @@
     }
     const chunk = this.request.read() as Buffer | null;
     if (chunk === null && !this.request.readableEnded) return;
-    this.waiter = undefined;
+    this.pendingRead = undefined;
     waiter.resolve(chunk ?? undefined);
   }
 }
 
-function joined(chunks: readonly Buffer[]): Buffer | null {
+function concatenate(chunks: readonly Buffer[]): Buffer | null {
   if (chunks.length === 0) return null;
   return chunks.length === 1 ? chunks[0] : Buffer.concat(chunks);
 }
 
-function callerGone(): RequestError {
+function callerGoneError(): RequestError {
   return new RequestError(
     ErrorKind.CallerGone,
     'the connection closed within the request',
--- a/packages/plugin-caller-http/src/caller-directory.ts
+++ b/packages/plugin-caller-http/src/caller-directory.ts
@@ -2,10 +2,10 @@
 import type {SharedState} from '@gentiandoor/shared-state';
 
 const BEARER = /^Bearer ([\x21-\x7e]{1,512})$/i;
-const REMEMBERED_KEYS = 1000;
+const MAXIMUM_CACHED_KEYS = 1000;
 
 /** A caller that the bundle in force names. */
-export interface KnownCaller {
+export interface AuthenticatedCaller {
   readonly name: string;
   readonly team: string;
 }
@@ -15,10 +15,13 @@
  * choose the digest, so the time taken tells nothing about the keys in the bundle.
  */
 export class CallerDirectory {
-  private digest = '';
-  private callers = new Map<string, KnownCaller>();
+  private bundleDigest = '';
+  private callersByKeyDigest = new Map<string, AuthenticatedCaller>();
   /** Saves a SHA-256 for each request of a caller seen lately. */
-  private readonly remembered = new Map<string, KnownCaller>();
+  private readonly callersByAuthorization = new Map<
+    string,
+    AuthenticatedCaller
+  >();
 
   private readonly sharedState: SharedState;
 
@@ -27,29 +30,32 @@
   }
 
   /** The caller of an `Authorization` header, or undefined. */
-  find(authorization: string | undefined): KnownCaller | undefined {
+  findByAuthorization(
+    authorization: string | undefined,
+  ): AuthenticatedCaller | undefined {
     if (authorization === undefined) return undefined;
-    this.followBundle();
-    const known = this.remembered.get(authorization);
+    this.reloadIfBundleChanged();
+    const known = this.callersByAuthorization.get(authorization);
     if (known) return known;
     const key = BEARER.exec(authorization)?.[1];
     if (key === undefined) return undefined;
-    const caller = this.callers.get(sha256(key));
-    if (caller) this.remember(authorization, caller);
+    const caller = this.callersByKeyDigest.get(sha256(key));
+    if (caller) this.cache(authorization, caller);
     return caller;
   }
 
-  private remember(authorization: string, caller: KnownCaller): void {
-    if (this.remembered.size >= REMEMBERED_KEYS) this.remembered.clear();
-    this.remembered.set(authorization, caller);
+  private cache(authorization: string, caller: AuthenticatedCaller): void {
+    if (this.callersByAuthorization.size >= MAXIMUM_CACHED_KEYS)
+      this.callersByAuthorization.clear();
+    this.callersByAuthorization.set(authorization, caller);
   }
 
-  private followBundle(): void {
+  private reloadIfBundleChanged(): void {
     const {inForce} = this.sharedState.state;
-    if (!inForce || inForce.digest === this.digest) return;
-    this.digest = inForce.digest;
-    this.remembered.clear();
-    this.callers = new Map(
+    if (!inForce || inForce.digest === this.bundleDigest) return;
+    this.bundleDigest = inForce.digest;
+    this.callersByAuthorization.clear();
+    this.callersByKeyDigest = new Map(
       Object.entries(inForce.bundle.callers).map(([name, entry]) => [
         entry.keyDigest,
         {name, team: entry.team},
--- a/packages/plugin-caller-http/src/caller-http-server.ts
+++ b/packages/plugin-caller-http/src/caller-http-server.ts
@@ -6,7 +6,7 @@
   LogEvent,
   MetricName,
   RequestError,
-  resolveNow,
+  resolveDependencies,
   sleep,
   splitAddress,
   type Clock,
@@ -17,11 +17,11 @@
 } from '@gentiandoor/kernel';
 import {
   CallerConnections,
-  type UnfinishedRequests,
+  type InFlightRequestCounts,
 } from './caller-connections.js';
 import type {CallerHttpOptions} from './caller-http-options.js';
-import {answerError} from './error-answer.js';
-import {RequestUnderWay, type RequestHandler} from './request-handler.js';
+import {sendErrorResponse} from './error-response.js';
+import {InFlightRequest, type RequestHandler} from './request-handler.js';
 
 const DRAIN_POLL_MILLISECONDS = 20;
 const TIMEOUT_CHECK_MILLISECONDS = 1000;
@@ -45,7 +45,7 @@
   private readonly dependencies: CallerHttpServerDependencies;
 
   constructor(dependencies: CallerHttpServerDependencies) {
-    this.dependencies = resolveNow(
+    this.dependencies = resolveDependencies(
       dependencies,
       'clock',
       'logger',
@@ -84,8 +84,8 @@
   }
 
   /** What an end at this moment would cut. */
-  get unfinished(): UnfinishedRequests {
-    return this.connections.unfinished;
+  get inFlightCounts(): InFlightRequestCounts {
+    return this.connections.inFlightCounts;
   }
 
   async start(): Promise<void> {
@@ -119,14 +119,14 @@
 
   async stop(): Promise<void> {
     this.stopListening();
-    const {requests, nonIdempotent} = this.unfinished;
+    const {requests, nonIdempotent} = this.inFlightCounts;
     if (requests > 0) {
       this.dependencies.logger.warn(LogEvent.DaemonStopForced, {
         requests,
         nonIdempotent,
       });
     }
-    this.connections.cutAll();
+    this.connections.abortAllResponses();
     for (const socket of this.sockets) socket.destroy();
     this.server.close();
     this.server.closeAllConnections();
@@ -141,15 +141,17 @@
     const koa = new Koa();
     koa.use(async context => {
       context.respond = false;
-      await this.handle(this.underWay(context.req, context.res, false));
+      await this.handle(
+        this.createInFlightRequest(context.req, context.res, false),
+      );
     });
     this.server.on('request', koa.callback());
     this.server.on('checkContinue', (request, response) => {
-      void this.handle(this.underWay(request, response, true));
+      void this.handle(this.createInFlightRequest(request, response, true));
     });
     this.server.on('checkExpectation', (_request, response) => {
       this.refuse(ErrorKind.ExpectationRefused, error =>
-        answerError(response, error, true),
+        sendErrorResponse(response, error, true),
       );
     });
   }
@@ -166,36 +168,39 @@
       this.sockets.add(socket);
       socket.once('close', () => {
         this.sockets.delete(socket);
-        this.connections.closed(socket);
+        this.connections.onConnectionClosed(socket);
       });
     });
     this.server.on('clientError', (error, socket) => {
-      const refusal = this.connections.fail(error, socket as net.Socket);
-      if (refusal) this.count(refusal.kind);
+      const refusal = this.connections.failConnection(
+        error,
+        socket as net.Socket,
+      );
+      if (refusal) this.countRefusal(refusal.kind);
     });
     this.server.on('connect', (_request, socket) => {
       this.refuse(ErrorKind.UpgradeRefused, error =>
-        this.connections.answerAndClose(socket as net.Socket, error),
+        this.connections.respondAndClose(socket as net.Socket, error),
       );
     });
   }
 
   private refuse(kind: ErrorKind, answer: (error: RequestError) => void): void {
-    this.count(kind);
+    this.countRefusal(kind);
     answer(new RequestError(kind, 'not supported'));
   }
 
-  private count(reason: ErrorKind): void {
+  private countRefusal(reason: ErrorKind): void {
     this.dependencies.metrics.increment(MetricName.Refusals, {reason});
   }
 
-  private underWay(
+  private createInFlightRequest(
     request: http.IncomingMessage,
     response: http.ServerResponse,
     expectsContinue: boolean,
-  ): RequestUnderWay {
+  ): InFlightRequest {
     const {drainState} = this.dependencies;
-    return new RequestUnderWay(
+    return new InFlightRequest(
       request,
       response,
       expectsContinue,
@@ -203,13 +208,13 @@
     );
   }
 
-  private async handle(item: RequestUnderWay): Promise<void> {
-    this.connections.enter(item);
+  private async handle(item: InFlightRequest): Promise<void> {
+    this.connections.add(item);
     try {
-      if (this.connections.comesTooLate(item)) return;
+      if (this.connections.followsClosingResponse(item)) return;
       await this.dependencies.requestHandler.handle(item);
     } finally {
-      this.connections.leave(item);
+      this.connections.remove(item);
     }
   }
 }
--- a/packages/plugin-caller-http/src/error-answer.ts
+++ b/packages/plugin-caller-http/src/error-response.ts
@@ -1,9 +1,9 @@
 import type {ServerResponse} from 'node:http';
 import {
-  ERROR_ANSWERS,
+  ERROR_RESPONSES,
   ErrorKind,
   RequestError,
-  RunOutcome,
+  RequestExecution,
   toError,
 } from '@gentiandoor/kernel';
 
@@ -22,12 +22,12 @@
 }
 
 /** Headers and body of the answer to an error, the headers as names and values in turn. */
-export function errorMessage(error: RequestError): {
+export function errorResponse(error: RequestError): {
   readonly status: number;
   readonly headers: string[];
   readonly body: Buffer;
 } {
-  const {status, advice} = ERROR_ANSWERS[error.kind];
+  const {status, advice} = ERROR_RESPONSES[error.kind];
   const detail = error.kind === ErrorKind.Internal ? undefined : error.message;
   const body = Buffer.from(
     JSON.stringify({error: error.kind, run: error.run, advice, detail}),
@@ -42,7 +42,10 @@
     REASON_HEADER,
     error.kind,
   ];
-  if (error.run !== RunOutcome.Run && error.retryAfterSeconds !== undefined)
+  if (
+    error.run !== RequestExecution.Run &&
+    error.retryAfterSeconds !== undefined
+  )
     headers.push('retry-after', String(error.retryAfterSeconds));
   return {status, headers, body};
 }
@@ -55,30 +58,30 @@
  * look whole. A reset does not. It is kept to that case, since it also throws away bytes
  * of earlier answers that are still on their way.
  */
-export function cutAnswer(response: ServerResponse): void {
+export function abortResponse(response: ServerResponse): void {
   if (response.req.httpVersion === '1.0') response.socket?.resetAndDestroy();
   response.destroy();
 }
 
 /** Answers an error, or cuts an answer that has begun. */
-export function answerError(
+export function sendErrorResponse(
   response: ServerResponse,
   error: RequestError,
   close: boolean,
 ): void {
   if (response.headersSent) {
-    cutAnswer(response);
+    abortResponse(response);
     return;
   }
-  const {status, headers, body} = errorMessage(error);
+  const {status, headers, body} = errorResponse(error);
   if (close) headers.push('connection', 'close');
   response.writeHead(status, headers);
   response.end(body);
 }
 
 /** The same as bytes, for a connection that has no response object. */
-export function rawErrorAnswer(error: RequestError): Buffer {
-  const {status, headers, body} = errorMessage(error);
+export function rawErrorResponse(error: RequestError): Buffer {
+  const {status, headers, body} = errorResponse(error);
   const lines = [`HTTP/1.1 ${status} ${error.kind}`];
   for (let index = 0; index < headers.length; index += 2)
     lines.push(`${headers[index]}: ${headers[index + 1]}`);
