--- a/packages/plugin-caller-http/src/headers.ts
+++ b/packages/plugin-caller-http/src/headers.ts
@@ -1,7 +1,7 @@
 /** Headers of the system itself; a caller or target cannot set them for the other side. */
-const OWN_PREFIX = 'gentiandoor-';
+const RESERVED_PREFIX = 'gentiandoor-';
 
-const HOP_BY_HOP = new Set([
+const HOP_BY_HOP_HEADERS = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -15,7 +15,7 @@
 ]);
 
 /** Headers that would change how a message is read, were they to come after it. */
-const NEVER_IN_TRAILERS = new Set([
+const FORBIDDEN_TRAILERS = new Set([
   'content-length',
   'content-encoding',
   'content-type',
@@ -24,7 +24,7 @@
 ]);
 
 /** Name of this proxy in `Via`. */
-const VIA = '1.1 gentiandoor';
+const VIA_VALUE = '1.1 gentiandoor';
 
 /** What to do with a header, by its name alone. */
 enum HeaderRule {
@@ -35,8 +35,8 @@
 }
 
 /** Bound of the remembered names, which callers choose. */
-const REMEMBERED_NAMES = 1000;
-const rules = new Map<string, HeaderRule>();
+const MAXIMUM_CACHED_RULES = 1000;
+const ruleByName = new Map<string, HeaderRule>();
 
 /**
  * Takes out the headers that belong to one connection, those named in `Connection` included,
@@ -49,33 +49,33 @@
     const rule = ruleOf(raw[index]);
     if (rule === HeaderRule.Keep) kept.push(raw[index], raw[index + 1]);
     else if (rule === HeaderRule.Connection)
-      named = [...(named ?? []), ...namesIn(raw[index + 1])];
+      named = [...(named ?? []), ...connectionOptions(raw[index + 1])];
   }
-  return named && named.length > 0 ? without(kept, named) : kept;
+  return named && named.length > 0 ? withoutHeaders(kept, named) : kept;
 }
 
 /** The rule of a name as it was written, remembered: the same few names come all the time. */
 function ruleOf(rawName: string): HeaderRule {
-  const known = rules.get(rawName);
+  const known = ruleByName.get(rawName);
   if (known !== undefined) return known;
   const name = rawName.toLowerCase();
   let rule = HeaderRule.Keep;
   if (name === 'connection') rule = HeaderRule.Connection;
-  else if (HOP_BY_HOP.has(name) || name.startsWith(OWN_PREFIX))
+  else if (HOP_BY_HOP_HEADERS.has(name) || name.startsWith(RESERVED_PREFIX))
     rule = HeaderRule.Drop;
-  if (rules.size < REMEMBERED_NAMES) rules.set(rawName, rule);
+  if (ruleByName.size < MAXIMUM_CACHED_RULES) ruleByName.set(rawName, rule);
   return rule;
 }
 
 /** Names in a `Connection` header that are not dropped already. */
-function namesIn(connection: string): string[] {
+function connectionOptions(connection: string): string[] {
   return connection
     .split(',')
     .map(token => token.trim().toLowerCase())
-    .filter(token => !NEVER_NAMED.has(token));
+    .filter(token => !IGNORED_CONNECTION_OPTIONS.has(token));
 }
 
-function without(headers: readonly string[], names: string[]): string[] {
+function withoutHeaders(headers: readonly string[], names: string[]): string[] {
   const kept: string[] = [];
   for (let index = 0; index < headers.length; index += 2) {
     if (names.includes(headers[index].toLowerCase())) continue;
@@ -89,24 +89,24 @@
   const kept = endToEndHeaders(raw);
   const pairs: [string, string][] = [];
   for (let index = 0; index + 1 < kept.length; index += 2) {
-    if (NEVER_IN_TRAILERS.has(kept[index].toLowerCase())) continue;
+    if (FORBIDDEN_TRAILERS.has(kept[index].toLowerCase())) continue;
     pairs.push([kept[index], kept[index + 1]]);
   }
   return pairs;
 }
 
 /** Appends what a target may want to know about the way the request came. */
-export function addForwarding(
+export function addForwardingHeaders(
   headers: string[],
   callerAddress: string | undefined,
 ): void {
-  headers.push('via', VIA);
+  headers.push('via', VIA_VALUE);
   if (callerAddress !== undefined)
     headers.push('x-forwarded-for', callerAddress);
 }
 
 /** The values of a header, one for each time it stands. */
-export function valuesOf(raw: readonly string[], name: string): string[] {
+export function headerValues(raw: readonly string[], name: string): string[] {
   const values: string[] = [];
   for (let index = 0; index + 1 < raw.length; index += 2) {
     const candidate = raw[index];
@@ -121,7 +121,7 @@
  * reads by: two readings of one message. The first three stay whatever `Connection` says;
  * the others are dropped already or name no header.
  */
-const NEVER_NAMED = new Set([
+const IGNORED_CONNECTION_OPTIONS = new Set([
   'host',
   'content-length',
   'authorization',
--- a/packages/plugin-caller-http/src/held-answer-recorder.ts
+++ b/packages/plugin-caller-http/src/held-answer-recorder.ts
@@ -7,22 +7,22 @@
   private readonly chunks: Buffer[] = [];
   private size = 0;
 
-  constructor(private readonly limitBytes: number) {}
+  constructor(private readonly maximumBytes: number) {}
 
-  head(status: number, headers: readonly string[]): void {
+  recordHead(status: number, headers: readonly string[]): void {
     this.status = status;
     this.headers = [...headers];
   }
 
-  data(chunk: Buffer): void {
+  recordData(chunk: Buffer): void {
     this.size += chunk.length;
-    if (this.size <= this.limitBytes) this.chunks.push(chunk);
+    if (this.size <= this.maximumBytes) this.chunks.push(chunk);
     else this.chunks.length = 0;
   }
 
   /** The answer, whole; undefined where it was too large. Valid after its end. */
   get answer(): HeldAnswer | undefined {
-    if (this.status === 0 || this.size > this.limitBytes) return undefined;
+    if (this.status === 0 || this.size > this.maximumBytes) return undefined;
     const body = Buffer.concat(this.chunks);
     return {status: this.status, headers: this.headers, body};
   }
--- a/packages/plugin-caller-http/src/incoming-request.ts
+++ b/packages/plugin-caller-http/src/incoming-request.ts
@@ -1,13 +1,21 @@
 import type {IncomingMessage} from 'node:http';
-import {ErrorKind, RequestError, resolveNow} from '@gentiandoor/kernel';
+import {
+  ErrorKind,
+  RequestError,
+  resolveDependencies,
+} from '@gentiandoor/kernel';
 import {
   KeyRule,
   type ServiceEntry,
   type SharedState,
 } from '@gentiandoor/shared-state';
-import type {CallerDirectory, KnownCaller} from './caller-directory.js';
+import type {CallerDirectory, AuthenticatedCaller} from './caller-directory.js';
 import type {CallerHttpOptions} from './caller-http-options.js';
-import {addForwarding, endToEndHeaders, valuesOf} from './headers.js';
+import {
+  addForwardingHeaders,
+  endToEndHeaders,
+  headerValues,
+} from './headers.js';
 import type {ServiceRouter} from './service-router.js';
 
 const IDEMPOTENT_METHODS = new Set([
@@ -19,22 +27,22 @@
   'TRACE',
 ]);
 const IDEMPOTENCY_KEY_HEADER = 'idempotency-key';
-const IDEMPOTENCY_KEY = /^[\x21-\x2b\x2d-\x7e]{1,200}$/;
+const IDEMPOTENCY_KEY_PATTERN = /^[\x21-\x2b\x2d-\x7e]{1,200}$/;
 /** Tells the target which caller of the bundle sent the request. */
 const CALLER_HEADER = 'gentiandoor-caller';
 const DOT_SEGMENT = /(^|\/)(\.|%2e){1,2}(\/|$)/i;
-const ABSOLUTE_FORM = /^https?:\/\/[^/?#]*/i;
+const ABSOLUTE_FORM_PREFIX = /^https?:\/\/[^/?#]*/i;
 
 /** A request whose head has been checked. */
 export interface IncomingRequest {
   readonly service: string;
-  readonly entry: ServiceEntry;
+  readonly serviceEntry: ServiceEntry;
   readonly method: string;
   readonly path: string;
   /** Names and values in turn, as they go to the target. */
   readonly headers: string[];
   readonly idempotent: boolean;
-  readonly caller: KnownCaller | undefined;
+  readonly caller: AuthenticatedCaller | undefined;
   /** Undefined without one, and for idempotent methods, which need none. */
   readonly idempotencyKey: string | undefined;
 }
@@ -52,7 +60,7 @@
   private readonly dependencies: HeadCheckDependencies;
 
   constructor(dependencies: HeadCheckDependencies) {
-    this.dependencies = resolveNow(
+    this.dependencies = resolveDependencies(
       dependencies,
       'callerHttpOptions',
       'callerDirectory',
@@ -63,27 +71,29 @@
 
   /** Throws the `RequestError` that turns the request away. */
   check(request: IncomingMessage): IncomingRequest {
-    checkForm(request);
-    this.checkLength(request);
+    checkHostAndUpgrade(request);
+    this.checkContentLength(request);
     const method = request.method ?? 'GET';
-    const path = pathOf(request.url ?? '/');
+    const path = parsePath(request.url ?? '/');
     const service = serviceName(path);
-    const entry = this.entryOf(service);
-    const caller = this.callerOf(request, service, entry);
+    const serviceEntry = this.serviceEntryOf(service);
+    const caller = this.authenticateCaller(request, service, serviceEntry);
     const idempotent = IDEMPOTENT_METHODS.has(method);
     return {
       service,
-      entry,
+      serviceEntry: serviceEntry,
       method,
       path,
       headers: outgoingHeaders(request, caller),
       idempotent,
       caller,
-      idempotencyKey: idempotent ? undefined : keyOf(request, entry),
+      idempotencyKey: idempotent
+        ? undefined
+        : parseIdempotencyKey(request, serviceEntry),
     };
   }
 
-  private checkLength(request: IncomingMessage): void {
+  private checkContentLength(request: IncomingMessage): void {
     const limit = this.dependencies.callerHttpOptions.body_bytes;
     const length = request.headers['content-length'];
     if (length !== undefined && Number(length) > limit) {
@@ -94,7 +104,7 @@
     }
   }
 
-  private entryOf(service: string): ServiceEntry {
+  private serviceEntryOf(service: string): ServiceEntry {
     const {inForce} = this.dependencies.sharedState.state;
     // The name comes from the caller: `constructor` must not find what objects inherit.
     if (inForce && !Object.hasOwn(inForce.bundle.services, service)) {
@@ -106,12 +116,12 @@
     return this.dependencies.serviceRouter.service(service);
   }
 
-  private callerOf(
+  private authenticateCaller(
     request: IncomingMessage,
     service: string,
     entry: ServiceEntry,
-  ): KnownCaller | undefined {
-    const caller = this.dependencies.callerDirectory.find(
+  ): AuthenticatedCaller | undefined {
+    const caller = this.dependencies.callerDirectory.findByAuthorization(
       request.headers.authorization,
     );
     if (caller || !entry.callersOnly) return caller;
@@ -123,12 +133,12 @@
 }
 
 /** What the parser lets through and two readers could read in two ways. */
-function checkForm(request: IncomingMessage): void {
-  const hosts = valuesOf(request.rawHeaders, 'host');
+function checkHostAndUpgrade(request: IncomingMessage): void {
+  const hosts = headerValues(request.rawHeaders, 'host');
   if (hosts.length > 1) throw badRequest('more than one Host header');
   if (hosts.length === 0 && request.httpVersion === '1.1')
     throw badRequest('no Host header');
-  if (request.headers.upgrade !== undefined && !isOnlyH2c(request)) {
+  if (request.headers.upgrade !== undefined && !offersOnlyH2c(request)) {
     throw new RequestError(
       ErrorKind.UpgradeRefused,
       `no upgrade to ${request.headers.upgrade}`,
@@ -137,12 +147,12 @@
 }
 
 /** Some clients offer HTTP/2 with every request and go on without: that is no refusal. */
-function isOnlyH2c(request: IncomingMessage): boolean {
+function offersOnlyH2c(request: IncomingMessage): boolean {
   return request.headers.upgrade?.trim().toLowerCase() === 'h2c';
 }
 
-function pathOf(url: string): string {
-  const path = url.replace(ABSOLUTE_FORM, '');
+function parsePath(url: string): string {
+  const path = url.replace(ABSOLUTE_FORM_PREFIX, '');
   if (path === '') return '/';
   if (path.startsWith('?')) return `/${path}`;
   if (!path.startsWith('/')) throw badRequest('the path must start with /');
@@ -160,10 +170,10 @@
 
 function outgoingHeaders(
   request: IncomingMessage,
-  caller: KnownCaller | undefined,
+  caller: AuthenticatedCaller | undefined,
 ): string[] {
   const headers = endToEndHeaders(request.rawHeaders);
-  addForwarding(headers, request.socket.remoteAddress);
+  addForwardingHeaders(headers, request.socket.remoteAddress);
   if (!caller) return headers;
   // The key is for this daemon; a target needs only the name.
   const kept: string[] = [];
@@ -175,18 +185,18 @@
   return kept;
 }
 
-function keyOf(
+function parseIdempotencyKey(
   request: IncomingMessage,
   entry: ServiceEntry,
 ): string | undefined {
-  const values = valuesOf(request.rawHeaders, IDEMPOTENCY_KEY_HEADER);
+  const values = headerValues(request.rawHeaders, IDEMPOTENCY_KEY_HEADER);
   if (values.length === 0) {
     if (entry.keyRule !== KeyRule.Required) return undefined;
     throw new RequestError(ErrorKind.KeyRequired, 'no Idempotency-Key header');
   }
   if (values.length > 1)
     throw new RequestError(ErrorKind.KeyInvalid, 'more than one key');
-  if (!IDEMPOTENCY_KEY.test(values[0])) {
+  if (!IDEMPOTENCY_KEY_PATTERN.test(values[0])) {
     throw new RequestError(
       ErrorKind.KeyInvalid,
       'expected 1 to 200 visible ASCII characters without a comma',
--- a/packages/plugin-caller-http/src/index.ts
+++ b/packages/plugin-caller-http/src/index.ts
@@ -15,8 +15,8 @@
   ServiceRouter,
   type ServiceRouterDependencies,
 } from './service-router.js';
-export {REASON_HEADER, RUN_HEADER} from './error-answer.js';
-export {LEAVING_HEADER} from './answer-forwarder.js';
+export {REASON_HEADER, RUN_HEADER} from './error-response.js';
+export {LEAVING_HEADER} from './response-forwarder.js';
 export {REPLAYED_HEADER} from './keyed-requests.js';
 
 /** Registers the edge to callers. */
@@ -24,7 +24,7 @@
   registry.add({
     name: 'caller-http',
     options: callerHttpOptions,
-    service: 'callerHttp',
+    registrationName: 'callerHttp',
     register(container, options) {
       container.register({
         callerHttpOptions: asValue(options),
--- a/packages/plugin-caller-http/src/keyed-requests.ts
+++ b/packages/plugin-caller-http/src/keyed-requests.ts
@@ -2,25 +2,32 @@
 import {
   ErrorKind,
   RequestError,
-  RunOutcome,
-  resolveNow,
+  RequestExecution,
+  resolveDependencies,
 } from '@gentiandoor/kernel';
-import type {HeldAnswer, HeldClaim, OnceOnly} from '@gentiandoor/shared-state';
+import type {
+  HeldAnswer,
+  ClaimHandle,
+  IdempotencyGuard,
+} from '@gentiandoor/shared-state';
 import type {CallerHttpOptions} from './caller-http-options.js';
-import type {CallerSide} from './caller-side.js';
-import {toRequestError} from './error-answer.js';
+import type {CallerResponseWriter} from './caller-response-writer.js';
+import {toRequestError} from './error-response.js';
 import {HeldAnswerRecorder} from './held-answer-recorder.js';
-import type {ReadyRequest, RequestDispatcher} from './request-dispatcher.js';
+import type {
+  DispatchableRequest,
+  RequestDispatcher,
+} from './request-dispatcher.js';
 
 /** Says that the answer is the one that an earlier request with the key got. */
 export const REPLAYED_HEADER = 'gentiandoor-replayed';
 /** Callers without a key of the bundle share this one: they cannot be told apart. */
-const ANONYMOUS = '';
+const ANONYMOUS_CALLER = '';
 
 /** What keyed requests need. */
 export interface KeyedRequestsDependencies {
   readonly callerHttpOptions: CallerHttpOptions;
-  readonly onceOnly: OnceOnly;
+  readonly onceOnly: IdempotencyGuard;
   readonly requestDispatcher: RequestDispatcher;
 }
 
@@ -29,7 +36,7 @@
   private readonly dependencies: KeyedRequestsDependencies;
 
   constructor(dependencies: KeyedRequestsDependencies) {
-    this.dependencies = resolveNow(
+    this.dependencies = resolveDependencies(
       dependencies,
       'callerHttpOptions',
       'onceOnly',
@@ -39,27 +46,27 @@
 
   /** Resolves when the caller has a whole answer, of now or of then; throws `RequestError`. */
   async send(
-    request: ReadyRequest,
+    request: DispatchableRequest,
     key: string,
-    caller: CallerSide,
+    caller: CallerResponseWriter,
   ): Promise<void> {
     const decision = await this.dependencies.onceOnly.begin(
       {
         service: request.service,
-        caller: request.caller?.name ?? ANONYMOUS,
+        caller: request.caller?.name ?? ANONYMOUS_CALLER,
         key,
         fingerprint: fingerprintOf(request),
       },
-      caller.goneSignal,
+      caller.callerGoneSignal,
     );
-    if (decision.run) await this.run(request, caller, decision.claim);
+    if (decision.run) await this.runWithClaim(request, caller, decision.claim);
     else this.replay(caller, decision.answer);
   }
 
-  private async run(
-    request: ReadyRequest,
-    caller: CallerSide,
-    claim: HeldClaim,
+  private async runWithClaim(
+    request: DispatchableRequest,
+    caller: CallerResponseWriter,
+    claim: ClaimHandle,
   ): Promise<void> {
     const {callerHttpOptions, requestDispatcher} = this.dependencies;
     const recorder = new HeldAnswerRecorder(
@@ -68,32 +75,36 @@
     try {
       await requestDispatcher.send(request, caller, recorder);
     } catch (error) {
-      settle(claim, toRequestError(error).run, recorder);
+      settleClaim(claim, toRequestError(error).run, recorder);
       throw error;
     }
     claim.finish(recorder.answer);
   }
 
-  private replay(caller: CallerSide, answer: HeldAnswer): void {
-    caller.head(answer.status, [...answer.headers, REPLAYED_HEADER, 'yes']);
-    caller.data(Buffer.from(answer.body));
+  private replay(caller: CallerResponseWriter, answer: HeldAnswer): void {
+    caller.writeHead(answer.status, [
+      ...answer.headers,
+      REPLAYED_HEADER,
+      'yes',
+    ]);
+    caller.writeData(Buffer.from(answer.body));
     caller.end([]);
   }
 }
 
 /** The one place that ends a claim after a failure. */
-function settle(
-  claim: HeldClaim,
-  run: RunOutcome,
+function settleClaim(
+  claim: ClaimHandle,
+  run: RequestExecution,
   recorder: HeldAnswerRecorder,
 ): void {
-  if (run === RunOutcome.NotRun) claim.release();
-  else if (run === RunOutcome.Run) claim.finish(recorder.answer);
+  if (run === RequestExecution.NotRun) claim.release();
+  else if (run === RequestExecution.Run) claim.finish(recorder.answer);
   else claim.lose();
 }
 
 /** Digest of method, path and body; the lengths keep one from running into the next. */
-function fingerprintOf(request: ReadyRequest): string {
+function fingerprintOf(request: DispatchableRequest): string {
   const {method, path, body} = request;
   if (body !== null && !(body instanceof Uint8Array)) {
     throw new RequestError(
--- a/packages/plugin-caller-http/src/load-summaries.ts
+++ b/packages/plugin-caller-http/src/load-summary-broadcaster.ts
@@ -1,109 +1,119 @@
 import {z} from 'zod';
 import type {Clock, Timer} from '@gentiandoor/kernel';
-import type {PeerShare, PeerUse, SharedTeamQuota} from '@gentiandoor/decisions';
+import type {
+  PeerAwareLimiter,
+  PeerUsage,
+  SharedTeamQuota,
+} from '@gentiandoor/decisions';
 import {PeerTopic, type PeerLinks} from '@gentiandoor/shared-state';
 import type {PoolTable} from './pool-table.js';
 
 /** Receivers drop what says that it holds for longer. */
-const LONGEST_EXPIRY_MILLISECONDS = 60_000;
-const count = z.number().int().nonnegative();
+const MAXIMUM_EXPIRY_MILLISECONDS = 60_000;
+const countSchema = z.number().int().nonnegative();
 
 /** One pool in a summary: whether requests wait, uses by VM, and VMs that said they are leaving. */
-const poolSummary = z.object({
+const poolSummarySchema = z.object({
   waiting: z.boolean(),
-  uses: z.array(z.tuple([z.string(), count])),
+  uses: z.array(z.tuple([z.string(), countSchema])),
   leaving: z.array(z.string()),
 });
 
 /** What a daemon tells its peers of its load. */
-const loadSummary = z.object({
-  pools: z.record(z.string(), poolSummary),
-  teams: z.array(z.tuple([z.string(), count])),
+const loadSummarySchema = z.object({
+  pools: z.record(z.string(), poolSummarySchema),
+  teams: z.array(z.tuple([z.string(), countSchema])),
   /** Milliseconds after which the summary says nothing any more. */
-  expiryMilliseconds: z.number().positive().max(LONGEST_EXPIRY_MILLISECONDS),
+  expiryMilliseconds: z.number().positive().max(MAXIMUM_EXPIRY_MILLISECONDS),
 });
-type LoadSummary = z.output<typeof loadSummary>;
+type LoadSummary = z.output<typeof loadSummarySchema>;
 
-interface ToldUse {
+interface TargetUsage {
   readonly pool: string;
   readonly id: string;
   readonly inFlight: number;
 }
 
 /** Five exchanges of 50 ms: shares follow a change of load within a few of them. */
-const SHORTEST_MILLISECONDS = 250;
+const MINIMUM_INTERVAL_MILLISECONDS = 250;
 /** Requests that begin to wait are told of at once, but no more often than this. */
-const HURRY_PAUSE_MILLISECONDS = 100;
+const MINIMUM_EARLY_INTERVAL_MILLISECONDS = 100;
 /** Bytes a second to all peers; the rest of a node's 7 KB/s is for the log and keyed requests. */
 const BYTES_PER_SECOND = 4000;
-const BYTES_OF_USE = 12;
-const BYTES_OF_HEAD = 60;
-const SUMMARIES_UNTIL_EXPIRY = 4;
+const BYTES_PER_USAGE_ENTRY = 12;
+const BYTES_PER_SUMMARY_HEAD = 60;
+const INTERVALS_PER_EXPIRY = 4;
 const MILLISECONDS_PER_SECOND = 1000;
 
 /**
  * Tells peers what this daemon uses of targets and quotas, as often as its part of the network
  * allows, and only while it has work; takes in what they tell.
  */
-export class LoadSummaries {
+export class LoadSummaryBroadcaster {
   private timer: Timer | undefined;
-  private sentAt = -Infinity;
+  private lastSentAt = -Infinity;
 
   constructor(
     private readonly clock: Clock,
     private readonly peerLinks: PeerLinks,
     private readonly pools: PoolTable,
     private readonly quota: SharedTeamQuota,
-    private readonly quotaShare: PeerShare,
+    private readonly quotaLimiter: PeerAwareLimiter,
     private readonly onTick: () => void,
   ) {
-    peerLinks.handle(PeerTopic.TargetSummary, (from, message) => {
-      this.take(from.incarnation, message);
+    peerLinks.setHandler(PeerTopic.TargetSummary, (from, message) => {
+      this.receive(from.incarnation, message);
       return Promise.resolve(undefined);
     });
   }
 
   /** There is work: summaries go out until it ends. */
-  wake(): void {
-    if (!this.timer) this.tickIn(SHORTEST_MILLISECONDS);
+  start(): void {
+    if (!this.timer) this.scheduleTick(MINIMUM_INTERVAL_MILLISECONDS);
   }
 
   /** Requests begin to wait: peers learn it before the next turn. */
-  hurry(): void {
+  sendEarly(): void {
     const now = this.clock.monotonicMilliseconds();
-    if (now - this.sentAt < HURRY_PAUSE_MILLISECONDS) return;
+    if (now - this.lastSentAt < MINIMUM_EARLY_INTERVAL_MILLISECONDS) return;
     this.timer?.cancel();
-    this.tickIn(0);
+    this.scheduleTick(0);
   }
 
-  private tickIn(milliseconds: number): void {
+  private scheduleTick(milliseconds: number): void {
     this.timer = this.clock.schedule(milliseconds, () => this.tick());
   }
 
   private tick(): void {
     this.timer = undefined;
-    this.sentAt = this.clock.monotonicMilliseconds();
+    this.lastSentAt = this.clock.monotonicMilliseconds();
     this.onTick();
     const peers = this.peerLinks.connected().length;
-    const mostUses = mostUsesFor(peers);
-    const pause = pauseFor(Math.min(this.countUses(), mostUses), peers);
+    const mostUses = maximumUsageEntries(peers);
+    const pause = intervalMilliseconds(
+      Math.min(this.countUsageEntries(), mostUses),
+      peers,
+    );
     if (peers > 0) {
-      const message = this.summary(pause * SUMMARIES_UNTIL_EXPIRY, mostUses);
+      const message = this.createSummary(
+        pause * INTERVALS_PER_EXPIRY,
+        mostUses,
+      );
       this.peerLinks.broadcast(PeerTopic.TargetSummary, message);
     }
-    if (this.hasWork()) this.tickIn(pause);
+    if (this.hasWork()) this.scheduleTick(pause);
   }
 
   private hasWork(): boolean {
-    for (const [, pool] of this.pools.all()) {
+    for (const [, pool] of this.pools.entries()) {
       if (pool.inFlight > 0 || pool.waiting > 0) return true;
     }
     return false;
   }
 
-  private countUses(): number {
+  private countUsageEntries(): number {
     let uses = 0;
-    for (const [, pool] of this.pools.all()) uses += pool.uses().size;
+    for (const [, pool] of this.pools.entries()) uses += pool.usage().size;
     return uses;
   }
 
@@ -111,12 +121,15 @@
    * Of more uses than may be told, the busiest targets are told. A summary of all of them would
    * have to hold for minutes to keep to its bytes, and receivers drop what is that old.
    */
-  private summary(expiryMilliseconds: number, mostUses: number): LoadSummary {
+  private createSummary(
+    expiryMilliseconds: number,
+    mostUses: number,
+  ): LoadSummary {
     const pools: LoadSummary['pools'] = {};
-    const told = this.told(mostUses);
-    for (const [name, pool] of this.pools.all()) {
+    const told = this.busiestUsageByPool(mostUses);
+    for (const [name, pool] of this.pools.entries()) {
       const uses = told.get(name) ?? [];
-      const leaving = pool.leaving();
+      const leaving = pool.leavingTargets();
       if (uses.length === 0 && leaving.length === 0) continue;
       pools[name] = {
         waiting: pool.waiting > 0,
@@ -124,14 +137,16 @@
         leaving,
       };
     }
-    return {pools, teams: [...this.quota.uses()], expiryMilliseconds};
+    return {pools, teams: [...this.quota.usage()], expiryMilliseconds};
   }
 
   /** Uses by pool, of the busiest targets where there are more than may be told. */
-  private told(mostUses: number): Map<string, Array<[string, number]>> {
-    const all: ToldUse[] = [];
-    for (const [pool, slots] of this.pools.all())
-      for (const [id, {inFlight}] of slots.uses())
+  private busiestUsageByPool(
+    mostUses: number,
+  ): Map<string, Array<[string, number]>> {
+    const all: TargetUsage[] = [];
+    for (const [pool, slots] of this.pools.entries())
+      for (const [id, {inFlight}] of slots.usage())
         all.push({pool, id, inFlight});
     if (all.length > mostUses)
       all.sort((left, right) => right.inFlight - left.inFlight);
@@ -145,38 +160,42 @@
   }
 
   /** A malformed summary is dropped: shares go on by what targets answer. */
-  private take(peer: string, message: unknown): void {
-    const parsed = loadSummary.safeParse(message);
+  private receive(peer: string, message: unknown): void {
+    const parsed = loadSummarySchema.safeParse(message);
     if (!parsed.success) return;
     const {pools, teams, expiryMilliseconds} = parsed.data;
-    this.quotaShare.onPeer(peer, toUses(teams, false), expiryMilliseconds);
+    this.quotaLimiter.onPeerUsage(
+      peer,
+      toPeerUsage(teams, false),
+      expiryMilliseconds,
+    );
     for (const [name, {waiting, uses, leaving}] of Object.entries(pools)) {
       const pool = this.pools.get(name);
       if (!pool) continue;
-      for (const id of leaving) pool.onLeaving(id);
-      pool.onPeer(peer, toUses(uses, waiting), expiryMilliseconds);
+      for (const id of leaving) pool.onTargetLeaving(id);
+      pool.onPeerUsage(peer, toPeerUsage(uses, waiting), expiryMilliseconds);
     }
   }
 }
 
-function toUses(
+function toPeerUsage(
   uses: ReadonlyArray<readonly [string, number]>,
   waiting: boolean,
-): Map<string, PeerUse> {
+): Map<string, PeerUsage> {
   return new Map(uses.map(([key, inFlight]) => [key, {inFlight, waiting}]));
 }
 
 /** Uses in a summary so that it need not hold for longer than receivers believe. */
-function mostUsesFor(peers: number): number {
-  const pause = LONGEST_EXPIRY_MILLISECONDS / SUMMARIES_UNTIL_EXPIRY;
+function maximumUsageEntries(peers: number): number {
+  const pause = MAXIMUM_EXPIRY_MILLISECONDS / INTERVALS_PER_EXPIRY;
   const bytes = (BYTES_PER_SECOND * pause) / MILLISECONDS_PER_SECOND;
-  const each = bytes / Math.max(1, peers) - BYTES_OF_HEAD;
-  return Math.max(1, Math.floor(each / BYTES_OF_USE));
+  const each = bytes / Math.max(1, peers) - BYTES_PER_SUMMARY_HEAD;
+  return Math.max(1, Math.floor(each / BYTES_PER_USAGE_ENTRY));
 }
 
 /** Milliseconds between summaries: longer where there is more to tell, or more peers. */
-function pauseFor(uses: number, peers: number): number {
-  const bytes = (BYTES_OF_HEAD + uses * BYTES_OF_USE) * peers;
+function intervalMilliseconds(uses: number, peers: number): number {
+  const bytes = (BYTES_PER_SUMMARY_HEAD + uses * BYTES_PER_USAGE_ENTRY) * peers;
   const needed = (bytes / BYTES_PER_SECOND) * MILLISECONDS_PER_SECOND;
-  return Math.max(SHORTEST_MILLISECONDS, needed);
+  return Math.max(MINIMUM_INTERVAL_MILLISECONDS, needed);
 }
--- a/packages/plugin-caller-http/src/pending-ask.ts
+++ b/packages/plugin-caller-http/src/pending-slot-request.ts
@@ -1,44 +1,46 @@
 import {ErrorKind, RequestError} from '@gentiandoor/kernel';
 import {
-  TurnAway,
+  QueueRejectionReason,
   type PoolSlot,
-  type SlotAsk,
+  type SlotRequest,
   type SlotPool,
   type SlotRefusal,
   type TargetOutcome,
-  type TeamTerms,
+  type TeamPolicy,
   type WorkLength,
 } from '@gentiandoor/decisions';
 import type {HeldSlot} from './service-router.js';
 
 /** What a pool decides by. */
-export type AskTerms = Omit<SlotAsk, 'grant' | 'refuse'>;
-
-const KIND_OF_TURN_AWAY: Readonly<Record<TurnAway, ErrorKind>> = {
-  [TurnAway.Full]: ErrorKind.QueueFull,
-  [TurnAway.Late]: ErrorKind.QueueTimeout,
-  [TurnAway.Standing]: ErrorKind.QueueDropped,
+export type SlotRequestFields = Omit<SlotRequest, 'grant' | 'refuse'>;
+
+const ERROR_KIND_BY_REJECTION: Readonly<
+  Record<QueueRejectionReason, ErrorKind>
+> = {
+  [QueueRejectionReason.Full]: ErrorKind.QueueFull,
+  [QueueRejectionReason.DeadlineExceeded]: ErrorKind.QueueTimeout,
+  [QueueRejectionReason.StandingQueue]: ErrorKind.QueueDropped,
 };
 
 /** A request that asked a pool for a slot and is granted or refused once. */
-export class PendingAsk implements SlotAsk {
+export class PendingSlotRequest implements SlotRequest {
   readonly service: string;
   readonly queueLimit: number;
   readonly work: WorkLength;
-  readonly team: TeamTerms;
+  readonly team: TeamPolicy;
   readonly caller: string;
   readonly idempotent: boolean;
   readonly tried: ReadonlySet<string> | undefined;
-  readonly enteredAt: number;
+  readonly enqueuedAt: number;
   readonly deadline: number;
   /** Whether it is neither granted nor refused. */
   isWaiting = true;
-  private stopListening: (() => void) | undefined;
+  private removeAbortListener: (() => void) | undefined;
 
   constructor(
-    terms: AskTerms,
-    private readonly onSlot: (slot: PoolSlot) => void,
-    private readonly onError: (error: RequestError) => void,
+    terms: SlotRequestFields,
+    private readonly onGranted: (slot: PoolSlot) => void,
+    private readonly onRejected: (error: RequestError) => void,
   ) {
     this.service = terms.service;
     this.queueLimit = terms.queueLimit;
@@ -47,43 +49,44 @@
     this.caller = terms.caller;
     this.idempotent = terms.idempotent;
     this.tried = terms.tried;
-    this.enteredAt = terms.enteredAt;
+    this.enqueuedAt = terms.enqueuedAt;
     this.deadline = terms.deadline;
   }
 
   grant(slot: PoolSlot): void {
-    this.settle();
-    this.onSlot(slot);
+    this.markSettled();
+    this.onGranted(slot);
   }
 
   refuse(refusal: SlotRefusal): void {
-    this.settle();
-    this.onError(errorOf(refusal));
+    this.markSettled();
+    this.onRejected(refusalError(refusal));
   }
 
   /**
    * Gives the place in the queue up when the caller goes: a caller that left would hold a place,
    * and then a slot, in front of those that still wait.
    */
-  cancelOn(signal: AbortSignal | undefined, pool: SlotPool): void {
+  cancelOnAbort(signal: AbortSignal | undefined, pool: SlotPool): void {
     if (!signal) return;
     const cancel = () => {
       if (!pool.cancel(this)) return;
-      this.settle();
+      this.markSettled();
       const detail = 'the caller left the queue';
-      this.onError(new RequestError(ErrorKind.CallerGone, detail));
+      this.onRejected(new RequestError(ErrorKind.CallerGone, detail));
     };
     if (signal.aborted) {
       cancel();
       return;
     }
     signal.addEventListener('abort', cancel, {once: true});
-    this.stopListening = () => signal.removeEventListener('abort', cancel);
+    this.removeAbortListener = () =>
+      signal.removeEventListener('abort', cancel);
   }
 
-  private settle(): void {
+  private markSettled(): void {
     this.isWaiting = false;
-    this.stopListening?.();
+    this.removeAbortListener?.();
   }
 }
 
@@ -126,13 +129,15 @@
   }
 }
 
-function errorOf(refusal: SlotRefusal): RequestError {
-  const {reason, quotaHeld, retryAfterSeconds} = refusal;
+function refusalError(refusal: SlotRefusal): RequestError {
+  const {reason, isQuotaExhausted: quotaHeld, retryAfterSeconds} = refusal;
   if (reason === undefined) {
     const detail = 'no VM can take the request';
     return new RequestError(ErrorKind.NoTarget, detail, {retryAfterSeconds});
   }
-  const kind = quotaHeld ? ErrorKind.QuotaExceeded : KIND_OF_TURN_AWAY[reason];
+  const kind = quotaHeld
+    ? ErrorKind.QuotaExceeded
+    : ERROR_KIND_BY_REJECTION[reason];
   const detail = `turned away: ${reason}`;
   return new RequestError(kind, detail, {retryAfterSeconds});
 }
--- a/packages/plugin-caller-http/src/pool-table.ts
+++ b/packages/plugin-caller-http/src/pool-table.ts
@@ -9,7 +9,7 @@
   RoutableTargets,
   createStandardPool,
   type SlotPool,
-  type TargetFacts,
+  type PoolVm,
   type TeamQuota,
 } from '@gentiandoor/decisions';
 import {
@@ -33,18 +33,18 @@
 }
 
 interface RoutedPool {
-  readonly slots: SlotPool;
-  readonly routable: RoutableTargets;
+  readonly slotPool: SlotPool;
+  readonly routableTargets: RoutableTargets;
   /** What its targets were worked out from last. */
   inputs: readonly unknown[];
 }
 
 /** Changes that come together are taken in together. */
-const REFRESH_MILLISECONDS = 20;
+const REFRESH_DELAY_MILLISECONDS = 20;
 /** VMs looked at before other work gets its turn: well under a millisecond. */
-const VMS_IN_SLICE = 500;
+const VMS_PER_SLICE = 500;
 /** How often a pool is looked at again while it keeps a VM that the list no longer shows. */
-const KEEP_MILLISECONDS = 500;
+const MISSING_VM_REFRESH_MILLISECONDS = 500;
 
 /**
  * The pools that this daemon has had requests for, each with its routable targets. Targets are
@@ -52,78 +52,81 @@
  */
 export class PoolTable {
   private readonly pools = new Map<string, RoutedPool>();
-  private owned: ReadonlyMap<string, readonly string[]> | undefined;
+  private vmIdsByPool: ReadonlyMap<string, readonly string[]> | undefined;
   private isRefreshDue = false;
-  private vmsHash: bigint | undefined;
-  private inForce: BundleInForce | undefined;
+  private lastVmsHash: bigint | undefined;
+  private lastBundleInForce: BundleInForce | undefined;
 
   constructor(
     private readonly dependencies: PoolTableDependencies,
     private readonly quota: TeamQuota,
-    private readonly onPressure: () => void,
+    private readonly onWaitingStarted: () => void,
   ) {
-    dependencies.sharedState.onChange(() => this.onRecords());
-    dependencies.vmList.onChange(() => this.refreshIn(REFRESH_MILLISECONDS));
+    dependencies.sharedState.onChange(() => this.refreshIfVmsChanged());
+    dependencies.vmList.onChange(() =>
+      this.scheduleRefresh(REFRESH_DELAY_MILLISECONDS),
+    );
   }
 
   /**
    * Most records change no VM's owner or drain: acknowledgements, jobs, members, the planner's
    * renewals. Working all targets out for each of them took more of a core than all else.
    */
-  private onRecords(): void {
+  private refreshIfVmsChanged(): void {
     const {vms, inForce} = this.dependencies.sharedState.state;
-    if (vms.hash === this.vmsHash && inForce === this.inForce) return;
-    this.vmsHash = vms.hash;
-    this.inForce = inForce;
-    this.owned = undefined;
-    this.refreshIn(REFRESH_MILLISECONDS);
+    if (vms.hash === this.lastVmsHash && inForce === this.lastBundleInForce)
+      return;
+    this.lastVmsHash = vms.hash;
+    this.lastBundleInForce = inForce;
+    this.vmIdsByPool = undefined;
+    this.scheduleRefresh(REFRESH_DELAY_MILLISECONDS);
   }
 
   /** Pools in use by name. */
-  all(): IterableIterator<[string, SlotPool]> {
+  entries(): IterableIterator<[string, SlotPool]> {
     return this.slotPools();
   }
 
   /** A pool in use; undefined when no request has asked for it. */
   get(name: string): SlotPool | undefined {
-    return this.pools.get(name)?.slots;
+    return this.pools.get(name)?.slotPool;
   }
 
   /** The pool of that name, made on first use. */
-  use(name: string): SlotPool {
+  getOrCreate(name: string): SlotPool {
     const known = this.pools.get(name);
-    if (known) return known.slots;
+    if (known) return known.slotPool;
     const pool = this.create(name);
     this.pools.set(name, pool);
     this.refresh(name, pool);
-    return pool.slots;
+    return pool.slotPool;
   }
 
   private *slotPools(): IterableIterator<[string, SlotPool]> {
-    for (const [name, {slots}] of this.pools) yield [name, slots];
+    for (const [name, {slotPool: slots}] of this.pools) yield [name, slots];
   }
 
   private create(name: string): RoutedPool {
     const {clock, random, metrics, identity, decisionJournal} =
       this.dependencies;
     const events = new RoutingEvents(name, clock, metrics, decisionJournal);
-    const slots = createStandardPool({
+    const slotPool = createStandardPool({
       clock,
       random,
-      self: identity.incarnation,
+      incarnation: identity.incarnation,
       quota: this.quota,
-      onPressure: this.onPressure,
+      onWaitingStarted: this.onWaitingStarted,
       onSpill: reason => events.onSpill(reason),
-      onStanding: change => events.onStanding(change),
+      onEjectionStateChange: change => events.onEjectionStateChange(change),
     });
     return {
-      slots,
-      routable: new RoutableTargets(identity.dataCentre),
+      slotPool: slotPool,
+      routableTargets: new RoutableTargets(identity.dataCentre),
       inputs: [],
     };
   }
 
-  private refreshIn(milliseconds: number): void {
+  private scheduleRefresh(milliseconds: number): void {
     if (this.isRefreshDue || this.pools.size === 0) return;
     this.isRefreshDue = true;
     this.dependencies.clock.schedule(milliseconds, () => {
@@ -141,7 +144,7 @@
     for (let next = rest.next(); !next.done; next = rest.next()) {
       const [name, pool] = next.value;
       looked += this.refresh(name, pool);
-      if (looked < VMS_IN_SLICE) continue;
+      if (looked < VMS_PER_SLICE) continue;
       this.dependencies.clock.schedule(0, () => this.refreshSlice(rest));
       return;
     }
@@ -150,24 +153,25 @@
   /** Returns how many VMs it looked at. */
   private refresh(name: string, pool: RoutedPool): number {
     const {clock, sharedState} = this.dependencies;
-    const {slots, routable} = pool;
+    const {slotPool: slots, routableTargets: routable} = pool;
     const entry = sharedState.state.inForce?.bundle.pools[name];
-    const ids = entry ? this.idsOf(name) : [];
+    const ids = entry ? this.vmIdsOf(name) : [];
     const inputs = this.inputsOf(ids, entry);
     // Most changes are about other pools: their records are the same objects as before.
-    if (!routable.keepsMissing && isSame(inputs, pool.inputs))
+    if (!routable.retainsMissing && hasSameItems(inputs, pool.inputs))
       return ids.length;
     pool.inputs = inputs;
-    const facts = this.factsOf(ids, slots);
+    const facts = this.poolVmsOf(ids, slots);
     const now = clock.monotonicMilliseconds();
-    slots.setTargets(routable.select(facts, limitsOf(entry), now));
-    if (routable.keepsMissing) this.refreshIn(KEEP_MILLISECONDS);
+    slots.setTargets(routable.select(facts, targetLimitsOf(entry), now));
+    if (routable.retainsMissing)
+      this.scheduleRefresh(MISSING_VM_REFRESH_MILLISECONDS);
     return ids.length;
   }
 
-  private idsOf(name: string): readonly string[] {
-    this.owned ??= ownersOf(this.dependencies.sharedState);
-    return this.owned.get(name) ?? [];
+  private vmIdsOf(name: string): readonly string[] {
+    this.vmIdsByPool ??= groupVmIdsByPool(this.dependencies.sharedState);
+    return this.vmIdsByPool.get(name) ?? [];
   }
 
   private inputsOf(
@@ -182,7 +186,7 @@
     return inputs;
   }
 
-  private factsOf(ids: readonly string[], slots: SlotPool): TargetFacts[] {
+  private poolVmsOf(ids: readonly string[], slots: SlotPool): PoolVm[] {
     const {sharedState, vmList} = this.dependencies;
     const listed = vmList.current();
     return ids.map(id => {
@@ -202,17 +206,20 @@
   }
 }
 
-function isSame(left: readonly unknown[], right: readonly unknown[]): boolean {
+function hasSameItems(
+  left: readonly unknown[],
+  right: readonly unknown[],
+): boolean {
   if (left.length !== right.length) return false;
   return left.every((item, index) => item === right[index]);
 }
 
-function limitsOf(entry: PoolEntry | undefined) {
+function targetLimitsOf(entry: PoolEntry | undefined) {
   return {slots: entry?.slots ?? 0, connections: entry?.connections ?? 0};
 }
 
 /** VMs by the pool that owns them. */
-function ownersOf({state}: SharedState): Map<string, string[]> {
+function groupVmIdsByPool({state}: SharedState): Map<string, string[]> {
   const owners = new Map<string, string[]>();
   for (const {id, pool} of state.vms.values()) {
     const ids = owners.get(pool) ?? [];
--- a/packages/plugin-caller-http/src/refusal-journal.ts
+++ b/packages/plugin-caller-http/src/refusal-journal.ts
@@ -7,12 +7,12 @@
 } from '@gentiandoor/kernel';
 
 /** Refusals of one kind are written down once in this time, with their number. */
-const PAUSE_MILLISECONDS = 1000;
+const RECORD_INTERVAL_MILLISECONDS = 1000;
 /** Services and kinds remembered; names come from callers and must not fill the memory. */
-const MOST_REMEMBERED = 1000;
+const MAXIMUM_COUNTERS = 1000;
 
-interface Noted {
-  at: number;
+interface RefusalCounter {
+  lastRecordedAt: number;
   /** Refusals since the last entry. */
   count: number;
 }
@@ -22,18 +22,18 @@
  * saturation thousands are refused a second: an entry for each would push all else out.
  */
 export class RefusalJournal {
-  private readonly noted = new Map<string, Noted>();
+  private readonly counters = new Map<string, RefusalCounter>();
 
   constructor(
     private readonly clock: Clock,
     private readonly decisionJournal: DecisionJournal,
   ) {}
 
-  note(service: string, error: RequestError): void {
+  record(service: string, error: RequestError): void {
     const now = this.clock.monotonicMilliseconds();
-    const noted = this.entryOf(service, error.kind);
+    const noted = this.counterOf(service, error.kind);
     noted.count++;
-    if (now - noted.at < PAUSE_MILLISECONDS) return;
+    if (now - noted.lastRecordedAt < RECORD_INTERVAL_MILLISECONDS) return;
     this.decisionJournal.record({
       subject: SubjectKind.Service,
       id: service,
@@ -45,17 +45,17 @@
         retryAfterSeconds: error.retryAfterSeconds ?? 'none',
       },
     });
-    noted.at = now;
+    noted.lastRecordedAt = now;
     noted.count = 0;
   }
 
-  private entryOf(service: string, kind: ErrorKind): Noted {
+  private counterOf(service: string, kind: ErrorKind): RefusalCounter {
     const key = `${kind} ${service}`;
-    const known = this.noted.get(key);
+    const known = this.counters.get(key);
     if (known) return known;
-    if (this.noted.size >= MOST_REMEMBERED) this.noted.clear();
-    const entry: Noted = {at: -Infinity, count: 0};
-    this.noted.set(key, entry);
+    if (this.counters.size >= MAXIMUM_COUNTERS) this.counters.clear();
+    const entry: RefusalCounter = {lastRecordedAt: -Infinity, count: 0};
+    this.counters.set(key, entry);
     return entry;
   }
 }
--- a/packages/plugin-caller-http/src/request-dispatcher.ts
+++ b/packages/plugin-caller-http/src/request-dispatcher.ts
@@ -1,22 +1,22 @@
 import {
   ErrorKind,
   RequestError,
-  RunOutcome,
+  RequestExecution,
   type Clock,
   type OutgoingBody,
   type TargetTransport,
-  resolveNow,
+  resolveDependencies,
 } from '@gentiandoor/kernel';
-import {RetryVerdict} from '@gentiandoor/decisions';
-import {AnswerForwarder} from './answer-forwarder.js';
+import {RetryDecision} from '@gentiandoor/decisions';
+import {ResponseForwarder} from './response-forwarder.js';
 import {
-  callerGone,
-  notBegun,
-  resultOf,
+  callerGoneError,
+  exchangeNotStarted,
+  toAttemptResult,
   withUnknownOutcome,
   type AttemptResult,
 } from './attempt-result.js';
-import type {CallerSide} from './caller-side.js';
+import type {CallerResponseWriter} from './caller-response-writer.js';
 import type {HeldAnswerRecorder} from './held-answer-recorder.js';
 import type {IncomingRequest} from './incoming-request.js';
 import type {
@@ -26,7 +26,7 @@
 } from './service-router.js';
 
 /** A request that is ready for a target. */
-export interface ReadyRequest extends IncomingRequest {
+export interface DispatchableRequest extends IncomingRequest {
   readonly body: OutgoingBody;
   /** Monotonic milliseconds at which the caller is told that no answer came. */
   readonly deadline: number;
@@ -40,14 +40,14 @@
 }
 
 /** Slots in a row that stop being routable between choice and dispatch. */
-const MOST_LOST_SLOTS = 8;
+const MAXIMUM_UNROUTABLE_SLOTS = 8;
 
 /** Sends a request to a target, and to another one where that cannot run it twice. */
 export class RequestDispatcher {
   private readonly dependencies: RequestDispatcherDependencies;
 
   constructor(dependencies: RequestDispatcherDependencies) {
-    this.dependencies = resolveNow(
+    this.dependencies = resolveDependencies(
       dependencies,
       'clock',
       'serviceRouter',
@@ -60,11 +60,11 @@
    * `RequestError` to answer otherwise, with what is known of all attempts.
    */
   async send(
-    request: ReadyRequest,
-    caller: CallerSide,
+    request: DispatchableRequest,
+    caller: CallerResponseWriter,
     recorder?: HeldAnswerRecorder,
   ): Promise<void> {
-    const wish = new SlotWish(request, caller);
+    const wish = new RoutedRequest(request, caller);
     let mayHaveRun = false;
     for (let attempts = 1; ; attempts++) {
       const result = await this.attempt(wish, recorder);
@@ -72,20 +72,20 @@
       const failure: RequestError = mayHaveRun
         ? withUnknownOutcome(result.failure)
         : result.failure;
-      if (!this.mayRetry(wish, result, attempts)) throw failure;
-      mayHaveRun = failure.run !== RunOutcome.NotRun;
+      if (!this.shouldRetry(wish, result, attempts)) throw failure;
+      mayHaveRun = failure.run !== RequestExecution.NotRun;
     }
   }
 
   private async attempt(
-    wish: SlotWish,
+    wish: RoutedRequest,
     recorder: HeldAnswerRecorder | undefined,
   ): Promise<AttemptResult> {
     let slot: HeldSlot;
     try {
       slot = await this.acquire(wish);
     } catch (error) {
-      if (error instanceof RequestError) return notBegun(error);
+      if (error instanceof RequestError) return exchangeNotStarted(error);
       throw error;
     }
     try {
@@ -96,8 +96,8 @@
   }
 
   /** The list or a drain may have changed since the choice, while the request waited. */
-  private async acquire(wish: SlotWish): Promise<HeldSlot> {
-    for (let lost = 0; lost < MOST_LOST_SLOTS; lost++) {
+  private async acquire(wish: RoutedRequest): Promise<HeldSlot> {
+    for (let lost = 0; lost < MAXIMUM_UNROUTABLE_SLOTS; lost++) {
       const slot = await this.dependencies.serviceRouter.acquire(wish);
       if (slot.isRoutable()) return slot;
       slot.release();
@@ -106,50 +106,61 @@
   }
 
   private async exchange(
-    wish: SlotWish,
+    wish: RoutedRequest,
     recorder: HeldAnswerRecorder | undefined,
     slot: HeldSlot,
   ): Promise<AttemptResult> {
-    const {request, side: caller} = wish;
+    const {request, responseWriter: caller} = wish;
     const {clock, targetTransport} = this.dependencies;
-    if (caller.isGone) return notBegun(callerGone(RunOutcome.NotRun));
+    if (caller.isCallerGone)
+      return exchangeNotStarted(callerGoneError(RequestExecution.NotRun));
     const start = clock.monotonicMilliseconds();
-    const headMilliseconds = Math.ceil(request.deadline - start);
-    if (headMilliseconds <= 0) {
+    const responseHeadTimeoutMilliseconds = Math.ceil(request.deadline - start);
+    if (responseHeadTimeoutMilliseconds <= 0) {
       const detail = 'the deadline has passed';
-      return notBegun(new RequestError(ErrorKind.QueueTimeout, detail));
+      return exchangeNotStarted(
+        new RequestError(ErrorKind.QueueTimeout, detail),
+      );
     }
     wish.tried ??= new Set();
     wish.tried.add(slot.id);
-    const forwarder = new AnswerForwarder(caller, recorder, clock);
+    const forwarder = new ResponseForwarder(caller, recorder, clock);
     const {method, path, headers, body, idempotent} = request;
-    const exchange = targetTransport.begin(
+    const exchange = targetTransport.startExchange(
       slot,
-      {method, path, headers, body, idempotent, headMilliseconds},
+      {
+        method,
+        path,
+        headers,
+        body,
+        idempotent,
+        responseHeadTimeoutMilliseconds: responseHeadTimeoutMilliseconds,
+      },
       forwarder,
     );
     // A non-idempotent request that a target may be running is not stopped by closing its
     // connection. Freeing the slot while the target still works would give it more than its
     // slots, and the answer, once it comes, serves the caller's retry under the same key.
     caller.attach(exchange, !idempotent);
-    const result = resultOf(await exchange.done, forwarder, caller);
-    const end = forwarder.headAt ?? clock.monotonicMilliseconds();
+    const result = toAttemptResult(await exchange.done, forwarder, caller);
+    const end = forwarder.headReceivedAt ?? clock.monotonicMilliseconds();
     if (result.outcome !== undefined) {
       slot.report({
         kind: result.outcome,
         latencyMilliseconds: end - start,
-        leaving: forwarder.saysLeaving,
+        leaving: forwarder.isTargetLeaving,
       });
     }
     return result;
   }
 
-  private mayRetry(
-    {request, side: caller}: SlotWish,
+  private shouldRetry(
+    {request, responseWriter: caller}: RoutedRequest,
     {outcome, sent}: AttemptResult,
     attempts: number,
   ): boolean {
-    if (outcome === undefined || caller.isGone || caller.hasHead) return false;
+    if (outcome === undefined || caller.isCallerGone || caller.hasSentHead)
+      return false;
     if (!canBeSentAgain(request.body)) return false;
     const now = this.dependencies.clock.monotonicMilliseconds();
     if (now >= request.deadline) return false;
@@ -159,18 +170,18 @@
       service,
       question,
     );
-    return verdict === RetryVerdict.Retry;
+    return verdict === RetryDecision.Retry;
   }
 }
 
 /** A request as the router sees it. */
-class SlotWish implements AcquireRequest {
+class RoutedRequest implements AcquireRequest {
   /** Undefined on the first attempt. */
   tried: Set<string> | undefined;
 
   constructor(
-    readonly request: ReadyRequest,
-    readonly side: CallerSide,
+    readonly request: DispatchableRequest,
+    readonly responseWriter: CallerResponseWriter,
   ) {}
 
   get service(): string {
@@ -195,7 +206,7 @@
 
   /** Made only when the router asks, that is, when the request has to wait. */
   get signal(): AbortSignal {
-    return this.side.goneSignal;
+    return this.responseWriter.callerGoneSignal;
   }
 }
 
--- a/packages/plugin-caller-http/src/request-handler.ts
+++ b/packages/plugin-caller-http/src/request-handler.ts
@@ -4,18 +4,18 @@
   LogEvent,
   MetricName,
   RequestError,
-  RunOutcome,
+  RequestExecution,
   type Clock,
   type DecisionJournal,
   type Logger,
   type Metrics,
   type OutgoingBody,
-  resolveNow,
+  resolveDependencies,
 } from '@gentiandoor/kernel';
 import {BodyReader} from './body-reader.js';
 import type {CallerHttpOptions} from './caller-http-options.js';
-import {CallerSide} from './caller-side.js';
-import {answerError, toRequestError} from './error-answer.js';
+import {CallerResponseWriter} from './caller-response-writer.js';
+import {sendErrorResponse, toRequestError} from './error-response.js';
 import {
   isKeyed,
   type HeadCheck,
@@ -38,11 +38,11 @@
 }
 
 /** A request under way, for the connection's own errors. */
-export class RequestUnderWay {
+export class InFlightRequest {
   /** Undefined until the request's body is read, and for one without a body. */
-  reader: BodyReader | undefined;
+  bodyReader: BodyReader | undefined;
   /** Undefined until the head has been checked. */
-  caller: CallerSide | undefined;
+  responseWriter: CallerResponseWriter | undefined;
   /** Undefined until the head has been checked. */
   service: string | undefined;
   /** Undefined until the head has been checked. */
@@ -50,7 +50,7 @@
   /** True once it was asked what became of earlier requests with the same key. */
   isKeyLookedUp = false;
   /** True once the caller was told that the connection closes behind this answer. */
-  isClosing = false;
+  isConnectionClosing = false;
   private failure: RequestError | undefined;
 
   constructor(
@@ -58,23 +58,23 @@
     readonly response: ServerResponse,
     /** Whether the caller waits for `100 Continue` before it sends the body. */
     readonly expectsContinue: boolean,
-    private readonly shouldClose: (item: RequestUnderWay) => boolean,
+    private readonly shouldCloseConnection: (item: InFlightRequest) => boolean,
   ) {}
 
   /** Decides, as the head of the answer goes out, whether the connection closes behind it. */
-  closes(): boolean {
-    this.isClosing ||= this.shouldClose(this);
-    return this.isClosing;
+  decideConnectionClose(): boolean {
+    this.isConnectionClosing ||= this.shouldCloseConnection(this);
+    return this.isConnectionClosing;
   }
 
   /** The connection failed within the request's body. */
   fail(error: RequestError): void {
     this.failure ??= error;
-    this.reader?.fail(error);
+    this.bodyReader?.fail(error);
   }
 
   /** Throws what `fail` was given. */
-  check(): void {
+  throwIfFailed(): void {
     if (this.failure) throw this.failure;
   }
 }
@@ -82,10 +82,10 @@
 /** Takes one request from its head to the end of its answer. */
 export class RequestHandler {
   private readonly dependencies: RequestHandlerDependencies;
-  private readonly refusals: RefusalJournal;
+  private readonly refusalJournal: RefusalJournal;
 
   constructor(dependencies: RequestHandlerDependencies) {
-    this.dependencies = resolveNow(
+    this.dependencies = resolveDependencies(
       dependencies,
       'clock',
       'logger',
@@ -97,26 +97,29 @@
       'decisionJournal',
     );
     const {clock, decisionJournal} = this.dependencies;
-    this.refusals = new RefusalJournal(clock, decisionJournal);
+    this.refusalJournal = new RefusalJournal(clock, decisionJournal);
   }
 
   /** Never throws: whatever happens, the caller is answered or cut off. */
-  async handle(underWay: RequestUnderWay): Promise<void> {
+  async handle(underWay: InFlightRequest): Promise<void> {
     const {clock, metrics} = this.dependencies;
     const start = clock.monotonicMilliseconds();
     try {
-      const service = await this.serve(underWay, start);
+      const service = await this.respond(underWay, start);
       const taken = clock.monotonicMilliseconds() - start;
       metrics.increment(MetricName.Requests, {service});
       metrics.timing(MetricName.RequestDuration, taken, {service});
     } catch (error) {
-      this.refuse(underWay, withDoubt(toRequestError(error), underWay));
+      this.respondWithError(
+        underWay,
+        withUnknownOutcomeBeforeKeyLookup(toRequestError(error), underWay),
+      );
     }
   }
 
   /** Resolves with the service's name when the caller has a whole answer. */
-  private async serve(
-    underWay: RequestUnderWay,
+  private async respond(
+    underWay: InFlightRequest,
     start: number,
   ): Promise<string> {
     const {callerHttpOptions, clock, headCheck} = this.dependencies;
@@ -124,16 +127,16 @@
     const incoming = headCheck.check(request);
     underWay.idempotent = incoming.idempotent;
     underWay.service = incoming.service;
-    const caller = new CallerSide(response, {
+    const caller = new CallerResponseWriter(response, {
       clock,
-      closes: () => underWay.closes(),
-      progressMilliseconds: callerHttpOptions.progress_milliseconds,
+      shouldCloseConnection: () => underWay.decideConnectionClose(),
+      progressTimeoutMilliseconds: callerHttpOptions.progress_milliseconds,
     });
-    underWay.caller = caller;
+    underWay.responseWriter = caller;
     const body = hasBody(request)
       ? await this.readBody(underWay, incoming)
       : null;
-    const deadline = start + incoming.entry.deadlineMilliseconds;
+    const deadline = start + incoming.serviceEntry.deadlineMilliseconds;
     const ready = {...incoming, body, deadline};
     const {keyedRequests, requestDispatcher} = this.dependencies;
     const key = incoming.idempotencyKey;
@@ -144,7 +147,7 @@
   }
 
   private readBody(
-    underWay: RequestUnderWay,
+    underWay: InFlightRequest,
     incoming: IncomingRequest,
   ): Promise<OutgoingBody> {
     const {callerHttpOptions: options, clock} = this.dependencies;
@@ -153,27 +156,30 @@
     const reader = new BodyReader(
       request,
       {
-        bufferedBytes: keyed
+        maximumBufferedBytes: keyed
           ? options.keyed_body_bytes
           : options.buffered_body_bytes,
-        totalBytes: keyed
+        maximumBytes: keyed
           ? Math.min(options.keyed_body_bytes, options.body_bytes)
           : options.body_bytes,
-        progressMilliseconds: options.progress_milliseconds,
+        progressTimeoutMilliseconds: options.progress_milliseconds,
       },
       clock,
     );
-    underWay.reader = reader;
-    underWay.check();
+    underWay.bodyReader = reader;
+    underWay.throwIfFailed();
     if (underWay.expectsContinue) underWay.response.writeContinue();
     return reader.read();
   }
 
-  private refuse(underWay: RequestUnderWay, error: RequestError): void {
+  private respondWithError(
+    underWay: InFlightRequest,
+    error: RequestError,
+  ): void {
     const {logger, metrics} = this.dependencies;
     metrics.increment(MetricName.Refusals, {reason: error.kind});
     if (underWay.service !== undefined)
-      this.refusals.note(underWay.service, error);
+      this.refusalJournal.record(underWay.service, error);
     if (error.kind === ErrorKind.Internal) {
       logger.error(LogEvent.RequestInternalError, {error: error.message});
     } else {
@@ -184,14 +190,18 @@
     }
     // The caller may or may not send the body that it was not asked for: only a new
     // connection makes clear where the next request begins.
-    const unasked = underWay.expectsContinue && !underWay.reader;
-    if (unasked) underWay.isClosing = true;
-    answerError(underWay.response, error, underWay.closes());
+    const unasked = underWay.expectsContinue && !underWay.bodyReader;
+    if (unasked) underWay.isConnectionClosing = true;
+    sendErrorResponse(
+      underWay.response,
+      error,
+      underWay.decideConnectionClose(),
+    );
   }
 }
 
 /** Refusals that an earlier, well-formed try of the same request need not have met. */
-const MET_BY_CHANCE: ReadonlySet<ErrorKind> = new Set([
+const TRANSIENT_REFUSALS: ReadonlySet<ErrorKind> = new Set([
   ErrorKind.NoBundle,
   ErrorKind.UnknownService,
   ErrorKind.UnknownCaller,
@@ -203,15 +213,16 @@
  * just started refuses a retry before it knows the key, while the first try was run elsewhere:
  * the work would run twice. So it says "unknown" of a key that it has not looked up.
  */
-function withDoubt(
+function withUnknownOutcomeBeforeKeyLookup(
   error: RequestError,
-  underWay: RequestUnderWay,
+  underWay: InFlightRequest,
 ): RequestError {
-  const isCertain = error.run !== RunOutcome.NotRun || underWay.isKeyLookedUp;
-  if (isCertain || !MET_BY_CHANCE.has(error.kind)) return error;
+  const isCertain =
+    error.run !== RequestExecution.NotRun || underWay.isKeyLookedUp;
+  if (isCertain || !TRANSIENT_REFUSALS.has(error.kind)) return error;
   if (!isKeyed(underWay.request)) return error;
   return new RequestError(error.kind, error.message, {
-    run: RunOutcome.Unknown,
+    run: RequestExecution.Unknown,
     retryAfterSeconds: error.retryAfterSeconds,
     cause: error,
   });
--- a/packages/plugin-caller-http/src/answer-forwarder.ts
+++ b/packages/plugin-caller-http/src/response-forwarder.ts
@@ -1,7 +1,11 @@
-import {RunOutcome, type AnswerSink, type Clock} from '@gentiandoor/kernel';
-import type {CallerSide} from './caller-side.js';
-import {RUN_HEADER} from './error-answer.js';
-import {endToEndHeaders, valuesOf} from './headers.js';
+import {
+  RequestExecution,
+  type ResponseSink,
+  type Clock,
+} from '@gentiandoor/kernel';
+import type {CallerResponseWriter} from './caller-response-writer.js';
+import {RUN_HEADER} from './error-response.js';
+import {endToEndHeaders, headerValues} from './headers.js';
 import type {HeldAnswerRecorder} from './held-answer-recorder.js';
 
 /** A target's word that it is leaving: it gets no new work from then on. */
@@ -15,53 +19,55 @@
 }
 
 /** Passes one target's answer to the caller, unless the target says that it ran nothing. */
-export class AnswerForwarder implements AnswerSink {
+export class ResponseForwarder implements ResponseSink {
   /** Set when the target answered that it did not run the request. */
   refusal: TargetRefusal | undefined;
   /** Status of the answer; 0 before its head. */
   status = 0;
   /** Monotonic milliseconds at which the head came. */
-  headAt: number | undefined;
+  headReceivedAt: number | undefined;
   /** Whether the target said that it takes no new work any more. */
-  saysLeaving = false;
+  isTargetLeaving = false;
 
   constructor(
-    private readonly caller: CallerSide,
+    private readonly responseWriter: CallerResponseWriter,
     private readonly recorder: HeldAnswerRecorder | undefined,
     private readonly clock: Clock,
   ) {}
 
   onHead(status: number, headers: readonly string[]): void {
     this.status = status;
-    this.headAt = this.clock.monotonicMilliseconds();
-    this.saysLeaving = valuesOf(headers, LEAVING_HEADER).includes('yes');
+    this.headReceivedAt = this.clock.monotonicMilliseconds();
+    this.isTargetLeaving = headerValues(headers, LEAVING_HEADER).includes(
+      'yes',
+    );
     if (status === SERVICE_UNAVAILABLE && saysNotRun(headers)) {
-      this.refusal = {retryAfterSeconds: retryAfter(headers)};
+      this.refusal = {retryAfterSeconds: parseRetryAfter(headers)};
       return;
     }
     const kept = endToEndHeaders(headers);
-    this.recorder?.head(status, kept);
-    this.caller.head(status, kept);
+    this.recorder?.recordHead(status, kept);
+    this.responseWriter.writeHead(status, kept);
   }
 
   onData(chunk: Buffer): boolean {
     if (this.refusal) return true;
-    this.recorder?.data(chunk);
-    return this.caller.data(chunk);
+    this.recorder?.recordData(chunk);
+    return this.responseWriter.writeData(chunk);
   }
 
   onEnd(trailers: readonly string[]): void {
-    if (!this.refusal) this.caller.end(trailers);
+    if (!this.refusal) this.responseWriter.end(trailers);
   }
 }
 
 function saysNotRun(headers: readonly string[]): boolean {
-  const values = valuesOf(headers, RUN_HEADER);
-  return values.length === 1 && values[0].trim() === RunOutcome.NotRun;
+  const values = headerValues(headers, RUN_HEADER);
+  return values.length === 1 && values[0].trim() === RequestExecution.NotRun;
 }
 
-function retryAfter(headers: readonly string[]): number | undefined {
-  const [value] = valuesOf(headers, 'retry-after');
+function parseRetryAfter(headers: readonly string[]): number | undefined {
+  const [value] = headerValues(headers, 'retry-after');
   return value !== undefined && /^\d{1,6}$/.test(value)
     ? Number(value)
     : undefined;
--- a/packages/plugin-caller-http/src/router-drain.ts
+++ b/packages/plugin-caller-http/src/router-drain.ts
@@ -6,7 +6,7 @@
 } from '@gentiandoor/shared-state';
 import type {ServiceRouter} from './service-router.js';
 
-const LOOK_MILLISECONDS = 20;
+const POLL_MILLISECONDS = 20;
 
 /** What the drain needs. */
 export interface RouterDrainDependencies {
@@ -24,9 +24,9 @@
   constructor(private readonly dependencies: RouterDrainDependencies) {}
 
   async stopRouting(vm: string, signal: AbortSignal): Promise<void> {
-    while (!this.hasLetGo(vm)) {
+    while (!this.hasStoppedRouting(vm)) {
       if (signal.aborted) throw new Error(`the drain of ${vm} has ended`);
-      await sleep(this.dependencies.clock, LOOK_MILLISECONDS, signal);
+      await sleep(this.dependencies.clock, POLL_MILLISECONDS, signal);
     }
   }
 
@@ -34,7 +34,7 @@
     return new Set(this.dependencies.serviceRouter.ejectedVms());
   }
 
-  private hasLetGo(vm: string): boolean {
+  private hasStoppedRouting(vm: string): boolean {
     const {sharedState, serviceRouter} = this.dependencies;
     const isDrained = sharedState.state.vms.get(vm)?.drainReason !== undefined;
     return isDrained && !serviceRouter.isRouting(vm);
--- a/packages/plugin-caller-http/src/routing-events.ts
+++ b/packages/plugin-caller-http/src/routing-events.ts
@@ -7,17 +7,17 @@
 } from '@gentiandoor/kernel';
 import {
   SpillReason,
-  TargetStanding,
-  type StandingChange,
+  EjectionState,
+  type EjectionStateChange,
 } from '@gentiandoor/decisions';
 
 /** A spill is noted again after this long without one. */
-const SPILL_PAUSE_MILLISECONDS = 10_000;
+const SPILL_QUIET_MILLISECONDS = 10_000;
 
-const CAUSE_OF_SPILL: Readonly<Record<SpillReason, string>> = {
-  [SpillReason.NearFull]:
+const CAUSE_BY_SPILL_REASON: Readonly<Record<SpillReason, string>> = {
+  [SpillReason.DataCentreFull]:
     'every slot in this data centre that this daemon may use is taken',
-  [SpillReason.NearGone]: 'no VM in this data centre can be used',
+  [SpillReason.DataCentreUnavailable]: 'no VM in this data centre can be used',
 };
 
 /** Tells metrics and `explain` what one pool's routing decided. */
@@ -35,7 +35,7 @@
   onSpill(reason: SpillReason): void {
     this.metrics.increment(MetricName.Spills, {reason});
     const now = this.clock.monotonicMilliseconds();
-    const begins = now - this.lastSpillAt > SPILL_PAUSE_MILLISECONDS;
+    const begins = now - this.lastSpillAt > SPILL_QUIET_MILLISECONDS;
     this.lastSpillAt = now;
     if (!begins) return;
     this.journal.record({
@@ -43,16 +43,22 @@
       id: this.pool,
       decision: 'send work to VMs in other data centres',
       rule: 'near-before-far',
-      cause: CAUSE_OF_SPILL[reason],
+      cause: CAUSE_BY_SPILL_REASON[reason],
       evidence: {reason},
     });
   }
 
   /** A VM was ejected, or came back. */
-  onStanding(change: StandingChange): void {
-    const {to, from, outMilliseconds, failuresInARow, failureShare} = change;
+  onEjectionStateChange(change: EjectionStateChange): void {
+    const {
+      to,
+      from,
+      ejectionMilliseconds: outMilliseconds,
+      failuresInARow,
+      failureShare,
+    } = change;
     this.metrics.increment(MetricName.StandingChanges, {standing: to});
-    const isOut = to === TargetStanding.Ejected;
+    const isOut = to === EjectionState.Ejected;
     this.journal.record({
       subject: SubjectKind.Vm,
       id: change.target,
--- a/packages/plugin-caller-http/src/service-router.ts
+++ b/packages/plugin-caller-http/src/service-router.ts
@@ -5,15 +5,15 @@
   type TargetAddress,
 } from '@gentiandoor/kernel';
 import {
-  PeerShare,
+  PeerAwareLimiter,
   RetryBudget,
-  RetryVerdict,
+  RetryDecision,
   SharedTeamQuota,
   WorkLength,
   type PoolSlot,
-  type RetryQuestion,
+  type FailedAttempt,
   type TargetOutcome,
-  type TeamTerms,
+  type TeamPolicy,
 } from '@gentiandoor/decisions';
 import {
   WorkClass,
@@ -21,9 +21,13 @@
   type PeerLinks,
   type ServiceEntry,
 } from '@gentiandoor/shared-state';
-import {LoadSummaries} from './load-summaries.js';
-import {PendingAsk, RoutedSlot, type AskTerms} from './pending-ask.js';
-import {VmExchanges} from './vm-exchanges.js';
+import {LoadSummaryBroadcaster} from './load-summary-broadcaster.js';
+import {
+  PendingSlotRequest,
+  RoutedSlot,
+  type SlotRequestFields,
+} from './pending-slot-request.js';
+import {VmExchangeCounter} from './vm-exchange-counter.js';
 import {PoolTable, type PoolTableDependencies} from './pool-table.js';
 
 /** A request that asks for a target. */
@@ -64,39 +68,39 @@
   readonly peerLinks: PeerLinks;
 }
 
-const WORK_OF_CLASS: Readonly<Record<WorkClass, WorkLength>> = {
+const WORK_LENGTH_BY_CLASS: Readonly<Record<WorkClass, WorkLength>> = {
   [WorkClass.Short]: WorkLength.Short,
   [WorkClass.Long]: WorkLength.Long,
 };
 /** All callers that the bundle does not name are one team and one caller together. */
-const UNNAMED_TEAM: TeamTerms = {
+const ANONYMOUS_TEAM: TeamPolicy = {
   name: '',
   weight: 1,
   slots: Number.MAX_SAFE_INTEGER,
   urgent: false,
 };
-const UNNAMED_CALLER = '';
+const ANONYMOUS_CALLER = '';
 /** A quota of less than one slot a daemon leaves some daemons none. */
-const SMALLEST_QUOTA_PART = 0;
+const MINIMUM_QUOTA_SLOTS = 0;
 
 /** Finds a target with a free slot for a request, or makes the request wait. */
 export class ServiceRouter {
   private readonly pools: PoolTable;
-  private readonly summaries: LoadSummaries;
-  private readonly retries = new Map<string, RetryBudget>();
-  private readonly exchanges = new VmExchanges();
+  private readonly loadSummaryBroadcaster: LoadSummaryBroadcaster;
+  private readonly retryBudgets = new Map<string, RetryBudget>();
+  private readonly exchangesByVm = new VmExchangeCounter();
   /** Exchanges in flight by service. */
-  private readonly inFlight = new Map<string, number>();
+  private readonly inFlightByService = new Map<string, number>();
 
   constructor(private readonly dependencies: ServiceRouterDependencies) {
     const {clock, identity, peerLinks} = dependencies;
     const self = identity.incarnation;
-    const quotaShare = new PeerShare(clock, self, SMALLEST_QUOTA_PART);
+    const quotaShare = new PeerAwareLimiter(clock, self, MINIMUM_QUOTA_SLOTS);
     const quota = new SharedTeamQuota(quotaShare);
     this.pools = new PoolTable(dependencies, quota, () =>
-      this.summaries.hurry(),
+      this.loadSummaryBroadcaster.sendEarly(),
     );
-    this.summaries = new LoadSummaries(
+    this.loadSummaryBroadcaster = new LoadSummaryBroadcaster(
       clock,
       peerLinks,
       this.pools,
@@ -118,10 +122,10 @@
    * Whether a failed attempt may go to another target; counts the retry. On `Retry` call `acquire`
    * again with the failed target in `tried`.
    */
-  judgeRetry(service: string, question: RetryQuestion): RetryVerdict {
+  judgeRetry(service: string, question: FailedAttempt): RetryDecision {
     const {metrics} = this.dependencies;
-    const verdict = this.retriesOf(service).judge(question);
-    if (verdict === RetryVerdict.Retry) {
+    const verdict = this.retryBudgetOf(service).decide(question);
+    if (verdict === RetryDecision.Retry) {
       metrics.increment(MetricName.Retries, {reason: question.kind});
     } else {
       metrics.increment(MetricName.RetriesDenied, {reason: verdict});
@@ -132,69 +136,80 @@
   /** Resolves with a slot, or rejects with the `RequestError` that turned the request away. */
   acquire(request: AcquireRequest): Promise<HeldSlot> {
     const service = this.service(request.service);
-    const pool = this.pools.use(service.pool);
-    if (!request.tried) this.retriesOf(request.service).onFirstAttempt();
-    this.summaries.wake();
+    const pool = this.pools.getOrCreate(service.pool);
+    if (!request.tried) this.retryBudgetOf(request.service).onFirstAttempt();
+    this.loadSummaryBroadcaster.start();
     return new Promise((resolve, reject) => {
-      const ask = new PendingAsk(
-        this.termsOf(request, service),
-        slot => resolve(this.hold(request.service, slot)),
+      const ask = new PendingSlotRequest(
+        this.slotRequestFieldsOf(request, service),
+        slot => resolve(this.toHeldSlot(request.service, slot)),
         reject,
       );
       pool.acquire(ask);
-      if (ask.isWaiting) ask.cancelOn(request.signal, pool);
+      if (ask.isWaiting) ask.cancelOnAbort(request.signal, pool);
     });
   }
 
-  private termsOf(request: AcquireRequest, service: ServiceEntry): AskTerms {
+  private slotRequestFieldsOf(
+    request: AcquireRequest,
+    service: ServiceEntry,
+  ): SlotRequestFields {
     const now = this.dependencies.clock.monotonicMilliseconds();
     const latest = now + service.waitMilliseconds;
     return {
       service: request.service,
       queueLimit: service.queueLimit,
-      work: WORK_OF_CLASS[service.workClass],
-      team: this.teamOf(request),
-      caller: request.caller ?? UNNAMED_CALLER,
+      work: WORK_LENGTH_BY_CLASS[service.workClass],
+      team: this.teamPolicyOf(request),
+      caller: request.caller ?? ANONYMOUS_CALLER,
       idempotent: request.idempotent ?? false,
       tried: request.tried,
-      enteredAt: now,
+      enqueuedAt: now,
       deadline: Math.min(latest, request.deadline ?? latest),
     };
   }
 
-  private teamOf({caller, team}: AcquireRequest): TeamTerms {
+  private teamPolicyOf({caller, team}: AcquireRequest): TeamPolicy {
     const {callers, teams} = this.bundle();
-    const name = team ?? callers[caller ?? UNNAMED_CALLER]?.team;
+    const name = team ?? callers[caller ?? ANONYMOUS_CALLER]?.team;
     const entry = name === undefined ? undefined : teams[name];
-    return name === undefined || !entry ? UNNAMED_TEAM : {name, ...entry};
+    return name === undefined || !entry ? ANONYMOUS_TEAM : {name, ...entry};
   }
 
-  private hold(service: string, slot: PoolSlot): HeldSlot {
+  private toHeldSlot(service: string, slot: PoolSlot): HeldSlot {
     const vm = slot.target.id;
-    this.inFlight.set(service, (this.inFlight.get(service) ?? 0) + 1);
-    this.exchanges.begin(vm);
+    this.inFlightByService.set(
+      service,
+      (this.inFlightByService.get(service) ?? 0) + 1,
+    );
+    this.exchangesByVm.begin(vm);
     return new RoutedSlot(slot, () => {
-      this.inFlight.set(service, (this.inFlight.get(service) ?? 1) - 1);
-      this.exchanges.end(vm);
+      this.inFlightByService.set(
+        service,
+        (this.inFlightByService.get(service) ?? 1) - 1,
+      );
+      this.exchangesByVm.end(vm);
     });
   }
 
   /** Whether a pool has the VM among its targets, or an exchange is in flight there. */
   isRouting(vm: string): boolean {
-    if (this.exchanges.of(vm) > 0) return true;
-    return [...this.pools.all()].some(([, pool]) => pool.has(vm));
+    if (this.exchangesByVm.countOf(vm) > 0) return true;
+    return [...this.pools.entries()].some(([, pool]) => pool.has(vm));
   }
 
   /** VMs that get no work because of their failures. */
   ejectedVms(): string[] {
-    return [...this.pools.all()].flatMap(([, pool]) => pool.ejected());
+    return [...this.pools.entries()].flatMap(([, pool]) =>
+      pool.ejectedTargets(),
+    );
   }
 
-  private retriesOf(service: string): RetryBudget {
-    const known = this.retries.get(service);
+  private retryBudgetOf(service: string): RetryBudget {
+    const known = this.retryBudgets.get(service);
     if (known) return known;
     const budget = new RetryBudget(this.dependencies.clock);
-    this.retries.set(service, budget);
+    this.retryBudgets.set(service, budget);
     return budget;
   }
 
@@ -208,9 +223,9 @@
   private writeGauges(): void {
     const {metrics, sharedState} = this.dependencies;
     const services = sharedState.state.inForce?.bundle.services ?? {};
-    for (const [service, inFlight] of this.inFlight) {
+    for (const [service, inFlight] of this.inFlightByService) {
       const pool = this.pools.get(services[service]?.pool ?? '');
-      const waiting = pool?.waitingOf(service) ?? 0;
+      const waiting = pool?.waitingForService(service) ?? 0;
       metrics.gauge(MetricName.InFlight, inFlight, {service});
       metrics.gauge(MetricName.QueueLength, waiting, {service});
     }
--- a/packages/plugin-caller-http/src/vm-exchanges.ts
+++ b/packages/plugin-caller-http/src/vm-exchange-counter.ts
@@ -1,18 +1,18 @@
 /** Exchanges that this daemon has in flight on each VM, whatever pool they came from. */
-export class VmExchanges {
+export class VmExchangeCounter {
   private readonly counts = new Map<string, number>();
 
   begin(vm: string): void {
-    this.counts.set(vm, this.of(vm) + 1);
+    this.counts.set(vm, this.countOf(vm) + 1);
   }
 
   end(vm: string): void {
-    const left = this.of(vm) - 1;
+    const left = this.countOf(vm) - 1;
     if (left > 0) this.counts.set(vm, left);
     else this.counts.delete(vm);
   }
 
-  of(vm: string): number {
+  countOf(vm: string): number {
     return this.counts.get(vm) ?? 0;
   }
 }
--- a/packages/plugin-fleet/src/__tests__/path-calls.ts
+++ b/packages/plugin-fleet/src/__tests__/admin-path-calls.ts
@@ -1,5 +1,5 @@
 import assert from 'node:assert/strict';
-import {AdminMethod, type AdminAnswer} from '@gentiandoor/kernel';
+import {AdminMethod, type AdminResponse} from '@gentiandoor/kernel';
 import type {FleetPath} from '../admin-shapes.js';
 import type {FleetHarness} from './fleet-harness.js';
 
@@ -10,7 +10,7 @@
   path: FleetPath,
   input: {readonly query?: Record<string, string>; readonly body?: unknown},
   daemon = 0,
-): Promise<AdminAnswer> {
+): Promise<AdminResponse> {
   const handler = fleet.daemons[daemon].routes.find(method, path);
   assert.ok(handler);
   const {query = {}, body} = input;
@@ -24,7 +24,7 @@
   fleet: FleetHarness,
   path: FleetPath,
   body: unknown,
-): Promise<AdminAnswer> {
+): Promise<AdminResponse> {
   return call(fleet, AdminMethod.Post, path, {body});
 }
 
@@ -33,6 +33,6 @@
   fleet: FleetHarness,
   path: FleetPath,
   query: Record<string, string> = {},
-): Promise<AdminAnswer> {
+): Promise<AdminResponse> {
   return call(fleet, AdminMethod.Get, path, {query});
 }
--- a/packages/plugin-fleet/src/__tests__/admin-paths.test.ts
+++ b/packages/plugin-fleet/src/__tests__/admin-paths.test.ts
@@ -4,7 +4,7 @@
 import {LogFault, SWAN_COAST} from '@gentiandoor/stand-ins';
 import {FleetPath, type ExplainBody, type VmBody} from '../admin-shapes.js';
 import {FleetHarness} from './fleet-harness.js';
-import {call, get, post} from './path-calls.js';
+import {call, get, post} from './admin-path-calls.js';
 
 const DRAIN = {vm: 'admin-1', reason: 'disk', operator: 'moana'};
 
@@ -79,10 +79,10 @@
         wave: 'wave-1',
         reason: 'kernel update',
       });
-      await fleet.until(() => fleet.state.work.size > 0);
+      await fleet.runUntil(() => fleet.state.work.size > 0);
       const [vm] = fleet.state.work.keys();
       const planning = fleet.daemons.findIndex(
-        daemon => daemon === fleet.planning,
+        daemon => daemon === fleet.planningDaemon,
       );
       const query = {subject: 'vm', id: vm};
       const answer = await call(
--- a/packages/plugin-fleet/src/__tests__/fleet-harness.ts
+++ b/packages/plugin-fleet/src/__tests__/fleet-harness.ts
@@ -25,8 +25,8 @@
   ListedState,
 } from '@gentiandoor/shared-state';
 import {
-  EXAMPLE_TRUST,
-  MemoryLeases,
+  EXAMPLE_TRUSTED_OPERATORS,
+  MemoryLeaseClient,
   MemoryLog,
   MemoryVmActions,
   MemoryVmList,
@@ -58,11 +58,11 @@
 const READ_MILLISECONDS = 2000;
 
 /** Follows the log of the stand-in by reading; a record's fate is what was read back. */
-class ReadingState implements SharedState {
-  readonly state = emptyFleetState(EXAMPLE_TRUST);
+class LogFollowingState implements SharedState {
+  readonly state = emptyFleetState(EXAMPLE_TRUSTED_OPERATORS);
   isLogReachable = true;
   /** While true nothing is read: the daemon is cut off from the log, or paused. */
-  isCutOff = false;
+  isDisconnected = false;
   private readonly awaited = new Map<string, (outcome: FoldOutcome) => void>();
   private readonly listeners: Array<() => void> = [];
 
@@ -82,7 +82,7 @@
       signal?.addEventListener('abort', () => reject(new Error('too late')));
     });
     judged.catch(() => undefined);
-    if (this.isCutOff) return judged;
+    if (this.isDisconnected) return judged;
     await this.log
       .append(StreamName.Fleet, [encodeRecord(record)])
       .catch((error: {failure?: string}) => {
@@ -97,7 +97,7 @@
 
   private async follow(clock: VirtualClock): Promise<void> {
     for (;;) {
-      const failed = this.isCutOff || !(await this.readOnce());
+      const failed = this.isDisconnected || !(await this.readOnce());
       if (failed) await sleep(clock, READ_MILLISECONDS);
     }
   }
@@ -108,7 +108,7 @@
       const from = this.state.nextOffset;
       const batch = await this.log.read(StreamName.Fleet, from, options);
       this.isLogReachable = true;
-      if (this.isCutOff) return false;
+      if (this.isDisconnected) return false;
       for (const payload of batch.payloads) this.apply(payload);
       return true;
     } catch {
@@ -126,7 +126,7 @@
 }
 
 /** A router whose exchanges the test holds open. */
-export class HeldRouting implements RoutingDrain {
+export class BlockableRoutingDrain implements RoutingDrain {
   /** VMs on which an exchange is in flight. */
   readonly busy = new Set<string>();
 
@@ -140,8 +140,8 @@
 
 /** A daemon's fleet part over the stand-ins. */
 export class FleetDaemon {
-  readonly shared: ReadingState;
-  readonly routing: HeldRouting;
+  readonly sharedState: LogFollowingState;
+  readonly routing: BlockableRoutingDrain;
   readonly journal: DecisionJournal;
   readonly routes = new AdminRoutes();
   readonly suspected = new Set<string>();
@@ -160,14 +160,14 @@
   ) {
     const {clock, log} = harness;
     const logger = new SilentLogger();
-    this.shared = new ReadingState(log, clock);
-    this.routing = new HeldRouting(clock);
+    this.sharedState = new LogFollowingState(log, clock);
+    this.routing = new BlockableRoutingDrain(clock);
     this.journal = new DecisionJournal(clock);
     const common = {
       clock,
       logger,
       identity,
-      sharedState: this.shared,
+      sharedState: this.sharedState,
       fleetOptions: OPTIONS,
       random: new SeededRandom(seed),
       decisionJournal: this.journal,
@@ -194,7 +194,7 @@
   }
 
   get state() {
-    return this.shared.state;
+    return this.sharedState.state;
   }
 
   async join(): Promise<void> {
@@ -209,7 +209,7 @@
 }
 
 /** Reads the stand-in's list as a daemon's edge would. */
-class ReadList implements VmList {
+class StandInVmList implements VmList {
   constructor(private readonly list: MemoryVmList) {}
 
   current(): ReadonlyMap<string, ListedVm> {
@@ -225,7 +225,7 @@
   }
 }
 
-const FINE: TaskBehaviour = {
+const SUCCESSFUL_TASK: TaskBehaviour = {
   runMilliseconds: 60_000,
   fails: false,
   usage: {processors: 1, memoryGigabytes: 1, accelerators: 0},
@@ -236,16 +236,16 @@
   readonly clock = new VirtualClock();
   readonly log = new MemoryLog(this.clock);
   readonly vmList = new MemoryVmList(this.clock);
-  readonly list = new ReadList(this.vmList);
+  readonly list = new StandInVmList(this.vmList);
   readonly actions = new MemoryVmActions(this.clock, this.vmList);
-  readonly leases: MemoryLeases;
+  readonly leases: MemoryLeaseClient;
   readonly daemons: FleetDaemon[] = [];
   /** What a task does; the test may change it. */
-  behaviour: (request: TaskRequest) => TaskBehaviour = () => FINE;
+  behaviour: (request: TaskRequest) => TaskBehaviour = () => SUCCESSFUL_TASK;
   private written = 0;
 
   private constructor(readonly deployment: ExampleDeployment) {
-    this.leases = new MemoryLeases(this.clock, request =>
+    this.leases = new MemoryLeaseClient(this.clock, request =>
       this.behaviour(request),
     );
   }
@@ -289,7 +289,7 @@
   }
 
   /** Writes a record as an operator and lets it be read. */
-  async operator(draft: object): Promise<void> {
+  async appendOperatorRecord(draft: object): Promise<void> {
     const id = `operator-${this.written++}`;
     await this.append({...draft, id, writer: 'moana'} as FleetRecord);
     await this.run(200);
@@ -297,11 +297,16 @@
 
   async startWave(wave = 'wave-1', scope = {}): Promise<void> {
     const reason = 'kernel update';
-    await this.operator({kind: RecordKind.WaveStarted, wave, reason, scope});
+    await this.appendOperatorRecord({
+      kind: RecordKind.WaveStarted,
+      wave,
+      reason,
+      scope,
+    });
   }
 
   /** The daemon that plans, as its own state says. */
-  get planning(): FleetDaemon | undefined {
+  get planningDaemon(): FleetDaemon | undefined {
     return this.daemons.find(daemon => {
       const planner = daemon.state.planner.get('planner');
       return planner?.holder === daemon.identity.incarnation;
@@ -317,7 +322,7 @@
   }
 
   /** Runs until the condition holds; fails after `limit` of virtual time. */
-  async until(
+  async runUntil(
     condition: () => boolean,
     limit = 3_600_000,
     step = 1000,
--- a/packages/plugin-fleet/src/__tests__/jobs.test.ts
+++ b/packages/plugin-fleet/src/__tests__/jobs.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {JobState, RecordKind, jobsOf} from '@gentiandoor/shared-state';
+import {JobState, RecordKind, jobIndexOf} from '@gentiandoor/shared-state';
 import {KINGSTON, LeaseFault} from '@gentiandoor/stand-ins';
 import {FleetHarness} from './fleet-harness.js';
 
@@ -20,7 +20,7 @@
   key: string,
   plan: JobPlan = {},
 ): Promise<void> {
-  await fleet.operator({
+  await fleet.appendOperatorRecord({
     kind: RecordKind.JobSubmitted,
     key,
     team: plan.team ?? 'cooperatives',
@@ -40,17 +40,21 @@
   it('run under a lease and finish', async () => {
     const fleet = await FleetHarness.start(KINGSTON);
     await submit(fleet, 'badge-1');
-    await fleet.until(() => job(fleet, 'badge-1')?.state === JobState.Finished);
-    assert.equal(fleet.leases.runs.get('badge-1/1'), 1);
+    await fleet.runUntil(
+      () => job(fleet, 'badge-1')?.state === JobState.Finished,
+    );
+    assert.equal(fleet.leases.startCounts.get('badge-1/1'), 1);
   });
 
   it('are the same job under the same key', async () => {
     const fleet = await FleetHarness.start(KINGSTON);
     await submit(fleet, 'badge-1');
-    await fleet.until(() => job(fleet, 'badge-1')?.state === JobState.Finished);
+    await fleet.runUntil(
+      () => job(fleet, 'badge-1')?.state === JobState.Finished,
+    );
     await submit(fleet, 'badge-1');
     await fleet.run(5 * MINUTE);
-    assert.deepEqual([...fleet.leases.runs], [['badge-1/1', 1]]);
+    assert.deepEqual([...fleet.leases.startCounts], [['badge-1/1', 1]]);
   });
 
   // The tailor waits at the counter. The job comes right after a planning round; the next is up
@@ -61,7 +65,11 @@
       const key = `preview-${n}`;
       const started = `${key}/1`;
       await submit(fleet, key, {team: 'counter'});
-      await fleet.until(() => fleet.leases.runs.has(started), 1700, 100);
+      await fleet.runUntil(
+        () => fleet.leases.startCounts.has(started),
+        1700,
+        100,
+      );
       await fleet.run(137);
     }
   });
@@ -91,10 +99,10 @@
       const fleet = await FleetHarness.start(KINGSTON);
       for (let n = 0; n < 150; n++) await submit(fleet, `night-${n}`);
       await submit(fleet, 'preview', {team: 'counter'});
-      await fleet.until(
+      await fleet.runUntil(
         () => job(fleet, 'preview')?.state === JobState.Finished,
       );
-      const waiting = jobsOf(fleet.state).queued('crest-works');
+      const waiting = jobIndexOf(fleet.state).queuedCountOfPool('crest-works');
       assert.ok(waiting > 0, 'the night was over before the preview');
     });
   });
@@ -111,62 +119,62 @@
         usage: SMALL,
       });
       await submit(fleet, 'billing-1', {idempotent: false});
-      await fleet.until(() => fleet.leases.runs.size === 1);
+      await fleet.runUntil(() => fleet.leases.startCounts.size === 1);
       fleet.leases.faults.add(LeaseFault.Outage);
       await fleet.run(5 * MINUTE);
       fleet.leases.faults.delete(LeaseFault.Outage);
       await fleet.run(30 * MINUTE);
       assert.equal(job(fleet, 'billing-1')?.state, JobState.OutcomeUnknown);
-      assert.deepEqual([...fleet.leases.runs], [['billing-1/1', 1]]);
+      assert.deepEqual([...fleet.leases.startCounts], [['billing-1/1', 1]]);
     });
 
     // Each answer of the platform is lost: the start took effect. The same id again is the same
     // task, and it runs once.
     it('run once when every answer of the platform is lost', async () => {
       const fleet = await FleetHarness.start(KINGSTON);
-      fleet.leases.faults.add(LeaseFault.LostAnswers);
+      fleet.leases.faults.add(LeaseFault.LostResponses);
       await submit(fleet, 'billing-1', {idempotent: false});
-      await fleet.until(
+      await fleet.runUntil(
         () => job(fleet, 'billing-1')?.state !== JobState.Placed,
         30 * MINUTE,
       );
       await fleet.run(5 * MINUTE);
-      assert.deepEqual([...fleet.leases.runs], [['billing-1/1', 1]]);
+      assert.deepEqual([...fleet.leases.startCounts], [['billing-1/1', 1]]);
     });
 
     // The planner stops between placing and starting, another takes over and starts the task;
     // the first wakes and starts it too. Both name the same attempt.
     it('run once when the planner was paused between placing and starting', async () => {
       const fleet = await FleetHarness.start(KINGSTON, 3);
-      const paused = fleet.planning;
+      const paused = fleet.planningDaemon;
       assert.ok(paused);
       fleet.leases.faults.add(LeaseFault.Outage);
       await submit(fleet, 'billing-1', {idempotent: false});
       await fleet.run(5000);
-      paused.shared.isCutOff = true;
+      paused.sharedState.isDisconnected = true;
       await fleet.run(3 * MINUTE);
       fleet.leases.faults.delete(LeaseFault.Outage);
       await fleet.run(MINUTE);
-      paused.shared.isCutOff = false;
+      paused.sharedState.isDisconnected = false;
       await fleet.run(10 * MINUTE);
-      const [, ...more] = [...fleet.leases.runs.values()];
+      const [, ...more] = [...fleet.leases.startCounts.values()];
       assert.deepEqual(more, []);
-      assert.equal(fleet.leases.runs.get('billing-1/1'), 1);
+      assert.equal(fleet.leases.startCounts.get('billing-1/1'), 1);
     });
 
     it('hold a drain up instead of being stopped', async () => {
       const fleet = await FleetHarness.start(KINGSTON);
       await submit(fleet, 'billing-1', {idempotent: false});
-      await fleet.until(() => fleet.leases.runs.size === 1);
+      await fleet.runUntil(() => fleet.leases.startCounts.size === 1);
       const vm = job(fleet, 'billing-1')?.vm;
-      await fleet.operator({
+      await fleet.appendOperatorRecord({
         kind: RecordKind.DrainStarted,
         vm,
         reason: 'disk',
       });
       await fleet.run(10_000);
       assert.equal(job(fleet, 'billing-1')?.state, JobState.Placed);
-      await fleet.until(
+      await fleet.runUntil(
         () => job(fleet, 'billing-1')?.state === JobState.Finished,
       );
     });
@@ -176,14 +184,14 @@
     it('are checkpointed, stopped and run elsewhere when they may be', async () => {
       const fleet = await FleetHarness.start(KINGSTON);
       await submit(fleet, 'badge-1');
-      await fleet.until(() => fleet.leases.runs.size === 1);
+      await fleet.runUntil(() => fleet.leases.startCounts.size === 1);
       const vm = job(fleet, 'badge-1')?.vm;
-      await fleet.operator({
+      await fleet.appendOperatorRecord({
         kind: RecordKind.DrainStarted,
         vm,
         reason: 'disk',
       });
-      await fleet.until(
+      await fleet.runUntil(
         () => job(fleet, 'badge-1')?.state === JobState.Finished,
       );
       assert.ok(fleet.leases.wasCheckpointed('badge-1/1'));
@@ -202,7 +210,9 @@
       });
       for (let n = 0; n < 10; n++) await submit(fleet, `good-${n}`);
       await submit(fleet, 'bad-1');
-      await fleet.until(() => job(fleet, 'bad-1')?.state === JobState.SetAside);
+      await fleet.runUntil(
+        () => job(fleet, 'bad-1')?.state === JobState.SetAside,
+      );
       assert.match(job(fleet, 'bad-1')?.reason ?? '', /fails everywhere/);
       assert.equal(fleet.state.conditions.size, 0);
     });
@@ -218,8 +228,8 @@
         usage: SMALL,
       });
       for (let n = 0; n < 60; n++) await submit(fleet, `badge-${n}`);
-      await fleet.until(
-        () => fleet.actions.done.some(action => action.vm === broken),
+      await fleet.runUntil(
+        () => fleet.actions.startedActions.some(action => action.vm === broken),
         30 * MINUTE,
       );
       const jobs = [...fleet.state.jobs.values()];
@@ -256,19 +266,22 @@
         await fleet.run(2000);
         await Promise.all(group);
       }
-      const started = fleet.leases.runs.size;
+      const started = fleet.leases.startCounts.size;
       assert.ok(started > 0);
       for (let from = 0; from < keys.length; from += 2000) {
         const batch = keys.slice(from, from + 2000);
-        await fleet.operator({kind: RecordKind.JobsCancelled, keys: batch});
+        await fleet.appendOperatorRecord({
+          kind: RecordKind.JobsCancelled,
+          keys: batch,
+        });
       }
       await fleet.run(MINUTE);
       const states = new Set(
         [...fleet.state.jobs.values()].map(entry => entry.state),
       );
       assert.deepEqual([...states], [JobState.Cancelled]);
-      assert.ok(fleet.leases.runs.size <= started + 48);
-      assert.equal(jobsOf(fleet.state).queued('crest-works'), 0);
+      assert.ok(fleet.leases.startCounts.size <= started + 48);
+      assert.equal(jobIndexOf(fleet.state).queuedCountOfPool('crest-works'), 0);
     });
   });
 });
--- a/packages/plugin-fleet/src/__tests__/member-paths.test.ts
+++ b/packages/plugin-fleet/src/__tests__/member-routes.test.ts
@@ -3,7 +3,7 @@
 import {SWAN_COAST} from '@gentiandoor/stand-ins';
 import {FleetPath, type MemberBody} from '../admin-shapes.js';
 import {FleetHarness} from './fleet-harness.js';
-import {get, post} from './path-calls.js';
+import {get, post} from './admin-path-calls.js';
 
 const VM = 'admin-1';
 const REMOVAL = {name: 'entry-2', reason: 'host is dead', operator: 'moana'};
@@ -19,7 +19,7 @@
   // The operator has stopped the host and says so; the drain ends with the next round.
   it('show what a crashed daemon holds up and take it out', async () => {
     const fleet = await FleetHarness.start(SWAN_COAST);
-    fleet.daemons[1].shared.isCutOff = true;
+    fleet.daemons[1].sharedState.isDisconnected = true;
     const drain = {vm: VM, reason: 'disk', operator: 'moana'};
     assert.equal((await post(fleet, FleetPath.Drains, drain)).status, 200);
     await fleet.run(60_000);
--- a/packages/plugin-fleet/src/__tests__/moves.test.ts
+++ b/packages/plugin-fleet/src/__tests__/moves.test.ts
@@ -14,7 +14,7 @@
 const MINUTE = 60_000;
 
 async function startMove(fleet: FleetHarness, toPool = 'admin'): Promise<void> {
-  await fleet.operator({
+  await fleet.appendOperatorRecord({
     kind: RecordKind.MoveStarted,
     vm: VM,
     epoch: fleet.state.vms.get(VM)?.epoch ?? 0,
@@ -38,7 +38,7 @@
 
 async function abort(fleet: FleetHarness): Promise<void> {
   const startedAt = fleet.state.work.get(VM)?.startedAt ?? 0;
-  await fleet.operator({
+  await fleet.appendOperatorRecord({
     kind: RecordKind.MoveAborted,
     vm: VM,
     startedAt,
@@ -50,7 +50,7 @@
   it('goes through release, drain, acknowledgement and assignment', async () => {
     const fleet = await FleetHarness.start(SWAN_COAST);
     await startMove(fleet);
-    await fleet.until(() => owner(fleet) === 'admin', MINUTE);
+    await fleet.runUntil(() => owner(fleet) === 'admin', MINUTE);
     assert.equal(fleet.state.vms.get(VM)?.epoch, 2);
     assert.equal(fleet.state.vms.get(VM)?.drainReason, undefined);
   });
@@ -63,11 +63,12 @@
     const work = fleet.state.work.get(VM);
     assert.ok(work);
     assert.deepEqual(outstandingDaemons(fleet.state, work), ['incarnation-2']);
-    const named = fleet.planning?.journal.about(SubjectKind.Vm, VM) ?? [];
+    const named =
+      fleet.planningDaemon?.journal.entriesAbout(SubjectKind.Vm, VM) ?? [];
     assert.match(named.at(-1)?.cause ?? '', /waits for entry-2/);
     assert.equal(owner(fleet), 'statements');
     release(fleet);
-    await fleet.until(() => owner(fleet) === 'admin', MINUTE);
+    await fleet.runUntil(() => owner(fleet) === 'admin', MINUTE);
   });
 
   describe('aborted', () => {
@@ -88,7 +89,7 @@
       const fleet = await FleetHarness.start(SWAN_COAST);
       await startMove(fleet);
       const {startedAt} = fleet.state.work.get(VM) ?? {startedAt: 0};
-      await fleet.until(() => owner(fleet) === 'admin', MINUTE);
+      await fleet.runUntil(() => owner(fleet) === 'admin', MINUTE);
       const {publisher} = fleet.daemons[0];
       const published = publisher.publish({
         kind: RecordKind.MoveAborted,
@@ -134,9 +135,12 @@
       await fleet.run(5000);
       fleet.vmList.remove(VM);
       release(fleet);
-      await fleet.until(() => owner(fleet) === 'admin', 5 * MINUTE);
-      await fleet.until(() => fleet.actions.done.length > 0, 30 * MINUTE);
-      assert.equal(fleet.actions.done[0].vm, VM);
+      await fleet.runUntil(() => owner(fleet) === 'admin', 5 * MINUTE);
+      await fleet.runUntil(
+        () => fleet.actions.startedActions.length > 0,
+        30 * MINUTE,
+      );
+      assert.equal(fleet.actions.startedActions[0].vm, VM);
     });
   });
 
@@ -153,7 +157,7 @@
         assert.equal(owner(fleet), 'statements');
         release(fleet);
         fleet.log.faults.delete(LogFault.Outage);
-        await fleet.until(() => owner(fleet) === 'admin', 5 * MINUTE);
+        await fleet.runUntil(() => owner(fleet) === 'admin', 5 * MINUTE);
         assert.equal(fleet.state.vms.get(VM)?.epoch, 2);
       });
     }
@@ -165,21 +169,22 @@
     it('waits until the daemon is replaced', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST, 3);
       const cut = fleet.daemons.findIndex(
-        daemon => daemon !== fleet.planning && daemon !== fleet.daemons.at(-1),
+        daemon =>
+          daemon !== fleet.planningDaemon && daemon !== fleet.daemons.at(-1),
       );
-      fleet.daemons[cut].shared.isCutOff = true;
+      fleet.daemons[cut].sharedState.isDisconnected = true;
       await startMove(fleet);
       await fleet.run(10 * MINUTE);
       assert.equal(owner(fleet), 'statements');
       const {name, dataCentre} = fleet.daemons[cut].identity;
-      await fleet.operator({
+      await fleet.appendOperatorRecord({
         kind: RecordKind.MemberJoined,
         name,
         incarnation: 'incarnation-new',
         dataCentre,
         peerAddress: '127.0.0.1:1',
       });
-      await fleet.until(() => owner(fleet) === 'admin', 5 * MINUTE);
+      await fleet.runUntil(() => owner(fleet) === 'admin', 5 * MINUTE);
     });
   });
 });
@@ -191,7 +196,7 @@
     // the fold rejects what it writes, and the VM has moved once.
     it(`at ${step} is replaced, and fenced when it wakes`, async () => {
       const fleet = await FleetHarness.start(SWAN_COAST, 3);
-      const paused = fleet.planning;
+      const paused = fleet.planningDaemon;
       assert.ok(paused);
       const {term} = plannerOf(fleet.state);
       const others = fleet.daemons.filter(daemon => daemon !== paused);
@@ -201,13 +206,13 @@
         await startMove(fleet);
         await fleet.run(3000);
       }
-      paused.shared.isCutOff = true;
+      paused.sharedState.isDisconnected = true;
       if (step === 'release') await startMove(fleet);
       if (step === 'drain') await fleet.run(MINUTE);
       observer.routing.busy.delete(VM);
       await fleet.run(4 * MINUTE);
       assert.ok(plannerOf(observer.state).term > term);
-      paused.shared.isCutOff = false;
+      paused.sharedState.isDisconnected = false;
       const late = paused.publisher.publish({
         kind: RecordKind.PlannerRenewed,
         writer: paused.identity.incarnation,
@@ -222,11 +227,11 @@
 
   it('does not take the role back while another holds it', async () => {
     const fleet = await FleetHarness.start(SWAN_COAST, 3);
-    const paused = fleet.planning;
+    const paused = fleet.planningDaemon;
     assert.ok(paused);
-    paused.shared.isCutOff = true;
+    paused.sharedState.isDisconnected = true;
     await fleet.run(4 * MINUTE);
-    paused.shared.isCutOff = false;
+    paused.sharedState.isDisconnected = false;
     await fleet.run(MINUTE);
     const {term, holder} = plannerOf(fleet.state);
     await fleet.run(10 * MINUTE);
--- a/packages/plugin-fleet/src/__tests__/wave-forecasts.test.ts
+++ b/packages/plugin-fleet/src/__tests__/wave-forecasts.test.ts
@@ -39,7 +39,7 @@
   }
 
   get remaining(): number | undefined {
-    return this.forecasts.remaining('wave-1');
+    return this.forecasts.remainingMilliseconds('wave-1');
   }
 }
 
--- a/packages/plugin-fleet/src/__tests__/wave-preview.test.ts
+++ b/packages/plugin-fleet/src/__tests__/wave-preview.test.ts
@@ -4,7 +4,7 @@
 import {SWAN_COAST, exampleVms} from '@gentiandoor/stand-ins';
 import {FleetPath, type WavePreviewBody} from '../admin-shapes.js';
 import {FleetHarness} from './fleet-harness.js';
-import {get} from './path-calls.js';
+import {get} from './admin-path-calls.js';
 
 async function preview(
   fleet: FleetHarness,
@@ -25,7 +25,7 @@
       assert.equal(plan.next.length, 1);
       assert.equal(fleet.state.waves.size, 0);
       await fleet.startWave();
-      await fleet.until(() => fleet.state.work.size > 0);
+      await fleet.runUntil(() => fleet.state.work.size > 0);
       assert.deepEqual([...fleet.state.work.keys()], plan.next);
     });
 
@@ -53,7 +53,7 @@
     it('says that it is held, and why', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       await fleet.startWave();
-      await fleet.operator({
+      await fleet.appendOperatorRecord({
         kind: RecordKind.WaveChanged,
         wave: 'wave-1',
         change: WaveChange.Hold,
@@ -69,7 +69,7 @@
       const drained = 'eligibility-1';
       const reason = 'disk';
       const kind = RecordKind.DrainStarted;
-      await fleet.operator({kind, vm: drained, reason});
+      await fleet.appendOperatorRecord({kind, vm: drained, reason});
       const plan = await preview(fleet, {pools: 'eligibility'});
       assert.deepEqual(plan.next, []);
       assert.match(plan.turnedDown[0].because, /eligibility/);
--- a/packages/plugin-fleet/src/__tests__/waves.test.ts
+++ b/packages/plugin-fleet/src/__tests__/waves.test.ts
@@ -4,9 +4,9 @@
   RecordKind,
   WaveChange,
   WaveState,
-  WorkKind,
-  budgetStandings,
-  capacityOf,
+  PlannedWorkKind,
+  serviceBudgetStatuses,
+  capacityIndexOf,
 } from '@gentiandoor/shared-state';
 import {LogFault, SWAN_COAST, exampleVms} from '@gentiandoor/stand-ins';
 import {FleetHarness} from './fleet-harness.js';
@@ -20,7 +20,7 @@
       await fleet.startWave();
       const places = new Map(exampleVms(SWAN_COAST).map(vm => [vm.id, vm]));
       let mixed = 0;
-      await fleet.until(
+      await fleet.runUntil(
         () => {
           const out = [...fleet.state.work.keys()];
           const at = new Set(out.map(vm => places.get(vm)?.dataCentre));
@@ -30,7 +30,9 @@
         12 * HOUR,
         5000,
       );
-      const rebooted = fleet.actions.done.map(action => action.vm).sort();
+      const rebooted = fleet.actions.startedActions
+        .map(action => action.vm)
+        .sort();
       assert.deepEqual(rebooted, [...places.keys()].sort());
       assert.equal(mixed, 0);
     });
@@ -43,18 +45,20 @@
     it('takes no more VMs of those pools until the rack is back', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       await fleet.startWave();
-      await fleet.until(() => fleet.state.work.size > 0);
+      await fleet.runUntil(() => fleet.state.work.size > 0);
       const vms = exampleVms(SWAN_COAST);
       const rack = vms.filter(vm => vm.rack === 'mandurah-r1');
       for (const vm of rack) fleet.vmList.remove(vm.id);
       await fleet.run(60_000);
       const pools = new Set(rack.map(vm => vm.pool));
-      const before = fleet.actions.done.length;
+      const before = fleet.actions.startedActions.length;
       await fleet.run(200_000);
-      const later = fleet.actions.done.slice(before).map(action => action.vm);
+      const later = fleet.actions.startedActions
+        .slice(before)
+        .map(action => action.vm);
       const poolOf = new Map(vms.map(vm => [vm.id, vm.pool]));
       const taken = later.filter(vm => pools.has(poolOf.get(vm) ?? ''));
-      const spare = budgetStandings(fleet.state).filter(({pool}) =>
+      const spare = serviceBudgetStatuses(fleet.state).filter(({pool}) =>
         pools.has(pool),
       );
       assert.ok(spare.some(standing => standing.spare === 0));
@@ -74,7 +78,7 @@
           state,
         });
       }
-      await fleet.until(
+      await fleet.runUntil(
         () => fleet.state.waves.get('wave-1')?.state === WaveState.Finished,
         12 * HOUR,
         5000,
@@ -88,15 +92,17 @@
     it('is held by the planner after two VMs, with the reason', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       await fleet.startWave();
-      await fleet.until(() => {
-        for (const {vm} of fleet.actions.done)
+      await fleet.runUntil(() => {
+        for (const {vm} of fleet.actions.startedActions)
           for (const daemon of fleet.daemons) daemon.suspected.add(vm);
         return fleet.state.waves.get('wave-1')?.state === WaveState.Held;
       }, 3 * HOUR);
       const wave = fleet.state.waves.get('wave-1');
       assert.equal(wave?.done, 0);
       assert.match(wave?.stateReason ?? '', /shared fault/);
-      const touched = new Set(fleet.actions.done.map(action => action.vm));
+      const touched = new Set(
+        fleet.actions.startedActions.map(action => action.vm),
+      );
       assert.ok(touched.size <= 3, `${touched.size} VMs were touched`);
     });
   });
@@ -108,12 +114,12 @@
       const fleet = await FleetHarness.start(SWAN_COAST);
       fleet.actions.neverReturn.add('admin-1');
       await fleet.startWave();
-      await fleet.until(
+      await fleet.runUntil(
         () => fleet.state.waves.get('wave-1')?.state === WaveState.Finished,
         24 * HOUR,
         5000,
       );
-      const tries = fleet.actions.done
+      const tries = fleet.actions.startedActions
         .filter(action => action.vm === 'admin-1')
         .map(action => action.action);
       assert.deepEqual(tries, ['reboot', 'reboot', 'replace']);
@@ -128,35 +134,39 @@
     it('takes nothing and loses nothing, then finishes', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       await fleet.startWave();
-      await fleet.until(() => fleet.actions.done.length >= 6, HOUR, 500);
+      await fleet.runUntil(
+        () => fleet.actions.startedActions.length >= 6,
+        HOUR,
+        500,
+      );
       fleet.log.faults.add(LogFault.Outage);
       await fleet.run(10_000);
       const out = [...fleet.state.work.keys()].sort();
-      const asked = fleet.actions.done.length;
+      const asked = fleet.actions.startedActions.length;
       await fleet.run(HOUR);
       assert.deepEqual([...fleet.state.work.keys()].sort(), out);
-      assert.equal(fleet.actions.done.length, asked);
+      assert.equal(fleet.actions.startedActions.length, asked);
       fleet.log.faults.delete(LogFault.Outage);
-      await fleet.until(
+      await fleet.runUntil(
         () => fleet.state.waves.get('wave-1')?.state === WaveState.Finished,
         12 * HOUR,
         5000,
       );
-      assert.equal(fleet.actions.done.length, 40);
+      assert.equal(fleet.actions.startedActions.length, 40);
     });
   });
 
   describe('with the answer of every append lost', () => {
     it('does each step once: the fate is read back', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
-      fleet.log.faults.add(LogFault.LostAnswers);
+      fleet.log.faults.add(LogFault.LostResponses);
       await fleet.startWave('wave-1').catch(() => undefined);
-      await fleet.until(
+      await fleet.runUntil(
         () => fleet.state.waves.get('wave-1')?.state === WaveState.Finished,
         12 * HOUR,
         5000,
       );
-      assert.equal(fleet.actions.done.length, 40);
+      assert.equal(fleet.actions.startedActions.length, 40);
     });
   });
 
@@ -168,8 +178,8 @@
       for (const daemon of fleet.daemons)
         for (const vm of exampleVms(SWAN_COAST)) daemon.routing.busy.add(vm.id);
       await fleet.startWave();
-      await fleet.until(() => fleet.state.work.size > 0);
-      await fleet.operator({
+      await fleet.runUntil(() => fleet.state.work.size > 0);
+      await fleet.appendOperatorRecord({
         kind: RecordKind.WaveChanged,
         wave: 'wave-1',
         change: WaveChange.Abort,
@@ -177,8 +187,8 @@
       });
       await fleet.run(10_000);
       assert.equal(fleet.state.work.size, 0);
-      assert.equal(fleet.actions.done.length, 0);
-      assert.equal(capacityOf(fleet.state).pool('admin').available, 8);
+      assert.equal(fleet.actions.startedActions.length, 0);
+      assert.equal(capacityIndexOf(fleet.state).pool('admin').available, 8);
     });
   });
 
@@ -189,14 +199,14 @@
       await fleet.startWave('wave-2', {pools: ['valuation']});
       await fleet.startWave('wave-3', {pools: ['repayment']});
       assert.equal(fleet.state.waves.has('wave-2'), false);
-      await fleet.until(
+      await fleet.runUntil(
         () =>
           fleet.state.waves.get('wave-1')?.state === WaveState.Finished &&
           fleet.state.waves.get('wave-3')?.state === WaveState.Finished,
         12 * HOUR,
         5000,
       );
-      assert.equal(fleet.actions.done.length, 24);
+      assert.equal(fleet.actions.startedActions.length, 24);
     });
   });
 
@@ -207,12 +217,12 @@
       const fleet = await FleetHarness.start(SWAN_COAST);
       fleet.vmList.lagMilliseconds = 60_000;
       await fleet.startWave();
-      await fleet.until(
+      await fleet.runUntil(
         () => fleet.state.waves.get('wave-1')?.state === WaveState.Finished,
         12 * HOUR,
         5000,
       );
-      assert.equal(fleet.actions.done.length, 40);
+      assert.equal(fleet.actions.startedActions.length, 40);
     });
   });
 
@@ -223,7 +233,7 @@
       const fleet = await FleetHarness.start(SWAN_COAST);
       await fleet.startWave('wave-1', {pools: ['admin']});
       const flapped = new Set<string>();
-      await fleet.until(
+      await fleet.runUntil(
         () => {
           for (const {vm, step} of fleet.state.work.values()) {
             const listed = fleet.list.current().get(vm);
@@ -256,10 +266,10 @@
         await fleet.run(4000);
       }
       const repairs = [...fleet.state.work.values()].filter(
-        work => work.kind === WorkKind.Repair,
+        work => work.kind === PlannedWorkKind.Repair,
       );
       assert.ok(fleet.log.appends - before < 60);
-      assert.equal(fleet.actions.done.length, 0);
+      assert.equal(fleet.actions.startedActions.length, 0);
       assert.ok(repairs.length <= 1);
     });
   });
--- a/packages/plugin-fleet/src/admin-answers.ts
+++ b/packages/plugin-fleet/src/admin-responses.ts
@@ -1,7 +1,7 @@
 import {z} from 'zod';
 import {
   PlatformLogError,
-  type AdminAnswer,
+  type AdminResponse,
   type AdminHandler,
   type AdminRequest,
 } from '@gentiandoor/kernel';
@@ -9,7 +9,7 @@
 import type {
   PublishResult,
   FleetPublisher,
-  UnnamedRecord,
+  RecordWithoutId,
 } from './fleet-publisher.js';
 
 const STATUS_OK = 200;
@@ -18,44 +18,44 @@
 const STATUS_UNAVAILABLE = 503;
 
 /** Thrown for input that no record can be made of. */
-export class BadInput extends Error {}
+export class BadInputError extends Error {}
 
 /** A handler that reads. */
-export function reading(
+export function readHandler(
   answer: (query: AdminRequest['query']) => unknown,
 ): AdminHandler {
   return async request => {
     try {
       return {status: STATUS_OK, body: answer(request.query)};
     } catch (error) {
-      return badInput(error);
+      return badInputResponse(error);
     }
   };
 }
 
 /** A handler that checks a body, makes a record of it and says what became of the record. */
-export function writing<Schema extends z.ZodType<{requestId?: string}>>(
+export function recordHandler<Schema extends z.ZodType<{requestId?: string}>>(
   publisher: FleetPublisher,
   schema: Schema,
-  toRecord: (body: z.output<Schema>) => UnnamedRecord,
+  toRecord: (body: z.output<Schema>) => RecordWithoutId,
 ): AdminHandler {
   return async request => {
     const parsed = schema.safeParse(request.body);
     if (!parsed.success)
-      return badInput(new BadInput(z.prettifyError(parsed.error)));
+      return badInputResponse(new BadInputError(z.prettifyError(parsed.error)));
     try {
       const record = toRecord(parsed.data);
       const {requestId} = parsed.data;
-      return answerOf(await publisher.publish(record, requestId));
+      return toAdminResponse(await publisher.publish(record, requestId));
     } catch (error) {
-      if (error instanceof PlatformLogError) return unavailable(error);
-      return badInput(error);
+      if (error instanceof PlatformLogError) return unavailableResponse(error);
+      return badInputResponse(error);
     }
   };
 }
 
 /** What an operator is told of a judged record. */
-export function answerOf(result: PublishResult): AdminAnswer {
+export function toAdminResponse(result: PublishResult): AdminResponse {
   const {offset, rejection} = result;
   if (!rejection) {
     const body: AcceptedBody = {accepted: true, offset};
@@ -69,7 +69,7 @@
   return {status: STATUS_CONFLICT, body};
 }
 
-function unavailable(error: PlatformLogError): AdminAnswer {
+function unavailableResponse(error: PlatformLogError): AdminResponse {
   const body: RefusedBody = {
     accepted: false,
     reason: 'log_unavailable',
@@ -78,8 +78,8 @@
   return {status: STATUS_UNAVAILABLE, body};
 }
 
-function badInput(error: unknown): AdminAnswer {
-  if (!(error instanceof BadInput)) throw error;
+function badInputResponse(error: unknown): AdminResponse {
+  if (!(error instanceof BadInputError)) throw error;
   const body: BadInputBody = {error: error.message};
   return {status: STATUS_BAD_INPUT, body};
 }
--- a/packages/plugin-fleet/src/admin-schemas.ts
+++ b/packages/plugin-fleet/src/admin-schemas.ts
@@ -1,66 +1,70 @@
 import {z} from 'zod';
-import {recordText, jobFields, MOST_BATCHED} from '@gentiandoor/shared-state';
+import {
+  boundedText,
+  jobFields,
+  MAXIMUM_BATCH_ENTRIES,
+} from '@gentiandoor/shared-state';
 
 /** Shorter than an id of a record: `/jobs/cancel` adds the place of each batch. */
-const LONGEST_REQUEST_ID = 180;
+const MAXIMUM_REQUEST_ID_LENGTH = 180;
 
 const operatorFields = {
-  operator: recordText.min(1).default('operator'),
-  requestId: recordText.min(1).max(LONGEST_REQUEST_ID).optional(),
+  operator: boundedText.min(1).default('operator'),
+  requestId: boundedText.min(1).max(MAXIMUM_REQUEST_ID_LENGTH).optional(),
 };
 const scope = z.strictObject({
-  pools: z.array(recordText).max(MOST_BATCHED).optional(),
-  dataCentres: z.array(recordText).max(MOST_BATCHED).optional(),
+  pools: z.array(boundedText).max(MAXIMUM_BATCH_ENTRIES).optional(),
+  dataCentres: z.array(boundedText).max(MAXIMUM_BATCH_ENTRIES).optional(),
   notMaintainedSince: z.number().int().min(0).optional(),
 });
 
 /** Body of POST /fleet/drains. */
-export const drainRequest = z.strictObject({
+export const drainRequestSchema = z.strictObject({
   ...operatorFields,
-  vm: recordText,
-  reason: recordText.min(1),
+  vm: boundedText,
+  reason: boundedText.min(1),
 });
 
 /** Body of POST /fleet/returns. */
-export const returnRequest = z.strictObject({
+export const returnRequestSchema = z.strictObject({
   ...operatorFields,
-  vm: recordText,
+  vm: boundedText,
 });
 
 /** Body of POST /fleet/moves. */
-export const moveRequest = z.strictObject({
+export const moveRequestSchema = z.strictObject({
   ...operatorFields,
   action: z.enum(['start', 'abort']),
-  vm: recordText,
-  toPool: recordText.optional(),
-  reason: recordText.min(1),
+  vm: boundedText,
+  toPool: boundedText.optional(),
+  reason: boundedText.min(1),
 });
 
 /** Body of POST /fleet/waves. */
-export const waveRequest = z.strictObject({
+export const waveRequestSchema = z.strictObject({
   ...operatorFields,
   action: z.enum(['start', 'hold', 'resume', 'abort']),
-  wave: recordText.min(1),
-  reason: recordText.min(1),
+  wave: boundedText.min(1),
+  reason: boundedText.min(1),
   scope: scope.default({}),
 });
 
 /** Body of POST /fleet/members/removals. */
-export const memberRemovalRequest = z.strictObject({
+export const memberRemovalRequestSchema = z.strictObject({
   ...operatorFields,
-  name: recordText.min(1),
-  reason: recordText.min(1),
+  name: boundedText.min(1),
+  reason: boundedText.min(1),
 });
 
 /** Body of POST /jobs. */
-export const jobRequest = z.strictObject({
+export const jobRequestSchema = z.strictObject({
   ...operatorFields,
   ...jobFields,
-  jobClass: recordText.default('default'),
+  jobClass: boundedText.default('default'),
 });
 
 /** Body of POST /jobs/cancel. */
-export const cancelRequest = z.strictObject({
+export const cancelRequestSchema = z.strictObject({
   ...operatorFields,
-  keys: z.array(recordText).min(1).max(100_000),
+  keys: z.array(boundedText).min(1).max(100_000),
 });
--- a/packages/plugin-fleet/src/admin-shapes.ts
+++ b/packages/plugin-fleet/src/admin-shapes.ts
@@ -1,15 +1,15 @@
 import type {WavePreview} from '@gentiandoor/fleet';
 import type {JournalEntry} from '@gentiandoor/kernel';
 import type {
-  BudgetStanding,
+  ServiceBudgetStatus,
   JobSize,
   JobState,
   RejectionReason,
   VmCondition,
   WaveScope,
   WaveState,
-  WorkKind,
-  WorkStep,
+  PlannedWorkKind,
+  PlannedWorkStep,
 } from '@gentiandoor/shared-state';
 
 /**
@@ -116,8 +116,8 @@
 
 /** Planned work as shown. */
 export interface WorkBody {
-  readonly kind: WorkKind;
-  readonly step: WorkStep;
+  readonly kind: PlannedWorkKind;
+  readonly step: PlannedWorkStep;
   readonly reason: string;
   readonly writer: string;
   readonly startedAt: number;
@@ -160,7 +160,7 @@
 export interface BudgetsBody {
   /** Services whose budget is not met: planned work is stopped while there is one. */
   readonly broken: readonly string[];
-  readonly services: readonly BudgetStanding[];
+  readonly services: readonly ServiceBudgetStatus[];
 }
 
 /** GET /fleet/waves: an array of these. */
--- a/packages/plugin-fleet/src/drain-acknowledger.ts
+++ b/packages/plugin-fleet/src/drain-acknowledger.ts
@@ -1,6 +1,6 @@
 import {sleep, type Clock, type DaemonIdentity} from '@gentiandoor/kernel';
 import {
-  MOST_BATCHED,
+  MAXIMUM_BATCH_ENTRIES,
   RecordKind,
   type DrainAcknowledgement,
   type PlannedWork,
@@ -20,10 +20,10 @@
   readonly fleetOptions: FleetOptions;
 }
 
-interface Stopping {
+interface PendingDrain {
   readonly startedAt: number;
-  readonly abandoned: AbortController;
-  isReady: boolean;
+  readonly abortController: AbortController;
+  isDrained: boolean;
 }
 
 /**
@@ -32,76 +32,80 @@
  * out as one record: a rack that drains is one append a daemon, not one a VM.
  */
 export class DrainAcknowledger {
-  private readonly stopping = new Map<string, Stopping>();
-  private readonly ended = new AbortController();
-  private running: Promise<void> = Promise.resolve();
+  private readonly pendingDrains = new Map<string, PendingDrain>();
+  private readonly stopController = new AbortController();
+  private loop: Promise<void> = Promise.resolve();
 
   constructor(private readonly dependencies: DrainAcknowledgerDependencies) {}
 
   start(): void {
-    this.running = this.run();
+    this.loop = this.run();
   }
 
   async stop(): Promise<void> {
-    this.ended.abort();
-    for (const {abandoned} of this.stopping.values()) abandoned.abort();
-    await this.running;
+    this.stopController.abort();
+    for (const {abortController: abandoned} of this.pendingDrains.values())
+      abandoned.abort();
+    await this.loop;
   }
 
   private async run(): Promise<void> {
     const {clock, fleetOptions} = this.dependencies;
-    while (!this.ended.signal.aborted) {
-      this.abandonEnded();
-      this.beginNew();
-      await this.acknowledgeReady();
+    while (!this.stopController.signal.aborted) {
+      this.abortEndedDrains();
+      this.startNewDrains();
+      await this.acknowledgeDrained();
       await sleep(
         clock,
         fleetOptions.acknowledge_milliseconds,
-        this.ended.signal,
+        this.stopController.signal,
       );
     }
   }
 
-  private awaited(work: PlannedWork | undefined): work is PlannedWork {
+  private awaitsThisDaemon(work: PlannedWork | undefined): work is PlannedWork {
     const {incarnation} = this.dependencies.identity;
     return work !== undefined && work.awaiting.includes(incarnation);
   }
 
   /** A drain that was aborted waits for nobody; its watch must not answer for a later drain. */
-  private abandonEnded(): void {
+  private abortEndedDrains(): void {
     const {work} = this.dependencies.sharedState.state;
-    for (const [vm, entry] of this.stopping) {
+    for (const [vm, entry] of this.pendingDrains) {
       const present = work.get(vm);
-      if (this.awaited(present) && present.startedAt === entry.startedAt)
+      if (
+        this.awaitsThisDaemon(present) &&
+        present.startedAt === entry.startedAt
+      )
         continue;
-      entry.abandoned.abort();
-      this.stopping.delete(vm);
+      entry.abortController.abort();
+      this.pendingDrains.delete(vm);
     }
   }
 
-  private beginNew(): void {
+  private startNewDrains(): void {
     const {sharedState, routingDrain} = this.dependencies;
     for (const [vm, work] of sharedState.state.work) {
-      if (!this.awaited(work) || this.stopping.has(vm)) continue;
-      const entry: Stopping = {
+      if (!this.awaitsThisDaemon(work) || this.pendingDrains.has(vm)) continue;
+      const entry: PendingDrain = {
         startedAt: work.startedAt,
-        abandoned: new AbortController(),
-        isReady: false,
+        abortController: new AbortController(),
+        isDrained: false,
       };
-      this.stopping.set(vm, entry);
-      routingDrain.stopRouting(vm, entry.abandoned.signal).then(
+      this.pendingDrains.set(vm, entry);
+      routingDrain.stopRouting(vm, entry.abortController.signal).then(
         () => {
-          entry.isReady = true;
+          entry.isDrained = true;
         },
         // Tried again at the next tick; until then the move says that it waits for this daemon.
-        () => this.stopping.delete(vm),
+        () => this.pendingDrains.delete(vm),
       );
     }
   }
 
-  private async acknowledgeReady(): Promise<void> {
+  private async acknowledgeDrained(): Promise<void> {
     const {fleetPublisher, identity} = this.dependencies;
-    const acknowledgements = this.ready();
+    const acknowledgements = this.drainedVms();
     if (acknowledgements.length === 0) return;
     const {incarnation} = identity;
     try {
@@ -116,10 +120,12 @@
     }
   }
 
-  private ready(): DrainAcknowledgement[] {
-    return [...this.stopping]
-      .filter(([, entry]) => entry.isReady && !entry.abandoned.signal.aborted)
-      .slice(0, MOST_BATCHED)
+  private drainedVms(): DrainAcknowledgement[] {
+    return [...this.pendingDrains]
+      .filter(
+        ([, entry]) => entry.isDrained && !entry.abortController.signal.aborted,
+      )
+      .slice(0, MAXIMUM_BATCH_ENTRIES)
       .map(([vm, {startedAt}]) => ({vm, startedAt}));
   }
 }
--- a/packages/plugin-fleet/src/fallbacks.ts
+++ b/packages/plugin-fleet/src/fallbacks.ts
@@ -8,7 +8,7 @@
 } from '@gentiandoor/shared-state';
 
 /** Stands in where no router is wired: acknowledges nothing, so that no move rests on a guess. */
-export class UnansweredRoutingDrain implements RoutingDrain {
+export class NoRoutingDrain implements RoutingDrain {
   stopRouting(): Promise<void> {
     return new Promise(() => undefined);
   }
@@ -23,38 +23,38 @@
 
 /** Stands in where no platform edge for actions is wired. */
 export class NoVmActions implements VmActions {
-  async ask(): Promise<VmActionState> {
+  async requestAction(): Promise<VmActionState> {
     throw new Error('no platform edge for VM actions is set up');
   }
 }
 
 /** Stands in where no platform edge for leases is wired: no job is started. */
-export class NoLeases implements LeaseClient {
+export class NoLeaseClient implements LeaseClient {
   start(): Promise<TaskReport> {
-    return refuse();
+    return rejectLeaseCall();
   }
 
   renew(): Promise<TaskReport> {
-    return refuse();
+    return rejectLeaseCall();
   }
 
   stop(): Promise<TaskReport> {
-    return refuse();
+    return rejectLeaseCall();
   }
 
   checkpoint(): Promise<TaskReport> {
-    return refuse();
+    return rejectLeaseCall();
   }
 
   throttle(): Promise<TaskReport> {
-    return refuse();
+    return rejectLeaseCall();
   }
 
   report(): Promise<readonly TaskReport[]> {
-    return refuse();
+    return rejectLeaseCall();
   }
 }
 
-async function refuse(): Promise<never> {
+async function rejectLeaseCall(): Promise<never> {
   throw new Error('no platform edge for leases is set up');
 }
--- a/packages/plugin-fleet/src/fleet-publisher.ts
+++ b/packages/plugin-fleet/src/fleet-publisher.ts
@@ -1,7 +1,7 @@
 import {randomUUID} from 'node:crypto';
 import {
   LogEvent,
-  LogFailure,
+  PlatformLogFailure,
   PlatformLogError,
   type Clock,
   type Logger,
@@ -20,12 +20,12 @@
   readonly rejection?: Rejection;
 }
 
-type UnnamedOf<Entry extends FleetRecord> = Entry extends FleetRecord
+type WithoutId<Entry extends FleetRecord> = Entry extends FleetRecord
   ? Omit<Entry, 'id'>
   : never;
 
 /** A record that has no id yet. */
-export type UnnamedRecord = UnnamedOf<FleetRecord>;
+export type RecordWithoutId = WithoutId<FleetRecord>;
 
 /** What the publisher needs. */
 export interface FleetPublisherDependencies {
@@ -44,7 +44,7 @@
    * known in time: the record may still take effect, and the same id again is safe.
    */
   async publish(
-    unnamed: UnnamedRecord,
+    unnamed: RecordWithoutId,
     id: string = randomUUID(),
   ): Promise<PublishResult> {
     const {clock, sharedState, fleetOptions, logger} = this.dependencies;
@@ -57,7 +57,7 @@
       const record = {...unnamed, id} as FleetRecord;
       const {offset, rejection} = await Promise.race([
         sharedState.publish(record, limit.signal),
-        timeout(limit.signal),
+        rejectOnAbort(limit.signal),
       ]);
       if (rejection)
         logger.debug(LogEvent.RecordRejected, {offset, ...rejection});
@@ -69,14 +69,14 @@
 }
 
 /** A publisher that only watches its signal between steps would leave this daemon waiting for ever. */
-function timeout(signal: AbortSignal): Promise<never> {
+function rejectOnAbort(signal: AbortSignal): Promise<never> {
   return new Promise((_, reject) => {
     signal.addEventListener(
       'abort',
       () =>
         reject(
           new PlatformLogError(
-            LogFailure.NoAnswer,
+            PlatformLogFailure.NoResponse,
             'the log did not judge the record in time',
           ),
         ),
--- a/packages/plugin-fleet/src/fleet-routes.ts
+++ b/packages/plugin-fleet/src/fleet-routes.ts
@@ -14,12 +14,12 @@
   type SharedState,
 } from '@gentiandoor/shared-state';
 import type {z} from 'zod';
-import {BadInput, reading, writing} from './admin-answers.js';
+import {BadInputError, readHandler, recordHandler} from './admin-responses.js';
 import {
-  drainRequest,
-  moveRequest,
-  returnRequest,
-  waveRequest,
+  drainRequestSchema,
+  moveRequestSchema,
+  returnRequestSchema,
+  waveRequestSchema,
 } from './admin-schemas.js';
 import {
   FleetPath,
@@ -27,10 +27,10 @@
   type WavePreviewBody,
 } from './admin-shapes.js';
 import {budgetsBody, poolBodies, vmBodies, waveBodies} from './fleet-views.js';
-import type {FleetPublisher, UnnamedRecord} from './fleet-publisher.js';
+import type {FleetPublisher, RecordWithoutId} from './fleet-publisher.js';
 import type {WaveForecasts} from './wave-forecasts.js';
 
-const SUBJECTS: ReadonlySet<string> = new Set(Object.values(SubjectKind));
+const SUBJECT_KINDS: ReadonlySet<string> = new Set(Object.values(SubjectKind));
 const WAVE_CHANGES = {
   hold: WaveChange.Hold,
   resume: WaveChange.Resume,
@@ -55,41 +55,53 @@
     const post = (path: FleetPath, handler: AdminHandler) =>
       adminRoutes.add(AdminMethod.Post, path, handler);
     const {fleetPublisher: publisher, waveForecasts} = dependencies;
-    post(FleetPath.Drains, writing(publisher, drainRequest, drainRecord));
+    post(
+      FleetPath.Drains,
+      recordHandler(publisher, drainRequestSchema, drainRecord),
+    );
     post(
       FleetPath.Returns,
-      writing(publisher, returnRequest, body => this.returnRecord(body)),
+      recordHandler(publisher, returnRequestSchema, body =>
+        this.returnRecord(body),
+      ),
     );
     post(
       FleetPath.Moves,
-      writing(publisher, moveRequest, body => this.moveRecord(body)),
+      recordHandler(publisher, moveRequestSchema, body =>
+        this.moveRecord(body),
+      ),
+    );
+    post(
+      FleetPath.Waves,
+      recordHandler(publisher, waveRequestSchema, waveRecord),
     );
-    post(FleetPath.Waves, writing(publisher, waveRequest, waveRecord));
     get(
       FleetPath.Vms,
-      reading(query => vmBodies(this.state, query)),
+      readHandler(query => vmBodies(this.state, query)),
     );
     get(
       FleetPath.Pools,
-      reading(() => poolBodies(this.state)),
+      readHandler(() => poolBodies(this.state)),
     );
     get(
       FleetPath.Budgets,
-      reading(() => budgetsBody(this.state)),
+      readHandler(() => budgetsBody(this.state)),
     );
     get(
       FleetPath.Waves,
-      reading(() =>
-        waveBodies(this.state, wave => waveForecasts.remaining(wave)),
+      readHandler(() =>
+        waveBodies(this.state, wave =>
+          waveForecasts.remainingMilliseconds(wave),
+        ),
       ),
     );
     get(
       FleetPath.WavePreview,
-      reading(query => this.previewWave(query)),
+      readHandler(query => this.previewWave(query)),
     );
     get(
       FleetPath.Explain,
-      reading(query => this.explain(query)),
+      readHandler(query => this.explain(query)),
     );
   }
 
@@ -97,14 +109,16 @@
     return this.dependencies.sharedState.state;
   }
 
-  private moveRecord(body: z.output<typeof moveRequest>): UnnamedRecord {
+  private moveRecord(
+    body: z.output<typeof moveRequestSchema>,
+  ): RecordWithoutId {
     const {vm, reason, operator: writer} = body;
     if (body.action === 'abort') {
       const startedAt = this.state.work.get(vm)?.startedAt ?? 0;
       return {kind: RecordKind.MoveAborted, writer, vm, startedAt, reason};
     }
     if (body.toPool === undefined)
-      throw new BadInput('toPool: expected the pool that the VM moves to');
+      throw new BadInputError('toPool: expected the pool that the VM moves to');
     return {
       kind: RecordKind.MoveStarted,
       writer,
@@ -116,7 +130,9 @@
     };
   }
 
-  private returnRecord(body: z.output<typeof returnRequest>): UnnamedRecord {
+  private returnRecord(
+    body: z.output<typeof returnRequestSchema>,
+  ): RecordWithoutId {
     const {vm, operator: writer} = body;
     const startedAt = this.state.work.get(vm)?.startedAt;
     return {kind: RecordKind.DrainEnded, writer, vm, startedAt};
@@ -133,15 +149,15 @@
       });
     }
     const wave = this.state.waves.get(id);
-    if (!wave) throw new BadInput(`no wave ${id}; see ${FleetPath.Waves}`);
+    if (!wave) throw new BadInputError(`no wave ${id}; see ${FleetPath.Waves}`);
     return previewWave(this.state, wave);
   }
 
   private explain(query: Readonly<Record<string, string>>): ExplainBody {
     const {subject = '', id = ''} = query;
-    if (!SUBJECTS.has(subject) || id === '') {
-      throw new BadInput(
-        `expected subject, one of ${[...SUBJECTS].join(', ')}, and id`,
+    if (!SUBJECT_KINDS.has(subject) || id === '') {
+      throw new BadInputError(
+        `expected subject, one of ${[...SUBJECT_KINDS].join(', ')}, and id`,
       );
     }
     const {holder} = plannerOf(this.state);
@@ -149,7 +165,7 @@
       subject,
       id,
       planner: this.state.members.get(holder)?.name ?? '',
-      decisions: this.dependencies.decisionJournal.about(
+      decisions: this.dependencies.decisionJournal.entriesAbout(
         subject as SubjectKind,
         id,
       ),
@@ -157,12 +173,14 @@
   }
 }
 
-function drainRecord(body: z.output<typeof drainRequest>): UnnamedRecord {
+function drainRecord(
+  body: z.output<typeof drainRequestSchema>,
+): RecordWithoutId {
   const {vm, reason, operator: writer} = body;
   return {kind: RecordKind.DrainStarted, writer, vm, reason};
 }
 
-function waveRecord(body: z.output<typeof waveRequest>): UnnamedRecord {
+function waveRecord(body: z.output<typeof waveRequestSchema>): RecordWithoutId {
   const {wave, reason, operator: writer, scope} = body;
   if (body.action === 'start')
     return {kind: RecordKind.WaveStarted, writer, wave, reason, scope};
--- a/packages/plugin-fleet/src/fleet-views.ts
+++ b/packages/plugin-fleet/src/fleet-views.ts
@@ -1,13 +1,13 @@
 import {
   VmCondition,
-  budgetStandings,
-  capacityOf,
-  jobsOf,
+  serviceBudgetStatuses,
+  capacityIndexOf,
+  jobIndexOf,
   outstandingDaemons,
   type FleetState,
   type Job,
   type PlannedWork,
-  type VmRecord,
+  type VmOwnership,
 } from '@gentiandoor/shared-state';
 import type {
   BudgetsBody,
@@ -32,14 +32,14 @@
     .map(vm => vmBody(state, vm));
 }
 
-function vmBody(state: FleetState, vm: VmRecord): VmBody {
-  const index = capacityOf(state);
+function vmBody(state: FleetState, vm: VmOwnership): VmBody {
+  const index = capacityIndexOf(state);
   const work = state.work.get(vm.id);
   return {
     id: vm.id,
     pool: vm.pool,
     epoch: vm.epoch,
-    ...index.place(vm.id),
+    ...index.locationOf(vm.id),
     condition: state.conditions.get(vm.id) ?? VmCondition.Up,
     available: index.isAvailable(vm.id),
     work: work && workBody(state, work),
@@ -68,7 +68,7 @@
 
 /** Pools of the bundle, and those that still own VMs. */
 export function poolBodies(state: FleetState): PoolBody[] {
-  const index = capacityOf(state);
+  const index = capacityIndexOf(state);
   const pools = state.inForce?.bundle.pools ?? {};
   const names = new Set([...Object.keys(pools), ...index.pools.keys()]);
   return [...names].map(pool => {
@@ -80,7 +80,7 @@
       available,
       planned,
       services: index.services(pool),
-      queuedJobs: jobsOf(state).queued(pool),
+      queuedJobs: jobIndexOf(state).queuedCountOfPool(pool),
     };
   });
 }
@@ -88,8 +88,8 @@
 /** How each service stands against its budget. */
 export function budgetsBody(state: FleetState): BudgetsBody {
   return {
-    broken: [...capacityOf(state).broken],
-    services: budgetStandings(state),
+    broken: [...capacityIndexOf(state).brokenServices],
+    services: serviceBudgetStatuses(state),
   };
 }
 
@@ -114,8 +114,8 @@
   }));
 }
 
-const DEFAULT_JOBS_SHOWN = 100;
-const MOST_JOBS_SHOWN = 10_000;
+const DEFAULT_JOB_LIMIT = 100;
+const MAXIMUM_JOB_LIMIT = 10_000;
 
 /** Jobs by key or state, the newest last. */
 export function jobBodies(
@@ -126,8 +126,8 @@
     const job = state.jobs.get(query.key);
     return job ? [jobBody(job)] : [];
   }
-  const asked = Number(query.limit ?? DEFAULT_JOBS_SHOWN);
-  const limit = Math.min(Math.max(1, asked || 1), MOST_JOBS_SHOWN);
+  const asked = Number(query.limit ?? DEFAULT_JOB_LIMIT);
+  const limit = Math.min(Math.max(1, asked || 1), MAXIMUM_JOB_LIMIT);
   const shown: JobBody[] = [];
   for (const job of state.jobs.values()) {
     if (shown.length >= limit) break;
--- a/packages/plugin-fleet/src/index.ts
+++ b/packages/plugin-fleet/src/index.ts
@@ -3,10 +3,10 @@
 import type {PluginRegistry} from '@gentiandoor/kernel';
 import {DrainAcknowledger} from './drain-acknowledger.js';
 import {
-  NoLeases,
+  NoLeaseClient,
   NoVmActions,
   NoVmHealth,
-  UnansweredRoutingDrain,
+  NoRoutingDrain,
 } from './fallbacks.js';
 import {fleetOptions, type FleetOptions} from './fleet-options.js';
 import {FleetRoutes} from './fleet-routes.js';
@@ -31,7 +31,7 @@
   registry.add({
     name: 'fleet',
     options: fleetOptions,
-    service: 'fleet',
+    registrationName: 'fleet',
     register(container, options) {
       container.register({
         fleetOptions: asValue(options),
@@ -56,16 +56,16 @@
 }): FleetPlanner {
   const {automatic_waves: isOn, maintenance_period_days: days} =
     dependencies.fleetOptions;
-  return new FleetPlanner({calendarDays: isOn ? days : undefined});
+  return new FleetPlanner({maintenancePeriodDays: isOn ? days : undefined});
 }
 
 /** Edges that another plug-in registered before this one stand. */
 function registerFallbacks(container: AwilixContainer): void {
   const fallbacks = {
-    routingDrain: UnansweredRoutingDrain,
+    routingDrain: NoRoutingDrain,
     vmHealth: NoVmHealth,
     vmActions: NoVmActions,
-    leaseClient: NoLeases,
+    leaseClient: NoLeaseClient,
   };
   for (const [name, Fallback] of Object.entries(fallbacks)) {
     if (container.hasRegistration(name)) continue;
--- a/packages/plugin-fleet/src/job-routes.ts
+++ b/packages/plugin-fleet/src/job-routes.ts
@@ -1,20 +1,24 @@
 import {
   AdminMethod,
   PlatformLogError,
-  type AdminAnswer,
+  type AdminResponse,
   type AdminRoutes,
 } from '@gentiandoor/kernel';
 import {
-  MOST_BATCHED,
+  MAXIMUM_BATCH_ENTRIES,
   RecordKind,
   type SharedState,
 } from '@gentiandoor/shared-state';
 import type {z} from 'zod';
-import {answerOf, reading, writing} from './admin-answers.js';
-import {cancelRequest, jobRequest} from './admin-schemas.js';
+import {
+  toAdminResponse,
+  readHandler,
+  recordHandler,
+} from './admin-responses.js';
+import {cancelRequestSchema, jobRequestSchema} from './admin-schemas.js';
 import {FleetPath} from './admin-shapes.js';
 import {jobBodies} from './fleet-views.js';
-import type {FleetPublisher, UnnamedRecord} from './fleet-publisher.js';
+import type {FleetPublisher, RecordWithoutId} from './fleet-publisher.js';
 
 /** What the routes need. */
 export interface JobRoutesDependencies {
@@ -30,12 +34,12 @@
     adminRoutes.add(
       AdminMethod.Post,
       FleetPath.Jobs,
-      writing(fleetPublisher, jobRequest, jobRecord),
+      recordHandler(fleetPublisher, jobRequestSchema, jobRecord),
     );
     adminRoutes.add(
       AdminMethod.Get,
       FleetPath.Jobs,
-      reading(query => jobBodies(sharedState.state, query)),
+      readHandler(query => jobBodies(sharedState.state, query)),
     );
     adminRoutes.add(AdminMethod.Post, FleetPath.JobsCancel, request =>
       this.cancel(request.body),
@@ -43,14 +47,14 @@
   }
 
   /** One record for each `MOST_BATCHED` keys; the answer is that of the last one refused, if any. */
-  private async cancel(body: unknown): Promise<AdminAnswer> {
-    const parsed = cancelRequest.safeParse(body);
+  private async cancel(body: unknown): Promise<AdminResponse> {
+    const parsed = cancelRequestSchema.safeParse(body);
     if (!parsed.success)
       return {status: 400, body: {error: parsed.error.message}};
     const {keys, operator: writer, requestId} = parsed.data;
-    let answer: AdminAnswer = {status: 200, body: {}};
-    for (let from = 0; from < keys.length; from += MOST_BATCHED) {
-      const batch = keys.slice(from, from + MOST_BATCHED);
+    let answer: AdminResponse = {status: 200, body: {}};
+    for (let from = 0; from < keys.length; from += MAXIMUM_BATCH_ENTRIES) {
+      const batch = keys.slice(from, from + MAXIMUM_BATCH_ENTRIES);
       const id = requestId && `${requestId}/${from}`;
       answer = await this.cancelBatch(batch, writer, id);
       if (answer.status === 503) return answer;
@@ -62,14 +66,14 @@
     keys: readonly string[],
     writer: string,
     id: string | undefined,
-  ): Promise<AdminAnswer> {
-    const record: UnnamedRecord = {
+  ): Promise<AdminResponse> {
+    const record: RecordWithoutId = {
       kind: RecordKind.JobsCancelled,
       writer,
       keys,
     };
     try {
-      return answerOf(
+      return toAdminResponse(
         await this.dependencies.fleetPublisher.publish(record, id),
       );
     } catch (error) {
@@ -86,7 +90,7 @@
   }
 }
 
-function jobRecord(body: z.output<typeof jobRequest>): UnnamedRecord {
+function jobRecord(body: z.output<typeof jobRequestSchema>): RecordWithoutId {
   const {key, team, pool, jobClass, idempotent, size, payload} = body;
   return {
     kind: RecordKind.JobSubmitted,
--- a/packages/plugin-fleet/src/job-runner.ts
+++ b/packages/plugin-fleet/src/job-runner.ts
@@ -3,11 +3,11 @@
 import {
   JobOutcome,
   JobState,
-  MOST_BATCHED,
+  MAXIMUM_BATCH_ENTRIES,
   RecordKind,
   TaskState,
-  capacityOf,
-  jobsOf,
+  capacityIndexOf,
+  jobIndexOf,
   type FleetState,
   type Job,
   type JobReport,
@@ -19,11 +19,11 @@
 import type {FleetPublisher} from './fleet-publisher.js';
 
 /** Calls to the platform at one time. */
-const CALLS_AT_ONCE = 32;
+const MAXIMUM_CONCURRENT_CALLS = 32;
 /** A task that is to stop runs on at this share until its checkpoint is written. */
 const THROTTLED_SHARE = 0.25;
 /** Starts that may fail before the task is barred and its job placed elsewhere. */
-const START_TRIES = 3;
+const MAXIMUM_START_ATTEMPTS = 3;
 
 const OUTCOMES: Readonly<Record<TaskState, JobOutcome | undefined>> = {
   [TaskState.Running]: undefined,
@@ -58,46 +58,46 @@
 export class JobRunner {
   private readonly renewedAt = new Map<string, number>();
   private readonly failedStarts = new Map<string, number>();
-  private readonly stopping = new Set<string>();
+  private readonly stoppingTasks = new Set<string>();
 
   constructor(private readonly dependencies: JobRunnerDependencies) {}
 
   /** VMs that fail every job they start. */
-  suspects(): ReadonlySet<string> {
+  faultyVms(): ReadonlySet<string> {
     const {sharedState, fleetPlanner} = this.dependencies;
-    return fleetPlanner.failures.suspects(
+    return fleetPlanner.faultyVmDetector.faultyVms(
       vm => sharedState.state.vms.get(vm)?.pool ?? '',
     );
   }
 
   /** Starts, renews, stops and reports; does nothing where no job is placed. */
-  async round(
+  async reconcile(
     state: FleetState,
     term: number,
     signal: AbortSignal,
   ): Promise<void> {
-    const placed = placedJobs(state);
-    this.forgetOthers(placed);
+    const placed = placedJobsByTaskId(state);
+    this.pruneUnplacedTasks(placed);
     if (placed.size === 0) return;
     const tasks = await this.reportedTasks(signal);
     if (!tasks) return;
-    const ended = this.learn(placed, tasks);
-    await this.publish(ended, term);
+    const ended = this.observeTasks(placed, tasks);
+    await this.publishReports(ended, term);
     const running = [...placed.values()].filter(
       job => state.jobs.get(job.key) === job,
     );
-    await this.inGroups(running, job =>
-      this.attend(state, job, tasks.get(taskId(job)), signal),
+    await this.runInBatches(running, job =>
+      this.reconcileJob(state, job, tasks.get(taskId(job)), signal),
     );
   }
 
   /** Starts what was placed since the last round, without asking for reports first. */
-  async startNew(state: FleetState, signal: AbortSignal): Promise<void> {
-    const fresh = [...placedJobs(state)]
+  async startNewTasks(state: FleetState, signal: AbortSignal): Promise<void> {
+    const fresh = [...placedJobsByTaskId(state)]
       .filter(([id]) => !this.renewedAt.has(id) && !this.failedStarts.has(id))
       .map(([, job]) => job)
       .filter(job => !mustStop(state, job));
-    await this.inGroups(fresh, job => this.startTask(job, signal));
+    await this.runInBatches(fresh, job => this.startTask(job, signal));
   }
 
   private async reportedTasks(
@@ -112,11 +112,12 @@
     }
   }
 
-  private learn(
+  private observeTasks(
     placed: ReadonlyMap<string, Job>,
     tasks: ReadonlyMap<string, TaskReport>,
   ): JobReport[] {
-    const {sizes, failures} = this.dependencies.fleetPlanner;
+    const {jobSizeEstimator: sizes, faultyVmDetector: failures} =
+      this.dependencies.fleetPlanner;
     const ended: JobReport[] = [];
     for (const [id, job] of placed) {
       const task = tasks.get(id);
@@ -134,22 +135,22 @@
     return ended;
   }
 
-  private async publish(
+  private async publishReports(
     reports: readonly JobReport[],
     term: number,
   ): Promise<void> {
     const {fleetPublisher, identity} = this.dependencies;
-    for (let from = 0; from < reports.length; from += MOST_BATCHED) {
+    for (let from = 0; from < reports.length; from += MAXIMUM_BATCH_ENTRIES) {
       await fleetPublisher.publish({
         kind: RecordKind.JobsReported,
         writer: identity.incarnation,
         term,
-        reports: reports.slice(from, from + MOST_BATCHED),
+        reports: reports.slice(from, from + MAXIMUM_BATCH_ENTRIES),
       });
     }
   }
 
-  private async attend(
+  private async reconcileJob(
     state: FleetState,
     job: Job,
     task: TaskReport | undefined,
@@ -157,15 +158,15 @@
   ): Promise<void> {
     const isOver = task !== undefined && task.state !== TaskState.Running;
     if (isOver) return;
-    if (mustStop(state, job)) return this.stop(job, task, signal);
+    if (mustStop(state, job)) return this.stopTask(job, task, signal);
     if (!task) return this.startTask(job, signal);
-    return this.renew(job, signal);
+    return this.renewLease(job, signal);
   }
 
   private async startTask(job: Job, signal: AbortSignal): Promise<void> {
     const {leaseClient, fleetOptions} = this.dependencies;
     const id = taskId(job);
-    if ((this.failedStarts.get(id) ?? 0) >= START_TRIES) {
+    if ((this.failedStarts.get(id) ?? 0) >= MAXIMUM_START_ATTEMPTS) {
       // Barred first: only then is it certain that no start of it is still on its way.
       await leaseClient.stop(id, signal).catch(() => undefined);
       return;
@@ -181,34 +182,34 @@
         },
         signal,
       );
-      this.noteRenewed(id);
+      this.recordRenewal(id);
     } catch {
       this.failedStarts.set(id, (this.failedStarts.get(id) ?? 0) + 1);
     }
   }
 
-  private async renew(job: Job, signal: AbortSignal): Promise<void> {
+  private async renewLease(job: Job, signal: AbortSignal): Promise<void> {
     const {leaseClient, fleetOptions, clock} = this.dependencies;
     const id = taskId(job);
     const length = fleetOptions.lease_milliseconds;
     const last = this.renewedAt.get(id) ?? -Infinity;
     if (clock.monotonicMilliseconds() - last < length / 3) return;
     await leaseClient.renew(id, length, signal).then(
-      () => this.noteRenewed(id),
+      () => this.recordRenewal(id),
       () => undefined,
     );
   }
 
   /** Throttled, then checkpointed, then stopped: what was done is not lost. */
-  private async stop(
+  private async stopTask(
     job: Job,
     task: TaskReport | undefined,
     signal: AbortSignal,
   ): Promise<void> {
     const {leaseClient} = this.dependencies;
     const id = taskId(job);
-    if (this.stopping.has(id)) return;
-    this.stopping.add(id);
+    if (this.stoppingTasks.has(id)) return;
+    this.stoppingTasks.add(id);
     try {
       if (task) {
         await leaseClient.throttle(id, THROTTLED_SHARE, signal);
@@ -218,32 +219,34 @@
     } catch {
       // Tried again in the next round.
     } finally {
-      this.stopping.delete(id);
+      this.stoppingTasks.delete(id);
     }
   }
 
-  private noteRenewed(id: string): void {
+  private recordRenewal(id: string): void {
     this.renewedAt.set(id, this.dependencies.clock.monotonicMilliseconds());
     this.failedStarts.delete(id);
   }
 
-  private forgetOthers(placed: ReadonlyMap<string, Job>): void {
+  private pruneUnplacedTasks(placed: ReadonlyMap<string, Job>): void {
     for (const known of [this.renewedAt, this.failedStarts])
       for (const id of known.keys()) if (!placed.has(id)) known.delete(id);
   }
 
-  private async inGroups(
+  private async runInBatches(
     jobs: readonly Job[],
     act: (job: Job) => Promise<void>,
   ): Promise<void> {
-    for (let from = 0; from < jobs.length; from += CALLS_AT_ONCE)
-      await Promise.all(jobs.slice(from, from + CALLS_AT_ONCE).map(act));
+    for (let from = 0; from < jobs.length; from += MAXIMUM_CONCURRENT_CALLS)
+      await Promise.all(
+        jobs.slice(from, from + MAXIMUM_CONCURRENT_CALLS).map(act),
+      );
   }
 }
 
-function placedJobs(state: FleetState): Map<string, Job> {
+function placedJobsByTaskId(state: FleetState): Map<string, Job> {
   const placed = new Map<string, Job>();
-  for (const keys of jobsOf(state).placedOn.values()) {
+  for (const keys of jobIndexOf(state).placedKeysByVm.values()) {
     for (const key of keys) {
       const job = state.jobs.get(key);
       if (job?.state === JobState.Placed) placed.set(taskId(job), job);
@@ -257,6 +260,6 @@
   if (job.cancelRequested) return true;
   const work = state.work.get(job.vm ?? '');
   const isLeaving =
-    work !== undefined && !capacityOf(state).isAvailable(job.vm ?? '');
+    work !== undefined && !capacityIndexOf(state).isAvailable(job.vm ?? '');
   return isLeaving && job.idempotent;
 }
--- a/packages/plugin-fleet/src/member-routes.ts
+++ b/packages/plugin-fleet/src/member-routes.ts
@@ -12,10 +12,10 @@
   type SharedState,
 } from '@gentiandoor/shared-state';
 import type {z} from 'zod';
-import {BadInput, reading, writing} from './admin-answers.js';
-import {memberRemovalRequest} from './admin-schemas.js';
+import {BadInputError, readHandler, recordHandler} from './admin-responses.js';
+import {memberRemovalRequestSchema} from './admin-schemas.js';
 import {FleetPath, type MemberBody} from './admin-shapes.js';
-import type {FleetPublisher, UnnamedRecord} from './fleet-publisher.js';
+import type {FleetPublisher, RecordWithoutId} from './fleet-publisher.js';
 
 /** What the routes need. */
 export interface MemberRoutesDependencies {
@@ -38,18 +38,20 @@
     adminRoutes.add(
       AdminMethod.Get,
       FleetPath.Members,
-      reading(() => this.members()),
+      readHandler(() => this.members()),
     );
     adminRoutes.add(
       AdminMethod.Post,
       FleetPath.MemberRemovals,
-      writing(fleetPublisher, memberRemovalRequest, body => this.removal(body)),
+      recordHandler(fleetPublisher, memberRemovalRequestSchema, body =>
+        this.removalRecord(body),
+      ),
     );
   }
 
   private members(): MemberBody[] {
     const {state} = this.dependencies.sharedState;
-    const held = heldUp(state);
+    const held = vmsAwaitingAcknowledgement(state);
     const {holder} = plannerOf(state);
     return [...state.members.values()].map(member => ({
       name: member.name,
@@ -62,7 +64,9 @@
     }));
   }
 
-  private removal(body: z.output<typeof memberRemovalRequest>): UnnamedRecord {
+  private removalRecord(
+    body: z.output<typeof memberRemovalRequestSchema>,
+  ): RecordWithoutId {
     const {name, reason, operator: writer} = body;
     const {state} = this.dependencies.sharedState;
     const member = [...state.members.values()].find(
@@ -70,12 +74,14 @@
     );
     if (!member) {
       const names = [...state.members.values()].map(entry => entry.name);
-      throw new BadInput(`name: no member ${name}; members: ${names.join()}`);
+      throw new BadInputError(
+        `name: no member ${name}; members: ${names.join()}`,
+      );
     }
     const {incarnation} = member;
     // The only evidence at hand that the operator is wrong: a daemon that answers is not stopped.
     if (this.isLinked(incarnation)) {
-      throw new BadInput(
+      throw new BadInputError(
         `${name} runs: the daemon that answers is it or is linked to it; stop it first, then it leaves by itself`,
       );
     }
@@ -92,7 +98,7 @@
 }
 
 /** VMs whose planned work waits for a daemon, by incarnation. */
-function heldUp(state: FleetState): Map<string, string[]> {
+function vmsAwaitingAcknowledgement(state: FleetState): Map<string, string[]> {
   const held = new Map<string, string[]>();
   for (const work of state.work.values()) {
     for (const incarnation of outstandingDaemons(state, work)) {
--- a/packages/plugin-fleet/src/planner-loop.ts
+++ b/packages/plugin-fleet/src/planner-loop.ts
@@ -1,10 +1,10 @@
 import {
-  DrainWatch,
+  SlowDrainReporter,
   FleetPlanner,
-  ElectionStep,
+  ElectionAction,
   PlannerElection,
   type PlannerInput,
-  type Proposal,
+  type ProposedRecord,
 } from '@gentiandoor/fleet';
 import {
   LogEvent,
@@ -19,7 +19,7 @@
 import {
   RecordKind,
   RejectionReason,
-  jobsOf,
+  jobIndexOf,
   plannerOf,
   type SharedState,
   type VmActions,
@@ -28,14 +28,14 @@
 } from '@gentiandoor/shared-state';
 import type {FleetOptions} from './fleet-options.js';
 import type {JobRunner} from './job-runner.js';
-import {PlatformActions} from './platform-actions.js';
-import type {FleetPublisher, UnnamedRecord} from './fleet-publisher.js';
+import {VmActionTracker} from './vm-action-tracker.js';
+import type {FleetPublisher, RecordWithoutId} from './fleet-publisher.js';
 import type {WaveForecasts} from './wave-forecasts.js';
 
 /** Records of one part that are published at one time; they share appends by group commit. */
-const PUBLISHED_AT_ONCE = 50;
+const PUBLISH_BATCH_SIZE = 50;
 /** Wait after a job came for others to come with it: a tenth of what urgent work may wait. */
-const JOBS_TOGETHER_MILLISECONDS = 200;
+const JOB_BATCH_DELAY_MILLISECONDS = 200;
 
 /** What the loop needs. */
 export interface PlannerLoopDependencies {
@@ -58,54 +58,54 @@
 /** Plans for the fleet while this daemon holds the term, and takes the term when nobody does. */
 export class PlannerLoop {
   private readonly election: PlannerElection;
-  private readonly actions: PlatformActions;
-  private readonly stopping = new AbortController();
-  private running: Promise<void> = Promise.resolve();
-  private readonly drainWatch = new DrainWatch();
+  private readonly vmActionTracker: VmActionTracker;
+  private readonly stopController = new AbortController();
+  private loop: Promise<void> = Promise.resolve();
+  private readonly slowDrainReporter = new SlowDrainReporter();
   private heldTerm: number | undefined;
-  private woken: AbortController | undefined;
+  private wakeController: AbortController | undefined;
   private seenEnqueued = 0;
 
   constructor(private readonly dependencies: PlannerLoopDependencies) {
     const {identity, random, vmActions} = dependencies;
     this.election = new PlannerElection(identity.incarnation, random);
-    this.actions = new PlatformActions(vmActions);
+    this.vmActionTracker = new VmActionTracker(vmActions);
     dependencies.sharedState.onChange(() => this.wakeForJobs());
   }
 
   start(): void {
-    this.running = this.run();
+    this.loop = this.run();
   }
 
   async stop(): Promise<void> {
-    this.stopping.abort();
-    await this.running;
+    this.stopController.abort();
+    await this.loop;
   }
 
   private async run(): Promise<void> {
     const {clock, random, fleetOptions} = this.dependencies;
-    while (!this.stopping.signal.aborted) {
+    while (!this.stopController.signal.aborted) {
       const wait = jitter(random, 2 * fleetOptions.round_milliseconds);
-      await this.restUntil(clock.monotonicMilliseconds() + wait);
-      if (this.stopping.signal.aborted) return;
-      await this.attempt(() => this.round());
+      await this.placeJobsUntil(clock.monotonicMilliseconds() + wait);
+      if (this.stopController.signal.aborted) return;
+      await this.runAndLogFailure(() => this.round());
     }
   }
 
   /** Rests until the next round is due; new jobs are placed meanwhile. */
-  private async restUntil(due: number): Promise<void> {
+  private async placeJobsUntil(due: number): Promise<void> {
     const {clock} = this.dependencies;
-    const {signal} = this.stopping;
+    const {signal} = this.stopController;
     for (;;) {
       const left = due - clock.monotonicMilliseconds();
       if (left <= 0 || signal.aborted) return;
-      this.woken = new AbortController();
-      const wake = AbortSignal.any([signal, this.woken.signal]);
+      this.wakeController = new AbortController();
+      const wake = AbortSignal.any([signal, this.wakeController.signal]);
       await sleep(clock, left, wake);
-      if (!this.woken.signal.aborted) return;
+      if (!this.wakeController.signal.aborted) return;
       // Jobs that come together are placed together.
-      await sleep(clock, JOBS_TOGETHER_MILLISECONDS, signal);
-      await this.attempt(() => this.placeJobs());
+      await sleep(clock, JOB_BATCH_DELAY_MILLISECONDS, signal);
+      await this.runAndLogFailure(() => this.placeJobs());
     }
   }
 
@@ -114,21 +114,21 @@
     const {sharedState, identity} = this.dependencies;
     const {state} = sharedState;
     if (plannerOf(state).holder !== identity.incarnation) return;
-    const {enqueued} = jobsOf(state);
+    const {enqueueCount: enqueued} = jobIndexOf(state);
     if (enqueued === this.seenEnqueued) return;
     this.seenEnqueued = enqueued;
-    this.woken?.abort();
+    this.wakeController?.abort();
   }
 
   private async placeJobs(): Promise<void> {
     const {sharedState, fleetPlanner, jobRunner} = this.dependencies;
     const {state} = sharedState;
-    const proposals = fleetPlanner.placer.plan(this.input());
+    const proposals = fleetPlanner.jobPlacer.plan(this.plannerInput());
     if (!(await this.publishAll(proposals, plannerOf(state).term))) return;
-    await jobRunner.startNew(state, this.stopping.signal);
+    await jobRunner.startNewTasks(state, this.stopController.signal);
   }
 
-  private async attempt(step: () => Promise<void>): Promise<void> {
+  private async runAndLogFailure(step: () => Promise<void>): Promise<void> {
     try {
       await step();
     } catch (error) {
@@ -147,15 +147,15 @@
       clock.monotonicMilliseconds(),
       sharedState.isLogReachable,
     );
-    this.noteTerm(step);
-    if (step === ElectionStep.Take) await this.takeTerm();
-    if (step === ElectionStep.Plan) await this.plan();
+    this.logTermChange(step);
+    if (step === ElectionAction.TakeOver) await this.takeTerm();
+    if (step === ElectionAction.Plan) await this.plan();
   }
 
-  private noteTerm(step: ElectionStep): void {
+  private logTermChange(step: ElectionAction): void {
     const {logger, sharedState} = this.dependencies;
     const {term} = plannerOf(sharedState.state);
-    if (step === ElectionStep.Plan) {
+    if (step === ElectionAction.Plan) {
       if (this.heldTerm !== term)
         logger.info(LogEvent.PlannerTermTaken, {term});
       this.heldTerm = term;
@@ -179,63 +179,69 @@
   private async plan(): Promise<void> {
     const {clock, sharedState, fleetPlanner, jobRunner} = this.dependencies;
     const {term} = plannerOf(sharedState.state);
-    const {signal} = this.stopping;
-    await this.actions.refresh(sharedState.state, signal);
-    await jobRunner.round(sharedState.state, term, signal);
-    for (const part of fleetPlanner.parts) {
-      const proposals = part.plan(this.input());
+    const {signal} = this.stopController;
+    await this.vmActionTracker.refresh(sharedState.state, signal);
+    await jobRunner.reconcile(sharedState.state, term, signal);
+    for (const part of fleetPlanner.stages) {
+      const proposals = part.plan(this.plannerInput());
       if (!(await this.publishAll(proposals, term))) return;
     }
-    this.nameSlowDrains();
+    this.reportSlowDrains();
     if (this.election.shouldRenew(clock.monotonicMilliseconds()))
-      await this.write({kind: RecordKind.PlannerRenewed}, term);
+      await this.publishInTerm({kind: RecordKind.PlannerRenewed}, term);
   }
 
-  private nameSlowDrains(): void {
+  private reportSlowDrains(): void {
     const {clock, sharedState, decisionJournal, logger} = this.dependencies;
     const now = clock.monotonicMilliseconds();
-    for (const decision of this.drainWatch.look(sharedState.state, now)) {
+    for (const decision of this.slowDrainReporter.report(
+      sharedState.state,
+      now,
+    )) {
       decisionJournal.record(decision);
       const {id, cause} = decision;
       logger.warn(LogEvent.FleetDecision, {id, cause});
     }
   }
 
-  private input(): PlannerInput {
+  private plannerInput(): PlannerInput {
     const {clock, sharedState, vmList, vmHealth, jobRunner} = this.dependencies;
     return {
       state: sharedState.state,
       now: clock.monotonicMilliseconds(),
       wallNow: clock.wallMilliseconds(),
-      list: vmList.current(),
-      listAgeMilliseconds: vmList.ageMilliseconds(),
-      suspected: new Set([...vmHealth.suspected(), ...jobRunner.suspects()]),
-      actions: this.actions.states,
+      vmList: vmList.current(),
+      vmListAgeMilliseconds: vmList.ageMilliseconds(),
+      suspectedVms: new Set([
+        ...vmHealth.suspected(),
+        ...jobRunner.faultyVms(),
+      ]),
+      vmActions: this.vmActionTracker.states,
     };
   }
 
   /** Publishes in bounded groups; false when this daemon's term is over. */
   private async publishAll(
-    proposals: readonly Proposal[],
+    proposals: readonly ProposedRecord[],
     term: number,
   ): Promise<boolean> {
-    for (let from = 0; from < proposals.length; from += PUBLISHED_AT_ONCE) {
-      const group = proposals.slice(from, from + PUBLISHED_AT_ONCE);
+    for (let from = 0; from < proposals.length; from += PUBLISH_BATCH_SIZE) {
+      const group = proposals.slice(from, from + PUBLISH_BATCH_SIZE);
       const results = await Promise.all(
-        group.map(proposal => this.publish(proposal, term)),
+        group.map(proposal => this.publishProposal(proposal, term)),
       );
       if (results.includes(RejectionReason.StaleTerm)) return false;
     }
     return true;
   }
 
-  private async publish(
-    proposal: Proposal,
+  private async publishProposal(
+    proposal: ProposedRecord,
     term: number,
   ): Promise<RejectionReason | undefined> {
     const {decisionJournal, logger} = this.dependencies;
     const {decision} = proposal;
-    const rejection = await this.write(proposal.record, term);
+    const rejection = await this.publishInTerm(proposal.record, term);
     const turnedDown = rejection && [
       ...(decision.turnedDown ?? []),
       {choice: decision.decision, because: rejection.detail},
@@ -254,8 +260,9 @@
     return rejection?.reason;
   }
 
-  private async write(
-    record: Proposal['record'] | {readonly kind: RecordKind.PlannerRenewed},
+  private async publishInTerm(
+    record:
+      ProposedRecord['record'] | {readonly kind: RecordKind.PlannerRenewed},
     term: number,
   ) {
     const {fleetPublisher, identity} = this.dependencies;
@@ -264,7 +271,7 @@
       ...record,
       writer,
       term,
-    } as UnnamedRecord);
+    } as RecordWithoutId);
     return rejection;
   }
 }
--- a/packages/plugin-metrics/src/index.ts
+++ b/packages/plugin-metrics/src/index.ts
@@ -11,7 +11,7 @@
   registry.add({
     name: 'metrics',
     options: metricsOptions,
-    service: 'metrics',
+    registrationName: 'metrics',
     register(container, options) {
       container.register({
         metrics: asValue(new StatsdMetrics(options as MetricsOptions)),
--- a/packages/plugin-metrics/src/prometheus-metrics.ts
+++ b/packages/plugin-metrics/src/prometheus-metrics.ts
@@ -9,7 +9,7 @@
 
 const PREFIX = 'gentiandoor_';
 /** From a store's answer to a caller's longest wait, in milliseconds. */
-const TIMING_BUCKETS = [
+const TIMING_BUCKETS_MILLISECONDS = [
   2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000,
 ];
 
@@ -21,7 +21,7 @@
   private readonly timings = new Map<MetricName, Histogram>();
 
   constructor() {
-    for (const name of Object.values(MetricName)) this.define(name);
+    for (const name of Object.values(MetricName)) this.registerMetric(name);
   }
 
   increment(name: MetricName, tags: MetricTags = {}, by = 1): void {
@@ -46,7 +46,7 @@
     return this.registry.contentType;
   }
 
-  private define(name: MetricName): void {
+  private registerMetric(name: MetricName): void {
     const entry = METRIC_CATALOGUE[name];
     const options = {
       name: PREFIX + name,
@@ -64,7 +64,7 @@
       case MetricType.Timing:
         this.timings.set(
           name,
-          new Histogram({...options, buckets: TIMING_BUCKETS}),
+          new Histogram({...options, buckets: TIMING_BUCKETS_MILLISECONDS}),
         );
     }
   }
--- a/packages/plugin-once-only/src/__tests__/held-answers.test.ts
+++ b/packages/plugin-once-only/src/__tests__/held-answers.test.ts
@@ -1,23 +1,31 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {ClaimEnd} from '@gentiandoor/shared-state';
+import {ClaimOutcome} from '@gentiandoor/shared-state';
 import {HeldAnswers} from '../held-answers.js';
 
 function ended(attempt: number, bytes: number) {
   const answer = {status: 200, headers: [], body: new Uint8Array(bytes)};
-  return {holder: 'entry-1.1', attempt, end: ClaimEnd.Finished, answer};
+  return {holder: 'entry-1.1', attempt, end: ClaimOutcome.Finished, answer};
 }
 
 describe('answers held for replay', () => {
   it('keep to their number, the oldest go first', () => {
-    const held = new HeldAnswers({entries: 2, bytes: 1e6, answerBytes: 1e6});
+    const held = new HeldAnswers({
+      maximumEntries: 2,
+      maximumBytes: 1e6,
+      maximumAnswerBytes: 1e6,
+    });
     for (const attempt of [1, 2, 3]) held.put(ended(attempt, 10));
     assert.equal(held.get('entry-1.1', 1), undefined);
     assert.equal(held.get('entry-1.1', 3)?.answer?.body.length, 10);
   });
 
   it('keep to their bytes and count them right over any puts', () => {
-    const held = new HeldAnswers({entries: 100, bytes: 5000, answerBytes: 1e6});
+    const held = new HeldAnswers({
+      maximumEntries: 100,
+      maximumBytes: 5000,
+      maximumAnswerBytes: 1e6,
+    });
     for (let attempt = 0; attempt < 50; attempt++)
       held.put(ended(attempt % 7, 100 * (attempt % 11)));
     assert.ok(held.bytes <= 5000);
@@ -28,9 +36,13 @@
   });
 
   it('say that a request was run whose answer is too large to hold', () => {
-    const held = new HeldAnswers({entries: 2, bytes: 1e6, answerBytes: 100});
+    const held = new HeldAnswers({
+      maximumEntries: 2,
+      maximumBytes: 1e6,
+      maximumAnswerBytes: 100,
+    });
     held.put(ended(1, 101));
-    assert.deepEqual(held.get('entry-1.1', 1)?.end, ClaimEnd.Finished);
+    assert.deepEqual(held.get('entry-1.1', 1)?.end, ClaimOutcome.Finished);
     assert.equal(held.get('entry-1.1', 1)?.answer, undefined);
   });
 });
--- a/packages/plugin-once-only/src/hand-over.ts
+++ b/packages/plugin-once-only/src/answer-hand-over.ts
@@ -9,27 +9,31 @@
 import {PeerTopic, type Peer, type PeerLinks} from '@gentiandoor/shared-state';
 import {
   ClaimMessageKind,
-  parseHandedOver,
+  parseHandOverResponse,
   type HandOverMessage,
 } from './claim-messages.js';
 import type {ClaimWriter} from './claim-writer.js';
-import {sizeOf, type HeldAnswers, type NamedEnd} from './held-answers.js';
+import {
+  answerSizeBytes,
+  type HeldAnswers,
+  type AttemptOutcome,
+} from './held-answers.js';
 import type {OwnClaims} from './own-claims.js';
 
 /** Bytes of answers in one message: small enough to leave a link free for other traffic. */
-const MESSAGE_BYTES = 262_144;
-const MESSAGE_ENDS = 500;
-const STEP_MILLISECONDS = 10;
+const MAXIMUM_MESSAGE_BYTES = 262_144;
+const MAXIMUM_MESSAGE_ENDS = 500;
+const POLL_INTERVAL_MILLISECONDS = 10;
 
 /** What the hand-over needs. */
-export interface HandOverDependencies {
+export interface AnswerHandOverDependencies {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly identity: DaemonIdentity;
   readonly peerLinks: PeerLinks;
   readonly writer: ClaimWriter;
-  readonly own: OwnClaims;
-  readonly held: HeldAnswers;
+  readonly ownClaims: OwnClaims;
+  readonly heldAnswers: HeldAnswers;
 }
 
 /**
@@ -37,26 +41,28 @@
  * rolling restart still gets its whole answer. Without it every stop leaves keys whose
  * answer is gone. The heir takes them first, then the log says who it is.
  */
-export class HandOver {
-  constructor(private readonly dependencies: HandOverDependencies) {}
+export class AnswerHandOver {
+  constructor(private readonly dependencies: AnswerHandOverDependencies) {}
 
   /** Ends within `milliseconds`, whatever the peers and the log do. */
   async run(milliseconds: number): Promise<void> {
-    const {clock, own, writer} = this.dependencies;
+    const {clock, ownClaims: own, writer} = this.dependencies;
     const deadline = clock.monotonicMilliseconds() + milliseconds;
-    await this.until(() => own.runningCount === 0, deadline);
-    const heir = await this.handToAny(deadline);
-    if (heir !== undefined) writer.handOver(heir);
+    await this.waitUntil(() => own.runningCount === 0, deadline);
+    const heir = await this.sendToFirstAccepting(deadline);
+    if (heir !== undefined) writer.setSuccessor(heir);
     writer.flush();
-    await this.until(() => writer.isEmpty, deadline);
+    await this.waitUntil(() => writer.isEmpty, deadline);
   }
 
-  private async handToAny(deadline: number): Promise<string | undefined> {
-    const {logger, held} = this.dependencies;
+  private async sendToFirstAccepting(
+    deadline: number,
+  ): Promise<string | undefined> {
+    const {logger, heldAnswers: held} = this.dependencies;
     if (held.size === 0) return undefined;
     for (const peer of this.candidates()) {
       try {
-        const answers = await this.handTo(peer, deadline);
+        const answers = await this.sendTo(peer, deadline);
         logger.info(LogEvent.AnswersHandedOver, {to: peer.name, answers});
         return peer.incarnation;
       } catch (error) {
@@ -82,10 +88,10 @@
     );
   }
 
-  private async handTo(peer: Peer, deadline: number): Promise<number> {
+  private async sendTo(peer: Peer, deadline: number): Promise<number> {
     const {clock, peerLinks} = this.dependencies;
     let handed = 0;
-    for (const ends of this.messages()) {
+    for (const ends of this.messageBatches()) {
       const left = deadline - clock.monotonicMilliseconds();
       // What is left out was run and says so: the log has its outcome.
       if (left <= 0 && handed > 0) break;
@@ -96,20 +102,21 @@
         message,
         Math.max(1, left),
       );
-      handed += parseHandedOver(answer).taken;
+      handed += parseHandOverResponse(answer).taken;
     }
     return handed;
   }
 
   /** Newest first: they are the likeliest to be asked for, should time run out. */
-  private messages(): NamedEnd[][] {
-    const messages: NamedEnd[][] = [];
-    let ends: NamedEnd[] = [];
+  private messageBatches(): AttemptOutcome[][] {
+    const messages: AttemptOutcome[][] = [];
+    let ends: AttemptOutcome[] = [];
     let bytes = 0;
-    for (const named of [...this.dependencies.held.all()].reverse()) {
-      const size = named.answer ? sizeOf(named.answer) : 0;
+    for (const named of [...this.dependencies.heldAnswers.all()].reverse()) {
+      const size = named.answer ? answerSizeBytes(named.answer) : 0;
       const isFull =
-        bytes + size > MESSAGE_BYTES || ends.length >= MESSAGE_ENDS;
+        bytes + size > MAXIMUM_MESSAGE_BYTES ||
+        ends.length >= MAXIMUM_MESSAGE_ENDS;
       if (isFull && ends.length > 0) {
         messages.push(ends);
         ends = [];
@@ -121,12 +128,12 @@
     return ends.length > 0 ? [...messages, ends] : messages;
   }
 
-  private async until(
+  private async waitUntil(
     condition: () => boolean,
     deadline: number,
   ): Promise<void> {
     const {clock} = this.dependencies;
     while (!condition() && clock.monotonicMilliseconds() < deadline)
-      await sleep(clock, STEP_MILLISECONDS);
+      await sleep(clock, POLL_INTERVAL_MILLISECONDS);
   }
 }
--- a/packages/plugin-once-only/src/claim-messages.ts
+++ b/packages/plugin-once-only/src/claim-messages.ts
@@ -1,8 +1,8 @@
 import {z} from 'zod';
-import {ClaimEnd, type HeldAnswer} from '@gentiandoor/shared-state';
+import {ClaimOutcome, type HeldAnswer} from '@gentiandoor/shared-state';
 
 /** Where a try stands at the daemon that has it. */
-export enum Standing {
+export enum ClaimStatus {
   /** It runs, or waits to run. */
   Running = 'running',
   /** A target ran it. */
@@ -17,7 +17,7 @@
 
 /** Kinds of messages under `PeerTopic.KeyedAnswer`. */
 export enum ClaimMessageKind {
-  Ask = 'ask',
+  StatusRequest = 'ask',
   HandOver = 'hand_over',
 }
 
@@ -27,15 +27,15 @@
   body: z.custom<Uint8Array>(value => value instanceof Uint8Array),
 });
 
-const namedEndSchema = z.object({
+const attemptOutcomeSchema = z.object({
   holder: z.string(),
   attempt: z.number(),
-  end: z.enum(ClaimEnd),
+  end: z.enum(ClaimOutcome),
   answer: answerSchema.optional(),
 });
 
-const askSchema = z.object({
-  kind: z.literal(ClaimMessageKind.Ask),
+const claimStatusRequestSchema = z.object({
+  kind: z.literal(ClaimMessageKind.StatusRequest),
   holder: z.string(),
   key: z.string(),
   attempt: z.number(),
@@ -45,35 +45,38 @@
 
 const handOverSchema = z.object({
   kind: z.literal(ClaimMessageKind.HandOver),
-  ends: z.array(namedEndSchema).readonly(),
+  ends: z.array(attemptOutcomeSchema).readonly(),
 });
 
-const messageSchema = z.discriminatedUnion('kind', [askSchema, handOverSchema]);
+const messageSchema = z.discriminatedUnion('kind', [
+  claimStatusRequestSchema,
+  handOverSchema,
+]);
 
-const standingSchema = z.object({
-  standing: z.enum(Standing),
+const claimStatusResponseSchema = z.object({
+  standing: z.enum(ClaimStatus),
   answer: answerSchema.optional(),
 });
 
-const handedOverSchema = z.object({taken: z.number()});
+const handOverResponseSchema = z.object({taken: z.number()});
 
 /** Asks where a try stands. */
-export type AskMessage = z.output<typeof askSchema>;
+export type ClaimStatusRequest = z.output<typeof claimStatusRequestSchema>;
 
 /** Hands ends and answers over before a planned stop. */
 export type HandOverMessage = z.output<typeof handOverSchema>;
 
 /** A message of one daemon to another about claims. */
-export type ClaimMessage = AskMessage | HandOverMessage;
+export type ClaimMessage = ClaimStatusRequest | HandOverMessage;
 
 /** The answer to `AskMessage`. */
-export interface StandingAnswer {
-  readonly standing: Standing;
+export interface ClaimStatusResponse {
+  readonly standing: ClaimStatus;
   readonly answer?: HeldAnswer;
 }
 
 /** The answer to `HandOverMessage`: how many ends were taken in. */
-export type HandedOver = z.output<typeof handedOverSchema>;
+export type HandOverResponse = z.output<typeof handOverResponseSchema>;
 
 /** Checks a message; throws `ZodError`. */
 export function parseClaimMessage(message: unknown): ClaimMessage {
@@ -81,11 +84,13 @@
 }
 
 /** Checks an answer to `AskMessage`; throws `ZodError`. */
-export function parseStanding(message: unknown): StandingAnswer {
-  return standingSchema.parse(message);
+export function parseClaimStatusResponse(
+  message: unknown,
+): ClaimStatusResponse {
+  return claimStatusResponseSchema.parse(message);
 }
 
 /** Checks an answer to `HandOverMessage`; throws `ZodError`. */
-export function parseHandedOver(message: unknown): HandedOver {
-  return handedOverSchema.parse(message);
+export function parseHandOverResponse(message: unknown): HandOverResponse {
+  return handOverResponseSchema.parse(message);
 }
--- a/packages/plugin-once-only/src/claim-writer.ts
+++ b/packages/plugin-once-only/src/claim-writer.ts
@@ -10,9 +10,9 @@
   StreamName,
   encodeClaimBatch,
   type ClaimBatch,
-  type ClaimItem,
+  type ClaimRequest,
   type ClaimReference,
-  type OutcomeItem,
+  type ClaimOutcomeReport,
   type PlatformLog,
 } from '@gentiandoor/shared-state';
 import type {OnceOnlyOptions} from './once-only-options.js';
@@ -40,18 +40,18 @@
  * sequence; once that one is read back, the fold has dropped the first for good.
  */
 export class ClaimWriter {
-  private readonly claims = new Map<number, ClaimItem>();
+  private readonly claims = new Map<number, ClaimRequest>();
   private readonly releases = new Map<number, ClaimReference>();
-  private readonly outcomes = new Map<number, OutcomeItem>();
+  private readonly outcomes = new Map<number, ClaimOutcomeReport>();
   /** Sequence under which a claim was sent last. */
-  private readonly sentUnder = new Map<number, number>();
-  private heir = '';
+  private readonly lastSequenceByAttempt = new Map<number, number>();
+  private successor = '';
   private sequence = 0;
-  private failures = 0;
+  private consecutiveFailures = 0;
   private failingSince: number | undefined;
   private nextAttemptAt = 0;
-  private mustFence = false;
-  private wake: () => void = () => {};
+  private mustAppend = false;
+  private onQueued: () => void = () => {};
 
   constructor(
     private readonly dependencies: ClaimWriterDependencies,
@@ -72,58 +72,58 @@
   /** True when everything handed in stands in the log. */
   get isEmpty(): boolean {
     const left = this.claims.size + this.releases.size + this.outcomes.size;
-    return left === 0 && this.heir === '' && !this.mustFence;
+    return left === 0 && this.successor === '' && !this.mustAppend;
   }
 
-  claim(item: ClaimItem): void {
+  queueClaim(item: ClaimRequest): void {
     this.claims.set(item.attempt, item);
-    this.wake();
+    this.onQueued();
   }
 
   /** Takes a claim back that nobody waits for; false when it may be in the log already. */
   withdraw(attempt: number): boolean {
     this.claims.delete(attempt);
-    return !this.sentUnder.has(attempt);
+    return !this.lastSequenceByAttempt.has(attempt);
   }
 
-  release(item: ClaimReference): void {
+  queueRelease(item: ClaimReference): void {
     this.releases.set(item.attempt, item);
-    this.wake();
+    this.onQueued();
   }
 
   /** Travels with the next append; alone only after `outcome_lag_milliseconds`. */
-  outcome(item: OutcomeItem): void {
+  queueOutcome(item: ClaimOutcomeReport): void {
     this.outcomes.set(item.attempt, item);
-    this.wake();
+    this.onQueued();
   }
 
-  handOver(heir: string): void {
-    this.heir = heir;
-    this.wake();
+  setSuccessor(heir: string): void {
+    this.successor = heir;
+    this.onQueued();
   }
 
   /** Sends what is left without waiting for company. */
   flush(): void {
-    if (this.outcomes.size > 0) this.mustFence = true;
-    this.wake();
+    if (this.outcomes.size > 0) this.mustAppend = true;
+    this.onQueued();
   }
 
   /** Hears of an own batch that the fold took; returns claims that can no longer land. */
-  noteReadBack(batch: ClaimBatch): number[] {
-    this.drop(batch);
+  confirmReadBack(batch: ClaimBatch): number[] {
+    this.removeWritten(batch);
     const dead: number[] = [];
-    for (const [attempt, sequence] of this.sentUnder) {
+    for (const [attempt, sequence] of this.lastSequenceByAttempt) {
       if (sequence > batch.sequence) continue;
-      this.sentUnder.delete(attempt);
+      this.lastSequenceByAttempt.delete(attempt);
       if (sequence < batch.sequence) dead.push(attempt);
     }
     return dead;
   }
 
   /** Writes until `signal` aborts. */
-  async write(signal: AbortSignal): Promise<void> {
+  async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.gather(signal);
+      await this.waitForItems(signal);
       await sleep(
         this.dependencies.clock,
         this.nextAttemptMilliseconds,
@@ -133,8 +133,8 @@
     }
   }
 
-  private async gather(signal: AbortSignal): Promise<void> {
-    if (this.isUrgent()) return;
+  private async waitForItems(signal: AbortSignal): Promise<void> {
+    if (this.hasUrgentItems()) return;
     const {clock, onceOnlyOptions} = this.dependencies;
     await new Promise<void>(resolve => {
       const lag = onceOnlyOptions.outcome_lag_milliseconds;
@@ -144,18 +144,18 @@
         signal.removeEventListener('abort', end);
         resolve();
       }
-      this.wake = () => {
-        if (this.isUrgent()) end();
+      this.onQueued = () => {
+        if (this.hasUrgentItems()) end();
         else timer ??= clock.schedule(lag, end);
       };
       signal.addEventListener('abort', end, {once: true});
     });
-    this.wake = () => {};
+    this.onQueued = () => {};
   }
 
-  private isUrgent(): boolean {
+  private hasUrgentItems(): boolean {
     const waited = this.claims.size + this.releases.size;
-    return waited > 0 || this.heir !== '' || this.mustFence;
+    return waited > 0 || this.successor !== '' || this.mustAppend;
   }
 
   private async appendOnce(signal: AbortSignal): Promise<void> {
@@ -163,7 +163,7 @@
     const startedAt = this.now();
     const batch = this.nextBatch();
     metrics.increment(MetricName.LogAppends, {stream: StreamName.Claims});
-    const limit = this.deadline(signal);
+    const limit = this.startAppendTimeout(signal);
     try {
       await limit.race(
         platformLog.append(
@@ -188,42 +188,43 @@
   private nextBatch(): ClaimBatch {
     const sequence = ++this.sequence;
     const limit = this.dependencies.onceOnlyOptions.batch_limit;
-    const claims = take(this.claims, limit);
-    const releases = take(this.releases, limit - claims.length);
+    const claims = firstItems(this.claims, limit);
+    const releases = firstItems(this.releases, limit - claims.length);
     const room = limit - claims.length - releases.length;
-    for (const {attempt} of claims) this.sentUnder.set(attempt, sequence);
+    for (const {attempt} of claims)
+      this.lastSequenceByAttempt.set(attempt, sequence);
     return {
       holder: this.holder,
       sequence,
       claims,
       releases,
-      outcomes: take(this.outcomes, room),
-      heir: this.heir,
+      outcomes: firstItems(this.outcomes, room),
+      heir: this.successor,
     };
   }
 
-  private drop(batch: ClaimBatch): void {
+  private removeWritten(batch: ClaimBatch): void {
     for (const {attempt} of batch.claims) this.claims.delete(attempt);
     for (const {attempt} of batch.releases) this.releases.delete(attempt);
     for (const {attempt} of batch.outcomes) this.outcomes.delete(attempt);
-    if (batch.heir === this.heir) this.heir = '';
+    if (batch.heir === this.successor) this.successor = '';
   }
 
   private noteSuccess(batch: ClaimBatch): void {
-    this.drop(batch);
-    this.failures = 0;
+    this.removeWritten(batch);
+    this.consecutiveFailures = 0;
     this.failingSince = undefined;
-    this.mustFence = false;
+    this.mustAppend = false;
   }
 
   // What the lost append held may land for hours. An append that follows it, even an empty
   // one, settles that, and tells at the same time whether the log takes appends again.
   private noteFailure(): void {
-    this.mustFence = true;
+    this.mustAppend = true;
     this.failingSince ??= this.now();
     const delay = backoff(
       this.dependencies.random,
-      this.failures++,
+      this.consecutiveFailures++,
       BACKOFF_BASE_MILLISECONDS,
       BACKOFF_MAXIMUM_MILLISECONDS,
     );
@@ -231,7 +232,7 @@
   }
 
   /** Ends an append that the log does not answer, whether or not it heeds its signal. */
-  private deadline(outer: AbortSignal) {
+  private startAppendTimeout(outer: AbortSignal) {
     const {clock, onceOnlyOptions} = this.dependencies;
     const controller = new AbortController();
     const abort = () => controller.abort();
@@ -261,7 +262,10 @@
   }
 }
 
-function take<Item>(items: ReadonlyMap<number, Item>, limit: number): Item[] {
+function firstItems<Item>(
+  items: ReadonlyMap<number, Item>,
+  limit: number,
+): Item[] {
   const taken: Item[] = [];
   for (const item of items.values()) {
     if (taken.length >= limit) break;
--- a/packages/plugin-once-only/src/claims-follower.ts
+++ b/packages/plugin-once-only/src/claims-follower.ts
@@ -1,6 +1,6 @@
 import {
   LogEvent,
-  LogFailure,
+  PlatformLogFailure,
   MetricName,
   PlatformLogError,
   backoff,
@@ -14,7 +14,7 @@
 import {
   StreamName,
   decodeClaimBatch,
-  type BatchVerdict,
+  type AppliedClaimBatch,
   type ClaimBatch,
   type ClaimTable,
   type PlatformLog,
@@ -28,7 +28,7 @@
 const BEYOND_END = Number.MAX_SAFE_INTEGER;
 
 /** Batches applied before the event loop gets a turn: 256 claims each, about a millisecond. */
-const BATCHES_A_TURN = 8;
+const BATCHES_PER_SLICE = 8;
 
 /** What the follower needs. */
 export interface ClaimsFollowerDependencies {
@@ -42,7 +42,7 @@
 
 /** Hears what the fold made of the stream. */
 export interface ClaimsListener {
-  onBatch(batch: ClaimBatch, verdict: BatchVerdict): void;
+  onBatch(batch: ClaimBatch, verdict: AppliedClaimBatch): void;
   /** Batches between what was read and what is kept are lost to this daemon. */
   onGap(): void;
 }
@@ -50,10 +50,10 @@
 /** Follows the claims stream and keeps the table of claims. */
 export class ClaimsFollower {
   private isPositioned = false;
-  private target = Infinity;
-  private failures = 0;
+  private endOffsetAtStart = Infinity;
+  private consecutiveFailures = 0;
   private failingSince: number | undefined;
-  private readAsOf = -Infinity;
+  private caughtUpAsOf = -Infinity;
 
   constructor(
     private readonly dependencies: ClaimsFollowerDependencies,
@@ -63,7 +63,7 @@
 
   /** True once everything is read that stood in the log when this daemon started. */
   get isCaughtUp(): boolean {
-    return this.table.nextOffset >= this.target;
+    return this.table.nextOffset >= this.endOffsetAtStart;
   }
 
   /** Milliseconds for which reads have failed; 0 when the last one succeeded. */
@@ -75,16 +75,16 @@
 
   /** True when the log has said after `moment` that nothing is left to read. */
   isCurrentAsOf(moment: number): boolean {
-    return this.readAsOf >= moment;
+    return this.caughtUpAsOf >= moment;
   }
 
   /** Follows until `signal` aborts. */
   async follow(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       try {
-        if (!this.isPositioned) await this.position(signal);
+        if (!this.isPositioned) await this.seekToOldest(signal);
         await this.readOnce(signal);
-        this.failures = 0;
+        this.consecutiveFailures = 0;
         this.failingSince = undefined;
       } catch (error) {
         if (signal.aborted) return;
@@ -93,7 +93,7 @@
     }
   }
 
-  private async position(signal: AbortSignal): Promise<void> {
+  private async seekToOldest(signal: AbortSignal): Promise<void> {
     const {platformLog} = this.dependencies;
     const edge = await platformLog.read(
       StreamName.Claims,
@@ -101,8 +101,8 @@
       {limit: 1, waitMilliseconds: 0},
       signal,
     );
-    this.target = edge.end;
-    this.table.skipTo(edge.oldest);
+    this.endOffsetAtStart = edge.end;
+    this.table.skipToOffset(edge.oldest);
     this.isPositioned = true;
   }
 
@@ -123,9 +123,9 @@
     let applied = 0;
     for (const payload of read.payloads) {
       this.apply(payload);
-      if (++applied % BATCHES_A_TURN === 0) await nextTurn();
+      if (++applied % BATCHES_PER_SLICE === 0) await yieldToEventLoop();
     }
-    if (this.table.nextOffset >= read.end) this.readAsOf = startedAt;
+    if (this.table.nextOffset >= read.end) this.caughtUpAsOf = startedAt;
   }
 
   private apply(payload: Uint8Array): void {
@@ -167,7 +167,7 @@
     }
     const delay = backoff(
       random,
-      this.failures++,
+      this.consecutiveFailures++,
       BACKOFF_BASE_MILLISECONDS,
       BACKOFF_MAXIMUM_MILLISECONDS,
     );
@@ -176,9 +176,12 @@
 }
 
 function isGap(error: Error): boolean {
-  return error instanceof PlatformLogError && error.failure === LogFailure.Gap;
+  return (
+    error instanceof PlatformLogError &&
+    error.failure === PlatformLogFailure.Gap
+  );
 }
 
-function nextTurn(): Promise<void> {
+function yieldToEventLoop(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
--- a/packages/plugin-once-only/src/held-answers.ts
+++ b/packages/plugin-once-only/src/held-answers.ts
@@ -1,24 +1,24 @@
-import type {ClaimEnd, HeldAnswer} from '@gentiandoor/shared-state';
+import type {ClaimOutcome, HeldAnswer} from '@gentiandoor/shared-state';
 
 /** Bytes that an entry takes besides its answer, roughly. */
-const ENTRY_BYTES = 200;
+const ENTRY_OVERHEAD_BYTES = 200;
 
 /** How a request ended, with its whole answer where it is still held. */
-export interface HeldEnd {
-  readonly end: ClaimEnd;
+export interface HeldOutcome {
+  readonly end: ClaimOutcome;
   readonly answer?: HeldAnswer;
 }
 
 /** Bounds of what is held. */
-export interface HeldBounds {
-  readonly entries: number;
-  readonly bytes: number;
+export interface HeldAnswerLimits {
+  readonly maximumEntries: number;
+  readonly maximumBytes: number;
   /** Of one answer. */
-  readonly answerBytes: number;
+  readonly maximumAnswerBytes: number;
 }
 
 /** An end with the name of its try. */
-export interface NamedEnd extends HeldEnd {
+export interface AttemptOutcome extends HeldOutcome {
   readonly holder: string;
   readonly attempt: number;
 }
@@ -28,64 +28,66 @@
  * oldest go first; an answer over its own bound is left out and "already run" is said.
  */
 export class HeldAnswers {
-  private readonly ends = new Map<string, NamedEnd>();
+  private readonly outcomes = new Map<string, AttemptOutcome>();
   private heldBytes = 0;
 
-  constructor(private readonly bounds: HeldBounds) {}
+  constructor(private readonly limits: HeldAnswerLimits) {}
 
   get size(): number {
-    return this.ends.size;
+    return this.outcomes.size;
   }
 
   get bytes(): number {
     return this.heldBytes;
   }
 
-  get(holder: string, attempt: number): HeldEnd | undefined {
-    return this.ends.get(nameOf(holder, attempt));
+  get(holder: string, attempt: number): HeldOutcome | undefined {
+    return this.outcomes.get(attemptKey(holder, attempt));
   }
 
   /** All ends, oldest first. */
-  all(): IterableIterator<NamedEnd> {
-    return this.ends.values();
+  all(): IterableIterator<AttemptOutcome> {
+    return this.outcomes.values();
   }
 
-  put(named: NamedEnd): void {
+  put(named: AttemptOutcome): void {
     const {holder, attempt, end, answer} = named;
-    const name = nameOf(holder, attempt);
+    const name = attemptKey(holder, attempt);
     this.remove(name);
     const fits =
-      answer !== undefined && sizeOf(answer) <= this.bounds.answerBytes;
+      answer !== undefined &&
+      answerSizeBytes(answer) <= this.limits.maximumAnswerBytes;
     const kept = {holder, attempt, end, answer: fits ? answer : undefined};
-    this.ends.set(name, kept);
-    this.heldBytes += bytesOf(kept);
-    while (this.isOver()) this.remove(this.ends.keys().next().value!);
+    this.outcomes.set(name, kept);
+    this.heldBytes += entrySizeBytes(kept);
+    while (this.exceedsLimits())
+      this.remove(this.outcomes.keys().next().value!);
   }
 
-  private isOver(): boolean {
-    if (this.ends.size === 0) return false;
-    const {entries, bytes} = this.bounds;
-    return this.ends.size > entries || this.heldBytes > bytes;
+  private exceedsLimits(): boolean {
+    if (this.outcomes.size === 0) return false;
+    const {maximumEntries: entries, maximumBytes: bytes} = this.limits;
+    return this.outcomes.size > entries || this.heldBytes > bytes;
   }
 
   private remove(name: string): void {
-    const held = this.ends.get(name);
+    const held = this.outcomes.get(name);
     if (!held) return;
-    this.ends.delete(name);
-    this.heldBytes -= bytesOf(held);
+    this.outcomes.delete(name);
+    this.heldBytes -= entrySizeBytes(held);
   }
 }
 
 /** Bytes of an answer. */
-export function sizeOf(answer: HeldAnswer): number {
+export function answerSizeBytes(answer: HeldAnswer): number {
   const text = answer.headers.reduce((sum, word) => sum + word.length, 0);
   return text + answer.body.byteLength;
 }
 
-function bytesOf({answer}: HeldEnd): number {
-  return ENTRY_BYTES + (answer ? sizeOf(answer) : 0);
+function entrySizeBytes({answer}: HeldOutcome): number {
+  return ENTRY_OVERHEAD_BYTES + (answer ? answerSizeBytes(answer) : 0);
 }
 
-function nameOf(holder: string, attempt: number): string {
+function attemptKey(holder: string, attempt: number): string {
   return `${holder}/${attempt}`;
 }
--- a/packages/plugin-once-only/src/index.ts
+++ b/packages/plugin-once-only/src/index.ts
@@ -1,13 +1,13 @@
 import {aliasTo, asClass, asValue} from 'awilix';
 import type {PluginRegistry, Readiness} from '@gentiandoor/kernel';
-import {ClaimsOverLog} from './claims-over-log.js';
+import {LogBackedIdempotencyGuard} from './log-backed-idempotency-guard.js';
 import {onceOnlyOptions} from './once-only-options.js';
 
 export {
-  ClaimsOverLog,
-  type ClaimsOverLogDependencies,
-} from './claims-over-log.js';
-export {LocalOnceOnly} from './local-once-only.js';
+  LogBackedIdempotencyGuard,
+  type LogBackedIdempotencyGuardDependencies,
+} from './log-backed-idempotency-guard.js';
+export {LocalIdempotencyGuard} from './local-idempotency-guard.js';
 export {onceOnlyOptions, type OnceOnlyOptions} from './once-only-options.js';
 
 /** Registers the recognition of keyed requests. */
@@ -15,18 +15,19 @@
   registry.add({
     name: 'once-only',
     options: onceOnlyOptions,
-    service: 'onceOnly',
+    registrationName: 'onceOnly',
     register(container, options) {
       container.register({
         onceOnlyOptions: asValue(options),
-        onceOnly: asClass(ClaimsOverLog).singleton(),
+        onceOnly: asClass(LogBackedIdempotencyGuard).singleton(),
         keyIssuer: aliasTo('onceOnly'),
       });
       container
         .resolve<Readiness>('readiness')
         .add(
           'claims of keys',
-          () => container.resolve<ClaimsOverLog>('onceOnly').isReady,
+          () =>
+            container.resolve<LogBackedIdempotencyGuard>('onceOnly').isReady,
         );
     },
   });
--- a/packages/plugin-once-only/src/key-issuer.ts
+++ b/packages/plugin-once-only/src/issued-keys.ts
@@ -2,10 +2,11 @@
 import {ErrorKind, RequestError} from '@gentiandoor/kernel';
 import type {OnceOnlyOptions} from './once-only-options.js';
 
-const PREFIX = 'gd1-';
-const SHAPE = /^gd1-([0-9a-z]{1,11})-([0-9a-f]{24})-([0-9a-f]{32})$/;
+const ISSUED_KEY_PREFIX = 'gd1-';
+const ISSUED_KEY_PATTERN =
+  /^gd1-([0-9a-z]{1,11})-([0-9a-f]{24})-([0-9a-f]{32})$/;
 const RANDOM_BYTES = 12;
-const MARK_BYTES = 16;
+const MAC_BYTES = 16;
 const RADIX = 36;
 
 /**
@@ -25,26 +26,30 @@
   issue(caller: string, offset: number): string | undefined {
     if (this.secrets.length === 0) return undefined;
     const head = `${offset.toString(RADIX)}-${randomBytes(RANDOM_BYTES).toString('hex')}`;
-    return `${PREFIX}${head}-${mark(this.secrets[0], caller, head).toString('hex')}`;
+    return `${ISSUED_KEY_PREFIX}${head}-${computeMac(this.secrets[0], caller, head).toString('hex')}`;
   }
 
   /**
    * The offset at which a key was issued; undefined for a key of the caller's own.
    * Throws `RequestError` for one that looks issued and is not.
    */
-  bornAt(caller: string, key: string): number | undefined {
-    if (this.secrets.length === 0 || !key.startsWith(PREFIX)) return undefined;
-    const [, offset, random, given] = SHAPE.exec(key) ?? [];
-    if (given === undefined || !this.isMarked(caller, offset, random, given)) {
+  issueOffsetOf(caller: string, key: string): number | undefined {
+    if (this.secrets.length === 0 || !key.startsWith(ISSUED_KEY_PREFIX))
+      return undefined;
+    const [, offset, random, given] = ISSUED_KEY_PATTERN.exec(key) ?? [];
+    if (
+      given === undefined ||
+      !this.hasValidMac(caller, offset, random, given)
+    ) {
       throw new RequestError(
         ErrorKind.KeyInvalid,
-        `keys that begin with ${PREFIX} are issued by the daemons, to one caller`,
+        `keys that begin with ${ISSUED_KEY_PREFIX} are issued by the daemons, to one caller`,
       );
     }
     return Number.parseInt(offset, RADIX);
   }
 
-  private isMarked(
+  private hasValidMac(
     caller: string,
     offset: string,
     random: string,
@@ -52,14 +57,14 @@
   ): boolean {
     const bytes = Buffer.from(given, 'hex');
     return this.secrets.some(secret =>
-      timingSafeEqual(mark(secret, caller, `${offset}-${random}`), bytes),
+      timingSafeEqual(computeMac(secret, caller, `${offset}-${random}`), bytes),
     );
   }
 }
 
-function mark(secret: string, caller: string, head: string): Buffer {
+function computeMac(secret: string, caller: string, head: string): Buffer {
   return createHmac('sha256', secret)
     .update(JSON.stringify([caller, head]))
     .digest()
-    .subarray(0, MARK_BYTES);
+    .subarray(0, MAC_BYTES);
 }
--- a/packages/plugin-once-only/src/key-waiters.ts
+++ b/packages/plugin-once-only/src/key-waiters.ts
@@ -3,13 +3,13 @@
 /** Requests that wait for something to change about a key, each with its own bound. */
 export class KeyWaiters {
   private readonly waiters = new Map<string, Set<() => void>>();
-  private waiting = 0;
+  private waitingCount = 0;
 
   constructor(private readonly clock: Clock) {}
 
   /** How many wait. */
   get size(): number {
-    return this.waiting;
+    return this.waitingCount;
   }
 
   /** Resolves when the key is woken, after `milliseconds`, or when `signal` aborts. */
@@ -19,7 +19,7 @@
     signal?: AbortSignal,
   ): Promise<void> {
     if (signal?.aborted || milliseconds <= 0) return;
-    this.waiting++;
+    this.waitingCount++;
     const set = this.waiters.get(key) ?? new Set();
     this.waiters.set(key, set);
     await new Promise<void>(resolve => {
@@ -33,7 +33,7 @@
       signal?.addEventListener('abort', end, {once: true});
       set.add(end);
     });
-    this.waiting--;
+    this.waitingCount--;
     if (set.size === 0 && this.waiters.get(key) === set)
       this.waiters.delete(key);
   }
