--- a/packages/plugin-once-only/src/local-once-only.ts
+++ b/packages/plugin-once-only/src/local-idempotency-guard.ts
@@ -1,10 +1,10 @@
 import {ErrorKind, RequestError, type Plugin} from '@gentiandoor/kernel';
 import type {
   HeldAnswer,
-  HeldClaim,
-  KeyDecision,
+  ClaimHandle,
+  KeyedRequestDecision,
   KeyedRequest,
-  OnceOnly,
+  IdempotencyGuard,
 } from '@gentiandoor/shared-state';
 import type {OnceOnlyOptions} from './once-only-options.js';
 
@@ -21,7 +21,7 @@
 }
 
 /** Recognises keys at one daemon only: the baseline of the claims in the log. */
-export class LocalOnceOnly implements OnceOnly, Plugin {
+export class LocalIdempotencyGuard implements IdempotencyGuard, Plugin {
   private readonly claims = new Map<string, Claim>();
 
   constructor(
@@ -34,7 +34,7 @@
 
   async stop(): Promise<void> {}
 
-  async begin(request: KeyedRequest): Promise<KeyDecision> {
+  async begin(request: KeyedRequest): Promise<KeyedRequestDecision> {
     const name = JSON.stringify([request.caller, request.service, request.key]);
     const claim = this.claims.get(name);
     if (!claim)
@@ -47,15 +47,15 @@
     }
     if (claim.answer) return {run: false, answer: claim.answer};
     throw new RequestError(
-      KIND_OF_STATE[claim.state],
+      ERROR_KIND_BY_STATE[claim.state],
       `the key is ${claim.state}`,
     );
   }
 
-  private claim(name: string, fingerprint: string): HeldClaim {
+  private claim(name: string, fingerprint: string): ClaimHandle {
     const claim: Claim = {state: ClaimState.Running, fingerprint};
     this.claims.set(name, claim);
-    this.forgetOldest();
+    this.evictOldest();
     return {
       finish: answer => {
         claim.state = ClaimState.Finished;
@@ -68,14 +68,14 @@
     };
   }
 
-  private forgetOldest(): void {
+  private evictOldest(): void {
     if (this.claims.size <= this.dependencies.onceOnlyOptions.keys) return;
     const [oldest] = this.claims.keys();
     this.claims.delete(oldest);
   }
 }
 
-const KIND_OF_STATE: Readonly<Record<ClaimState, ErrorKind>> = {
+const ERROR_KIND_BY_STATE: Readonly<Record<ClaimState, ErrorKind>> = {
   [ClaimState.Running]: ErrorKind.KeyInProgress,
   [ClaimState.Finished]: ErrorKind.KeyAlreadyRun,
   [ClaimState.Lost]: ErrorKind.KeyOutcomeUnknown,
--- a/packages/plugin-once-only/src/once-only-options.ts
+++ b/packages/plugin-once-only/src/once-only-options.ts
@@ -1,13 +1,15 @@
 import {z} from 'zod';
 import {integerSetting} from '@gentiandoor/kernel';
 
-const SECRET_LENGTH = 16;
+const MINIMUM_SECRET_LENGTH = 16;
 
 function secretSetting() {
   return z
-    .string({error: `expected a secret of ${SECRET_LENGTH} characters or more`})
-    .min(SECRET_LENGTH, {
-      error: `expected a secret of ${SECRET_LENGTH} characters or more`,
+    .string({
+      error: `expected a secret of ${MINIMUM_SECRET_LENGTH} characters or more`,
+    })
+    .min(MINIMUM_SECRET_LENGTH, {
+      error: `expected a secret of ${MINIMUM_SECRET_LENGTH} characters or more`,
     });
 }
 
--- a/packages/plugin-once-only/src/own-claims.ts
+++ b/packages/plugin-once-only/src/own-claims.ts
@@ -1,15 +1,15 @@
 import type {
-  BatchVerdict,
+  AppliedClaimBatch,
   ClaimBatch,
   ClaimEntry,
-  ClaimItem,
+  ClaimRequest,
   ClaimReference,
   ClaimTable,
   HeldAnswer,
-  HeldClaim,
+  ClaimHandle,
 } from '@gentiandoor/shared-state';
-import {ClaimEnd} from '@gentiandoor/shared-state';
-import {Standing} from './claim-messages.js';
+import {ClaimOutcome} from '@gentiandoor/shared-state';
+import {ClaimStatus} from './claim-messages.js';
 import type {ClaimWriter} from './claim-writer.js';
 import type {HeldAnswers} from './held-answers.js';
 import type {KeyWaiters} from './key-waiters.js';
@@ -29,9 +29,9 @@
 }
 
 /** A claim on its way. Its result changes once, from `Pending`. */
-export interface PendingClaim extends ClaimItem {
+export interface PendingClaim extends ClaimRequest {
   /** Every claim of the key at or above this offset is known to this daemon. */
-  readonly knownFrom: number;
+  readonly startOffset: number;
   result: ClaimResult;
 }
 
@@ -40,8 +40,8 @@
   readonly holder: string;
   readonly table: ClaimTable;
   readonly writer: ClaimWriter;
-  readonly held: HeldAnswers;
-  readonly waiters: KeyWaiters;
+  readonly heldAnswers: HeldAnswers;
+  readonly keyWaiters: KeyWaiters;
 }
 
 /** The tries of this incarnation, from the claim to the end of the request. */
@@ -66,20 +66,20 @@
   }
 
   /** Sends a claim on its way. */
-  begin(key: string, fingerprint: string, knownFrom: number): PendingClaim {
+  begin(key: string, fingerprint: string, startOffset: number): PendingClaim {
     const attempt = ++this.lastAttempt;
     const result: ClaimResult = ClaimResult.Pending;
-    const claim = {key, attempt, fingerprint, knownFrom, result};
+    const claim = {key, attempt, fingerprint, startOffset, result};
     this.pending.set(attempt, claim);
     this.pendingKeys.add(key);
-    this.dependencies.writer.claim({key, attempt, fingerprint});
+    this.dependencies.writer.queueClaim({key, attempt, fingerprint});
     return claim;
   }
 
   /** Ends the wait for a claim; what is won later is given back. */
   giveUp(claim: PendingClaim): void {
     if (claim.result !== ClaimResult.Pending) return;
-    this.settle(claim, ClaimResult.GivenUp);
+    this.setResult(claim, ClaimResult.GivenUp);
     const {key, attempt} = claim;
     // An append under way may land after the caller was told. It must neither run nor keep
     // the key: it stays here until the log shows it, or shows that it can land no more.
@@ -88,11 +88,12 @@
   }
 
   /** The right to run a won claim. */
-  held(claim: PendingClaim): HeldClaim {
+  createHandle(claim: PendingClaim): ClaimHandle {
     const {key, attempt} = claim;
     return {
-      finish: answer => this.end({key, attempt}, ClaimEnd.Finished, answer),
-      lose: () => this.end({key, attempt}, ClaimEnd.Lost),
+      finish: answer =>
+        this.recordOutcome({key, attempt}, ClaimOutcome.Finished, answer),
+      lose: () => this.recordOutcome({key, attempt}, ClaimOutcome.Lost),
       release: () => {
         if (this.running.delete(attempt)) this.release({key, attempt});
       },
@@ -100,22 +101,23 @@
   }
 
   /** Where a try of this incarnation stands. */
-  standing({key, attempt}: ClaimReference): Standing {
-    if (this.running.has(attempt)) return Standing.Running;
-    if (this.pending.get(attempt)?.key === key) return Standing.Running;
-    if (this.releasing.has(attempt)) return Standing.Released;
-    if (this.givenUp.has(attempt)) return Standing.Released;
-    return Standing.Unknown;
+  statusOf({key, attempt}: ClaimReference): ClaimStatus {
+    if (this.running.has(attempt)) return ClaimStatus.Running;
+    if (this.pending.get(attempt)?.key === key) return ClaimStatus.Running;
+    if (this.releasing.has(attempt)) return ClaimStatus.Released;
+    if (this.givenUp.has(attempt)) return ClaimStatus.Released;
+    return ClaimStatus.Unknown;
   }
 
   /** Hears what the fold made of a batch of this incarnation. */
-  onOwnBatch(batch: ClaimBatch, verdict: BatchVerdict): void {
-    for (const {item, entry} of verdict.verdicts) this.judge(item, entry);
+  onOwnBatch(batch: ClaimBatch, verdict: AppliedClaimBatch): void {
+    for (const {item, entry} of verdict.appliedClaims)
+      this.applyClaim(item, entry);
     for (const item of batch.releases) {
       this.releasing.delete(item.attempt);
-      this.dependencies.waiters.wake(item.key);
+      this.dependencies.keyWaiters.wake(item.key);
     }
-    for (const attempt of this.dependencies.writer.noteReadBack(batch))
+    for (const attempt of this.dependencies.writer.confirmReadBack(batch))
       this.givenUp.delete(attempt);
   }
 
@@ -128,49 +130,54 @@
     }
   }
 
-  private judge(item: ClaimItem, entry: ClaimEntry): void {
+  private applyClaim(item: ClaimRequest, entry: ClaimEntry): void {
     const {holder} = this.dependencies;
     const isOwn = entry.holder === holder && entry.attempt === item.attempt;
     const claim = this.pending.get(item.attempt);
-    if (claim) this.decide(claim, isOwn);
+    if (claim) this.resolvePending(claim, isOwn);
     else if (isOwn && this.givenUp.delete(item.attempt)) this.release(item);
   }
 
-  private decide(claim: PendingClaim, isOwn: boolean): void {
-    if (!isOwn) return this.settle(claim, ClaimResult.Taken);
-    const {key, attempt, knownFrom} = claim;
+  private resolvePending(claim: PendingClaim, isOwn: boolean): void {
+    if (!isOwn) return this.setResult(claim, ClaimResult.Taken);
+    const {key, attempt, startOffset: knownFrom} = claim;
     // While the claim was on its way, older claims may have been forgotten above the bound,
     // one of this key among them; the symptom would be a second run.
-    if (this.dependencies.table.horizon > knownFrom) {
-      this.settle(claim, ClaimResult.Forgotten);
+    if (this.dependencies.table.retainedFromOffset > knownFrom) {
+      this.setResult(claim, ClaimResult.Forgotten);
       return this.release(claim);
     }
     this.running.set(attempt, {key, attempt});
-    this.settle(claim, ClaimResult.Won);
+    this.setResult(claim, ClaimResult.Won);
   }
 
-  private settle(claim: PendingClaim, result: ClaimResult): void {
+  private setResult(claim: PendingClaim, result: ClaimResult): void {
     claim.result = result;
     this.pending.delete(claim.attempt);
     this.pendingKeys.delete(claim.key);
-    this.dependencies.waiters.wake(claim.key);
+    this.dependencies.keyWaiters.wake(claim.key);
   }
 
   private release({key, attempt}: ClaimReference): void {
     this.releasing.set(attempt, {key, attempt});
-    this.dependencies.writer.release({key, attempt});
+    this.dependencies.writer.queueRelease({key, attempt});
   }
 
-  private end(
+  private recordOutcome(
     reference: ClaimReference,
-    end: ClaimEnd,
+    end: ClaimOutcome,
     answer?: HeldAnswer,
   ): void {
-    const {holder, held, writer, waiters} = this.dependencies;
+    const {
+      holder,
+      heldAnswers: held,
+      writer,
+      keyWaiters: waiters,
+    } = this.dependencies;
     const {key, attempt} = reference;
     if (!this.running.delete(attempt)) return;
     held.put({holder, attempt, end, answer});
-    writer.outcome({key, attempt, end});
+    writer.queueOutcome({key, attempt, end});
     waiters.wake(key);
   }
 }
--- a/packages/plugin-peers/src/__tests__/peer-choice.test.ts
+++ b/packages/plugin-peers/src/__tests__/peer-choice.test.ts
@@ -2,9 +2,9 @@
 import {describe, it} from 'node:test';
 import {choosePeers, type PeerCandidate} from '../peer-choice.js';
 
-const BOUNDS = {local: 8, remote: 8};
+const LIMITS = {local: 8, remote: 8};
 
-function daemons(dataCentres: number, each: number): PeerCandidate[] {
+function makeDaemons(dataCentres: number, each: number): PeerCandidate[] {
   return Array.from({length: dataCentres * each}, (_, index) => ({
     name: `entry-${String(index).padStart(5, '0')}`,
     dataCentre: `dc-${index % dataCentres}`,
@@ -13,13 +13,13 @@
 }
 
 /** Daemons reached from the first by links in either direction. */
-function reached(all: readonly PeerCandidate[]): number {
+function countReachable(all: readonly PeerCandidate[]): number {
   const links = new Map<string, Set<string>>(
     all.map(({name}) => [name, new Set<string>()]),
   );
   all.forEach((self, index) => {
     const fraction = ((index * 7919) % 1000) / 1000;
-    for (const peer of choosePeers(self, all, BOUNDS, fraction)) {
+    for (const peer of choosePeers(self, all, LIMITS, fraction)) {
       links.get(self.name)?.add(peer.name);
       links.get(peer.name)?.add(self.name);
     }
@@ -37,23 +37,23 @@
 
 describe('choosePeers', () => {
   it('links a deployment of today to everyone', () => {
-    const all = daemons(4, 2);
-    assert.equal(choosePeers(all[0], all, BOUNDS, 0.5).length, 7);
+    const all = makeDaemons(4, 2);
+    assert.equal(choosePeers(all[0], all, LIMITS, 0.5).length, 7);
   });
 
   it('keeps to its bounds with thousands of daemons, and leaves none out', () => {
-    const all = daemons(12, 100);
+    const all = makeDaemons(12, 100);
     for (const self of all.slice(0, 50)) {
-      const chosen = choosePeers(self, all, BOUNDS, 0.5);
+      const chosen = choosePeers(self, all, LIMITS, 0.5);
       assert.equal(chosen.length, 16);
       assert.equal(new Set(chosen.map(peer => peer.name)).size, 16);
     }
-    assert.equal(reached(all), all.length);
+    assert.equal(countReachable(all), all.length);
   });
 
   it('deals its remote links out over data centres', () => {
-    const all = daemons(5, 50);
-    const remote = choosePeers(all[0], all, BOUNDS, 0.5).filter(
+    const all = makeDaemons(5, 50);
+    const remote = choosePeers(all[0], all, LIMITS, 0.5).filter(
       peer => peer.dataCentre !== 'dc-0',
     );
     assert.equal(new Set(remote.map(peer => peer.dataCentre)).size, 4);
--- a/packages/plugin-peers/src/__tests__/peer-frames-fuzz.test.ts
+++ b/packages/plugin-peers/src/__tests__/peer-frames-fuzz.test.ts
@@ -7,7 +7,7 @@
 import {MemoryMetrics, MetricName, SystemClock} from '@gentiandoor/kernel';
 import {PeerTopic} from '@gentiandoor/shared-state';
 import {FrameInbox} from '../frame-inbox.js';
-import {PeerEnd} from '../peer-end.js';
+import {PeerDisconnectReason} from '../peer-disconnect.js';
 import {
   FrameKind,
   MalformedFrameError,
@@ -17,7 +17,7 @@
   encodeFrame,
 } from '../peer-frames.js';
 import {PeerLink} from '../peer-link.js';
-import {FrameSeal, LinkSide} from '../peer-seal.js';
+import {FrameAuthenticator, LinkSide} from '../frame-authentication.js';
 import {peersOptions} from '../peers-options.js';
 
 const RUNS = {
@@ -78,7 +78,7 @@
 function startLink(): {
   socket: FakeSocket;
   metrics: MemoryMetrics;
-  ended: Promise<PeerEnd>;
+  ended: Promise<PeerDisconnectReason>;
 } {
   const socket = new FakeSocket();
   const metrics = new MemoryMetrics();
@@ -89,8 +89,8 @@
     new FrameInbox(real),
     {
       peer,
-      outgoing: new FrameSeal(KEY, LinkSide.Listener, TRANSCRIPT),
-      incoming: new FrameSeal(KEY, LinkSide.Dialer, TRANSCRIPT),
+      outgoing: new FrameAuthenticator(KEY, LinkSide.Listener, TRANSCRIPT),
+      incoming: new FrameAuthenticator(KEY, LinkSide.Dialer, TRANSCRIPT),
     },
     LinkSide.Listener,
     {
@@ -124,7 +124,7 @@
       fc.asyncProperty(anyFrame, async frame => {
         const {socket, metrics, ended} = startLink();
         socket.emit('message', frame);
-        assert.equal(await ended, PeerEnd.Malformed);
+        assert.equal(await ended, PeerDisconnectReason.Malformed);
         const read = {direction: 'in'};
         assert.equal(metrics.value(MetricName.PeerMessages, read), 0);
       }),
@@ -138,11 +138,18 @@
     await fc.assert(
       fc.asyncProperty(fc.array(anyFrame, {maxLength: 5}), async frames => {
         const {socket, ended} = startLink();
-        const seal = new FrameSeal(KEY, LinkSide.Dialer, TRANSCRIPT);
-        for (const frame of frames) socket.emit('message', seal.seal(frame));
+        const seal = new FrameAuthenticator(KEY, LinkSide.Dialer, TRANSCRIPT);
+        for (const frame of frames)
+          socket.emit('message', seal.prependTag(frame));
         setImmediate(() => socket.emit('close'));
         const end = await ended;
-        assert.ok([PeerEnd.Malformed, PeerEnd.Closed].includes(end), end);
+        assert.ok(
+          [
+            PeerDisconnectReason.Malformed,
+            PeerDisconnectReason.Closed,
+          ].includes(end),
+          end,
+        );
       }),
       RUNS,
     );
--- a/packages/plugin-peers/src/__tests__/peer-links.test.ts
+++ b/packages/plugin-peers/src/__tests__/peer-links.test.ts
@@ -45,7 +45,9 @@
     return this.peerDirectory.ownAddress ?? '';
   }
 
-  knows(...others: ReadonlyArray<{name: string; address: string}>): void {
+  setKnownPeers(
+    ...others: ReadonlyArray<{name: string; address: string}>
+  ): void {
     this.peerDirectory.replace(
       others.map(({name, address}) => ({
         name,
@@ -62,7 +64,7 @@
 }
 
 /** Waits for a condition that the run must bring about; the test's own timeout bounds it. */
-async function until(condition: () => boolean): Promise<void> {
+async function waitUntil(condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise(resolve => setTimeout(resolve, 5));
 }
 
@@ -87,14 +89,17 @@
     it('carries messages and answers both ways over one link', async () => {
       const left = await startDaemon('entry-1');
       const right = await startDaemon('entry-2');
-      right.links.handle(PeerTopic.TargetSummary, async (from, message) => ({
-        from: from.name,
-        message,
-      }));
-      left.knows(right);
-      right.knows(left);
-      await until(() => left.links.connected().length === 1);
-      await until(() => right.links.connected().length === 1);
+      right.links.setHandler(
+        PeerTopic.TargetSummary,
+        async (from, message) => ({
+          from: from.name,
+          message,
+        }),
+      );
+      left.setKnownPeers(right);
+      right.setKnownPeers(left);
+      await waitUntil(() => left.links.connected().length === 1);
+      await waitUntil(() => right.links.connected().length === 1);
       const answer = await left.links.request(
         'entry-2-1',
         PeerTopic.TargetSummary,
@@ -107,26 +112,26 @@
     it('comes back after the link was lost', async () => {
       const left = await startDaemon('entry-1');
       const right = await startDaemon('entry-2');
-      left.knows(right);
-      await until(() => right.links.connected().length === 1);
+      left.setKnownPeers(right);
+      await waitUntil(() => right.links.connected().length === 1);
       await right.links.stop();
-      await until(() => left.links.connected().length === 0);
+      await waitUntil(() => left.links.connected().length === 0);
       const again = await startDaemon('entry-3', {listen: right.address});
-      await until(() => again.links.connected().length === 1);
+      await waitUntil(() => again.links.connected().length === 1);
     });
 
     it('finds a daemon that the log has not named by its seed', async () => {
       const left = await startDaemon('entry-1');
       const right = await startDaemon('entry-2', {seeds: left.address});
-      await until(() => right.links.connected().length === 1);
+      await waitUntil(() => right.links.connected().length === 1);
       assert.equal(right.links.connected()[0].name, 'entry-1');
     });
 
     it('opens a link for one request outside the fan-out', async () => {
       const left = await startDaemon('entry-1', {local_links: 0});
       const right = await startDaemon('entry-2', {local_links: 0});
-      right.links.handle(PeerTopic.KeyedAnswer, async () => 'held');
-      left.knows(right);
+      right.links.setHandler(PeerTopic.KeyedAnswer, async () => 'held');
+      left.setKnownPeers(right);
       assert.equal(left.links.connected().length, 0);
       const answer = await left.links.request(
         'entry-2-1',
@@ -140,8 +145,8 @@
     it('tells the asker that a handler failed', async () => {
       const left = await startDaemon('entry-1');
       const right = await startDaemon('entry-2');
-      left.knows(right);
-      await until(() => left.links.connected().length === 1);
+      left.setKnownPeers(right);
+      await waitUntil(() => left.links.connected().length === 1);
       await assert.rejects(
         left.links.request('entry-2-1', PeerTopic.Records, {}, 5000),
         /no handler for records/,
@@ -153,8 +158,8 @@
     it('refuses the link and counts it', async () => {
       const left = await startDaemon('entry-1');
       const right = await startDaemon('entry-2', {key: 'quite another key'});
-      left.knows(right);
-      await until(() => right.disconnects('refused') > 0);
+      left.setKnownPeers(right);
+      await waitUntil(() => right.disconnects('refused') > 0);
       assert.equal(right.links.connected().length, 0);
       assert.equal(left.links.connected().length, 0);
     });
@@ -165,15 +170,15 @@
       const left = await startDaemon('entry-1');
       const socket = new WebSocket(`ws://${left.address}`);
       socket.on('open', () => socket.send(Buffer.from([0xc1, 0xff, 0x00])));
-      await until(() => left.disconnects('malformed') === 1);
+      await waitUntil(() => left.disconnects('malformed') === 1);
       const right = await startDaemon('entry-2', {seeds: left.address});
-      await until(() => right.links.connected().length === 1);
+      await waitUntil(() => right.links.connected().length === 1);
     });
 
     it('closes a connection that never says hello', async () => {
       const left = await startDaemon('entry-1', {handshake_milliseconds: 100});
       const socket = new WebSocket(`ws://${left.address}`);
-      await until(() => left.disconnects('handshake_timeout') === 1);
+      await waitUntil(() => left.disconnects('handshake_timeout') === 1);
       socket.terminate();
     });
   });
@@ -191,12 +196,12 @@
         ...quick,
         seeds: relay.address,
       });
-      await until(() => left.links.connected().length === 1);
+      await waitUntil(() => left.links.connected().length === 1);
       relay.silence();
-      await until(() => left.disconnects('silent') === 1);
-      await until(() => right.disconnects('silent') === 1);
-      await until(() => left.links.connected().length === 1);
-      await until(() => right.links.connected().length === 1);
+      await waitUntil(() => left.disconnects('silent') === 1);
+      await waitUntil(() => right.disconnects('silent') === 1);
+      await waitUntil(() => left.links.connected().length === 1);
+      await waitUntil(() => right.links.connected().length === 1);
     });
   });
 
@@ -214,14 +219,14 @@
       const relay = await Relay.start(left.address);
       running.push(relay);
       const right = await startDaemon('entry-2', {seeds: relay.address});
-      await until(() => left.links.connected().length === 1);
-      relay.hold();
+      await waitUntil(() => left.links.connected().length === 1);
+      relay.stall();
       const body = Buffer.alloc(50_000);
       const flood = setInterval(
         () => left.links.broadcast(PeerTopic.TargetSummary, body),
         1,
       );
-      await until(() => left.disconnects('slow') === 1);
+      await waitUntil(() => left.disconnects('slow') === 1);
       clearInterval(flood);
       const dropped = left.metrics.value(MetricName.PeerMessagesDropped, {
         reason: 'queue_full',
@@ -264,7 +269,7 @@
   }
 
   /** Stops taking bytes from either end. */
-  hold(): void {
+  stall(): void {
     for (const {client, server} of this.pairs) {
       client.unpipe(server);
       server.unpipe(client);
--- a/packages/plugin-peers/src/peer-seal.ts
+++ b/packages/plugin-peers/src/frame-authentication.ts
@@ -1,6 +1,6 @@
 import {createHmac, timingSafeEqual} from 'node:crypto';
 
-const SEAL_BYTES = 16;
+const TAG_BYTES = 16;
 const COUNTER_BYTES = 8;
 const LENGTH_BYTES = 4;
 
@@ -11,7 +11,7 @@
 }
 
 /** Both hellos as sent: what the proofs and the keys of one link are bound to. */
-export function transcriptOf(
+export function handshakeTranscript(
   dialerHello: Uint8Array,
   listenerHello: Uint8Array,
 ): Buffer {
@@ -21,7 +21,7 @@
 }
 
 /** Proof of the key by one side: fresh challenges of both sides keep an old one from being used again. */
-export function proofOf(
+export function handshakeProof(
   key: string,
   side: LinkSide,
   transcript: Uint8Array,
@@ -33,7 +33,10 @@
 }
 
 /** Compares in constant time, so that a proof cannot be guessed byte by byte. */
-export function proofMatches(expected: Buffer, given: Uint8Array): boolean {
+export function equalInConstantTime(
+  expected: Buffer,
+  given: Uint8Array,
+): boolean {
   return given.length === expected.length && timingSafeEqual(expected, given);
 }
 
@@ -41,9 +44,9 @@
  * Seals frames of one direction of a link. A link without it could be taken over after its
  * handshake by whoever can write into the connection; the count keeps frames in order.
  */
-export class FrameSeal {
+export class FrameAuthenticator {
   private readonly key: Buffer;
-  private count = 0n;
+  private frameCounter = 0n;
 
   constructor(key: string, sender: LinkSide, transcript: Uint8Array) {
     this.key = createHmac('sha256', key)
@@ -53,24 +56,24 @@
   }
 
   /** The frame with its seal in front. */
-  seal(frame: Uint8Array): Buffer {
-    return Buffer.concat([this.next(frame), frame]);
+  prependTag(frame: Uint8Array): Buffer {
+    return Buffer.concat([this.nextTag(frame), frame]);
   }
 
   /** The frame without its seal; undefined when the seal is wrong. */
-  open(sealed: Uint8Array): Uint8Array | undefined {
-    const seal = sealed.subarray(0, SEAL_BYTES);
-    const frame = sealed.subarray(SEAL_BYTES);
-    return proofMatches(this.next(frame), seal) ? frame : undefined;
+  verifyAndStripTag(sealed: Uint8Array): Uint8Array | undefined {
+    const seal = sealed.subarray(0, TAG_BYTES);
+    const frame = sealed.subarray(TAG_BYTES);
+    return equalInConstantTime(this.nextTag(frame), seal) ? frame : undefined;
   }
 
-  private next(frame: Uint8Array): Buffer {
+  private nextTag(frame: Uint8Array): Buffer {
     const counter = Buffer.alloc(COUNTER_BYTES);
-    counter.writeBigUInt64BE(this.count++);
+    counter.writeBigUInt64BE(this.frameCounter++);
     return createHmac('sha256', this.key)
       .update(counter)
       .update(frame)
       .digest()
-      .subarray(0, SEAL_BYTES);
+      .subarray(0, TAG_BYTES);
   }
 }
--- a/packages/plugin-peers/src/index.ts
+++ b/packages/plugin-peers/src/index.ts
@@ -6,7 +6,7 @@
 
 export {WebSocketPeerLinks} from './web-socket-peer-links.js';
 export {FrameKind, decodeFrame, encodeFrame} from './peer-frames.js';
-export {FrameSeal, LinkSide} from './peer-seal.js';
+export {FrameAuthenticator, LinkSide} from './frame-authentication.js';
 export {choosePeers, type PeerCandidate} from './peer-choice.js';
 export {peersOptions, type PeersOptions} from './peers-options.js';
 
@@ -15,7 +15,7 @@
   registry.add({
     name: 'peers',
     options: peersOptions,
-    service: 'peerLinks',
+    registrationName: 'peerLinks',
     register(container, options) {
       container.register({
         peersOptions: asValue(options),
--- a/packages/plugin-peers/src/link-table.ts
+++ b/packages/plugin-peers/src/link-table.ts
@@ -1,6 +1,6 @@
 import type {DaemonIdentity} from '@gentiandoor/kernel';
 import type {PeerLink} from './peer-link.js';
-import {LinkSide} from './peer-seal.js';
+import {LinkSide} from './frame-authentication.js';
 
 /** The links that are up, one a daemon. */
 export class LinkTable {
@@ -28,7 +28,7 @@
    */
   add(link: PeerLink): boolean {
     const other = this.links.get(link.peer.incarnation);
-    if (other && other.side !== link.side && !this.goesFirst(link)) {
+    if (other && other.side !== link.side && !this.takesPrecedence(link)) {
       link.retire();
       return false;
     }
@@ -43,7 +43,7 @@
       this.links.delete(link.peer.incarnation);
   }
 
-  private goesFirst(link: PeerLink): boolean {
+  private takesPrecedence(link: PeerLink): boolean {
     const own = this.identity.incarnation;
     const peer = link.peer.incarnation;
     return link.side === LinkSide.Dialer ? own < peer : peer < own;
--- a/packages/plugin-peers/src/peer-choice.ts
+++ b/packages/plugin-peers/src/peer-choice.ts
@@ -6,7 +6,7 @@
 }
 
 /** How many links to keep up. */
-export interface LinkBounds {
+export interface LinkLimits {
   readonly local: number;
   readonly remote: number;
 }
@@ -22,7 +22,7 @@
 export function choosePeers(
   self: PeerCandidate,
   candidates: readonly PeerCandidate[],
-  bounds: LinkBounds,
+  bounds: LinkLimits,
   fraction: number,
 ): PeerCandidate[] {
   const others = candidates.filter(candidate => candidate.name !== self.name);
@@ -30,7 +30,7 @@
   const remote = others.filter(other => other.dataCentre !== self.dataCentre);
   return [
     ...chooseOnRing(self, local, bounds.local, fraction),
-    ...dealByDataCentre(self, remote, bounds.remote),
+    ...chooseRoundRobinByDataCentre(self, remote, bounds.remote),
   ];
 }
 
@@ -42,19 +42,19 @@
 ): PeerCandidate[] {
   if (peers.length <= count) return [...peers];
   if (count === 0) return [];
-  const ring = ringAfter(self, peers);
+  const ring = ringOrderAfter(self, peers);
   const next = ring.slice(0, count - 1);
   const rest = ring.slice(count - 1);
   return [...next, rest[Math.floor(fraction * rest.length)]];
 }
 
-function dealByDataCentre(
+function chooseRoundRobinByDataCentre(
   self: PeerCandidate,
   peers: readonly PeerCandidate[],
   count: number,
 ): PeerCandidate[] {
   const centres = new Map<string, PeerCandidate[]>();
-  for (const peer of ringAfter(self, peers)) {
+  for (const peer of ringOrderAfter(self, peers)) {
     const known = centres.get(peer.dataCentre) ?? [];
     centres.set(peer.dataCentre, [...known, peer]);
   }
@@ -69,7 +69,7 @@
 }
 
 /** Peers by name, from the one after `self` on: each daemon starts elsewhere. */
-function ringAfter(
+function ringOrderAfter(
   self: PeerCandidate,
   peers: readonly PeerCandidate[],
 ): PeerCandidate[] {
--- a/packages/plugin-peers/src/peer-end.ts
+++ b/packages/plugin-peers/src/peer-disconnect.ts
@@ -1,5 +1,5 @@
 /** Why a link ended; the reason tag of `MetricName.PeerDisconnects`. */
-export enum PeerEnd {
+export enum PeerDisconnectReason {
   /** The other side closed it, or the connection broke. */
   Closed = 'closed',
   /** Nothing came for too long. */
@@ -13,7 +13,7 @@
   /** No handshake in time. */
   HandshakeTimeout = 'handshake_timeout',
   /** Another link to the same daemon stays. */
-  Doubled = 'doubled',
+  Duplicate = 'doubled',
   /** No longer among the chosen peers. */
   NotNeeded = 'not_needed',
   /** This daemon stops. */
@@ -21,9 +21,9 @@
 }
 
 /** Ends a link with a reason. */
-export class PeerEndError extends Error {
+export class PeerDisconnectError extends Error {
   constructor(
-    readonly end: PeerEnd,
+    readonly reason: PeerDisconnectReason,
     detail: string,
   ) {
     super(detail);
--- a/packages/plugin-peers/src/peer-frames.ts
+++ b/packages/plugin-peers/src/peer-frames.ts
@@ -3,15 +3,15 @@
 import {PeerTopic} from '@gentiandoor/shared-state';
 
 /** Versions of the link protocol that this program speaks. */
-export const OLDEST_PROTOCOL = 1;
-export const NEWEST_PROTOCOL = 1;
+export const OLDEST_PROTOCOL_VERSION = 1;
+export const NEWEST_PROTOCOL_VERSION = 1;
 
 const packr = new Packr({useRecords: false});
-const LONGEST_NAME = 200;
+const MAXIMUM_NAME_LENGTH = 200;
 const CHALLENGE_BYTES = 32;
 
-const name = z.string().min(1).max(LONGEST_NAME);
-const bytes = z.instanceof(Uint8Array);
+const name = z.string().min(1).max(MAXIMUM_NAME_LENGTH);
+const bytesSchema = z.instanceof(Uint8Array);
 
 const helloSchema = z.object({
   oldest: z.number().int(),
@@ -19,11 +19,11 @@
   name,
   incarnation: name,
   dataCentre: name,
-  challenge: bytes.refine(value => value.length === CHALLENGE_BYTES),
+  challenge: bytesSchema.refine(value => value.length === CHALLENGE_BYTES),
 });
-const proofSchema = z.object({proof: bytes});
+const proofSchema = z.object({proof: bytesSchema});
 const topic = z.enum(PeerTopic);
-const requestId = z.number().int().min(0);
+const requestIdSchema = z.number().int().min(0);
 
 /** Kinds of frames on a link that is up. */
 export enum FrameKind {
@@ -38,17 +38,17 @@
   z.object({
     kind: z.literal(FrameKind.Request),
     topic,
-    id: requestId,
+    id: requestIdSchema,
     body: z.unknown(),
   }),
   z.object({
     kind: z.literal(FrameKind.Answer),
-    id: requestId,
+    id: requestIdSchema,
     body: z.unknown(),
   }),
   z.object({
     kind: z.literal(FrameKind.Failure),
-    id: requestId,
+    id: requestIdSchema,
     error: z.string(),
   }),
 ]);
--- a/packages/plugin-peers/src/peer-link.ts
+++ b/packages/plugin-peers/src/peer-link.ts
@@ -9,21 +9,21 @@
 } from '@gentiandoor/kernel';
 import type {Peer, PeerHandler, PeerTopic} from '@gentiandoor/shared-state';
 import type {FrameInbox} from './frame-inbox.js';
-import {PeerEnd, PeerEndError} from './peer-end.js';
+import {PeerDisconnectReason, PeerDisconnectError} from './peer-disconnect.js';
 import {
   FrameKind,
   decodeFrame,
   encodeFrame,
   type Frame,
 } from './peer-frames.js';
-import type {LinkTerms} from './peer-handshake.js';
-import type {LinkSide} from './peer-seal.js';
+import type {HandshakeResult} from './peer-handshake.js';
+import type {LinkSide} from './frame-authentication.js';
 import type {PeersOptions} from './peers-options.js';
 
 /** Messages of one peer handled at one time; more are refused, so that one peer cannot fill the daemon. */
-const MOST_HANDLED = 32;
+const MAXIMUM_HANDLERS_IN_FLIGHT = 32;
 /** Requests to one peer that may wait for their answers. */
-const MOST_REQUESTS = 1000;
+const MAXIMUM_PENDING_REQUESTS = 1000;
 
 /** What a link needs besides its connection. */
 export interface LinkDependencies {
@@ -33,7 +33,7 @@
   readonly handlers: ReadonlyMap<PeerTopic, PeerHandler>;
 }
 
-interface WaitingRequest {
+interface PendingRequest {
   readonly resolve: (body: unknown) => void;
   readonly reject: (error: Error) => void;
 }
@@ -43,59 +43,61 @@
   readonly peer: Peer;
   /** Monotonic milliseconds of the last message either way; for closing idle extra links. */
   lastUsedAt: number;
-  private lastHeardAt: number;
-  private fullSince: number | undefined;
-  private handled = 0;
-  private nextRequest = 0;
-  private readonly requests = new Map<number, WaitingRequest>();
-  private end: PeerEnd | undefined;
-  private retirement: Timer | undefined;
+  private lastReceivedAt: number;
+  private queueFullSince: number | undefined;
+  private handlersInFlight = 0;
+  private nextRequestId = 0;
+  private readonly pendingRequests = new Map<number, PendingRequest>();
+  private closeReason: PeerDisconnectReason | undefined;
+  private retirementTimer: Timer | undefined;
 
   constructor(
     private readonly socket: WebSocket,
     private readonly inbox: FrameInbox,
-    private readonly terms: LinkTerms,
+    private readonly handshake: HandshakeResult,
     /** Which side this daemon is. */
     readonly side: LinkSide,
     private readonly dependencies: LinkDependencies,
   ) {
-    this.peer = terms.peer;
-    this.lastHeardAt = dependencies.clock.monotonicMilliseconds();
-    this.lastUsedAt = this.lastHeardAt;
+    this.peer = handshake.peer;
+    this.lastReceivedAt = dependencies.clock.monotonicMilliseconds();
+    this.lastUsedAt = this.lastReceivedAt;
     const heard = () =>
-      (this.lastHeardAt = dependencies.clock.monotonicMilliseconds());
+      (this.lastReceivedAt = dependencies.clock.monotonicMilliseconds());
     socket.on('ping', heard);
     socket.on('pong', heard);
     socket.on('message', heard);
   }
 
   /** Handles frames until the link ends; resolves with the reason. */
-  async run(): Promise<PeerEnd> {
+  async run(): Promise<PeerDisconnectReason> {
     const done = new AbortController();
-    const watching = this.watch(done.signal);
+    const watching = this.monitorConnection(done.signal);
     try {
       for (;;) {
         const sealed = await this.inbox.next();
-        if (!sealed) return this.end ?? PeerEnd.Closed;
-        this.take(sealed);
+        if (!sealed) return this.closeReason ?? PeerDisconnectReason.Closed;
+        this.receiveFrame(sealed);
       }
     } catch (error) {
-      return error instanceof PeerEndError ? error.end : PeerEnd.Malformed;
+      return error instanceof PeerDisconnectError
+        ? error.reason
+        : PeerDisconnectReason.Malformed;
     } finally {
       done.abort();
       await watching;
-      this.close(PeerEnd.Closed);
+      this.close(PeerDisconnectReason.Closed);
     }
   }
 
   /** Cuts the link; the first reason stays. */
-  close(reason: PeerEnd): void {
-    this.end ??= reason;
-    this.retirement?.cancel();
+  close(reason: PeerDisconnectReason): void {
+    this.closeReason ??= reason;
+    this.retirementTimer?.cancel();
     this.socket.terminate();
-    for (const {reject} of this.requests.values())
+    for (const {reject} of this.pendingRequests.values())
       reject(new Error(`the link to ${this.peer.name} ended`));
-    this.requests.clear();
+    this.pendingRequests.clear();
   }
 
   /**
@@ -104,8 +106,8 @@
    */
   retire(): void {
     const {clock, options} = this.dependencies;
-    this.retirement = clock.schedule(options.handshake_milliseconds, () =>
-      this.close(PeerEnd.Doubled),
+    this.retirementTimer = clock.schedule(options.handshake_milliseconds, () =>
+      this.close(PeerDisconnectReason.Duplicate),
     );
   }
 
@@ -120,56 +122,60 @@
     body: unknown,
     timeoutMilliseconds: number,
   ): Promise<unknown> {
-    if (this.requests.size >= MOST_REQUESTS)
+    if (this.pendingRequests.size >= MAXIMUM_PENDING_REQUESTS)
       throw new Error(`too many requests wait for ${this.peer.name}`);
-    const id = this.nextRequest++;
+    const id = this.nextRequestId++;
     const answered = new Promise<unknown>((resolve, reject) =>
-      this.requests.set(id, {resolve, reject}),
+      this.pendingRequests.set(id, {resolve, reject}),
     );
     const timer = this.dependencies.clock.schedule(timeoutMilliseconds, () =>
-      this.requests
+      this.pendingRequests
         .get(id)
         ?.reject(new Error(`${this.peer.name} did not answer in time`)),
     );
     if (!this.sendFrame({kind: FrameKind.Request, topic, id, body}))
-      this.requests
+      this.pendingRequests
         .get(id)
         ?.reject(new Error(`the queue to ${this.peer.name} is full`));
     try {
       return await answered;
     } finally {
       timer.cancel();
-      this.requests.delete(id);
+      this.pendingRequests.delete(id);
     }
   }
 
-  private take(sealed: Uint8Array): void {
-    const bytes = this.terms.incoming.open(sealed);
-    if (!bytes) throw new PeerEndError(PeerEnd.Malformed, 'wrong seal');
+  private receiveFrame(sealed: Uint8Array): void {
+    const bytes = this.handshake.incoming.verifyAndStripTag(sealed);
+    if (!bytes)
+      throw new PeerDisconnectError(
+        PeerDisconnectReason.Malformed,
+        'wrong seal',
+      );
     const {clock, metrics} = this.dependencies;
     this.lastUsedAt = clock.monotonicMilliseconds();
     metrics.increment(MetricName.PeerMessages, {direction: 'in'});
     const frame = decodeFrame(bytes);
     if (frame.kind === FrameKind.Answer)
-      this.requests.get(frame.id)?.resolve(frame.body);
+      this.pendingRequests.get(frame.id)?.resolve(frame.body);
     else if (frame.kind === FrameKind.Failure)
-      this.requests.get(frame.id)?.reject(new Error(frame.error));
-    else void this.handle(frame);
+      this.pendingRequests.get(frame.id)?.reject(new Error(frame.error));
+    else void this.dispatchFrame(frame);
   }
 
-  private async handle(
+  private async dispatchFrame(
     frame: Extract<Frame, {kind: FrameKind.Message | FrameKind.Request}>,
   ): Promise<void> {
     const reply = (answer: Frame) => {
       if (frame.kind === FrameKind.Request) this.sendFrame(answer);
     };
     const id = frame.kind === FrameKind.Request ? frame.id : 0;
-    if (this.handled >= MOST_HANDLED) {
+    if (this.handlersInFlight >= MAXIMUM_HANDLERS_IN_FLIGHT) {
       this.countDropped('busy');
       reply({kind: FrameKind.Failure, id, error: 'busy'});
       return;
     }
-    this.handled++;
+    this.handlersInFlight++;
     try {
       const handler = this.dependencies.handlers.get(frame.topic);
       if (!handler) throw new Error(`no handler for ${frame.topic}`);
@@ -178,7 +184,7 @@
     } catch (error) {
       reply({kind: FrameKind.Failure, id, error: toError(error).message});
     } finally {
-      this.handled--;
+      this.handlersInFlight--;
     }
   }
 
@@ -186,14 +192,14 @@
     const {clock, metrics, options} = this.dependencies;
     if (this.socket.readyState !== this.socket.OPEN) return false;
     if (this.socket.bufferedAmount > options.queue_bytes) {
-      this.fullSince ??= clock.monotonicMilliseconds();
+      this.queueFullSince ??= clock.monotonicMilliseconds();
       this.countDropped('queue_full');
       return false;
     }
-    this.fullSince = undefined;
+    this.queueFullSince = undefined;
     this.lastUsedAt = clock.monotonicMilliseconds();
     metrics.increment(MetricName.PeerMessages, {direction: 'out'});
-    this.socket.send(this.terms.outgoing.seal(encodeFrame(frame)));
+    this.socket.send(this.handshake.outgoing.prependTag(encodeFrame(frame)));
     return true;
   }
 
@@ -201,18 +207,18 @@
    * Pings, and cuts a link that went silent or stays full. Both ends do this for themselves:
    * a connection that something between them has forgotten looks open at both ends.
    */
-  private async watch(done: AbortSignal): Promise<void> {
+  private async monitorConnection(done: AbortSignal): Promise<void> {
     const {clock, options} = this.dependencies;
     while (!done.aborted) {
       if (this.socket.readyState === this.socket.OPEN) this.socket.ping();
       await sleep(clock, options.ping_milliseconds, done);
       const now = clock.monotonicMilliseconds();
-      if (now - this.lastHeardAt > options.silent_milliseconds)
-        this.close(PeerEnd.Silent);
+      if (now - this.lastReceivedAt > options.silent_milliseconds)
+        this.close(PeerDisconnectReason.Silent);
       if (this.socket.bufferedAmount <= options.queue_bytes)
-        this.fullSince = undefined;
-      if (now - (this.fullSince ?? now) > options.slow_milliseconds)
-        this.close(PeerEnd.Slow);
+        this.queueFullSince = undefined;
+      if (now - (this.queueFullSince ?? now) > options.slow_milliseconds)
+        this.close(PeerDisconnectReason.Slow);
     }
   }
 
--- a/packages/plugin-peers/src/peers-options.ts
+++ b/packages/plugin-peers/src/peers-options.ts
@@ -1,7 +1,7 @@
 import {z} from 'zod';
 import {addressSetting, integerSetting, listSetting} from '@gentiandoor/kernel';
 
-const SHORTEST_KEY = 16;
+const MINIMUM_KEY_LENGTH = 16;
 const ADDRESS = addressSetting();
 
 /** Settings section [peers]. Without `listen` the daemon has no peers. */
@@ -14,8 +14,8 @@
       ),
     key: z
       .string()
-      .min(SHORTEST_KEY, {
-        error: `expected a key of at least ${SHORTEST_KEY} characters`,
+      .min(MINIMUM_KEY_LENGTH, {
+        error: `expected a key of at least ${MINIMUM_KEY_LENGTH} characters`,
       })
       .optional()
       .describe('Key that all daemons of a deployment share.'),
--- a/packages/plugin-peers/src/web-socket-peer-links.ts
+++ b/packages/plugin-peers/src/web-socket-peer-links.ts
@@ -24,16 +24,16 @@
 import {FrameInbox} from './frame-inbox.js';
 import {LinkTable} from './link-table.js';
 import {choosePeers, type PeerCandidate} from './peer-choice.js';
-import {PeerEnd, PeerEndError} from './peer-end.js';
-import {shakeHands} from './peer-handshake.js';
+import {PeerDisconnectReason, PeerDisconnectError} from './peer-disconnect.js';
+import {performHandshake} from './peer-handshake.js';
 import {PeerLink} from './peer-link.js';
-import {LinkSide} from './peer-seal.js';
+import {LinkSide} from './frame-authentication.js';
 import type {PeersOptions} from './peers-options.js';
 
 const BACKOFF_BASE_MILLISECONDS = 200;
 const BACKOFF_MAXIMUM_MILLISECONDS = 10_000;
 /** Connections that may be in their handshake; more are closed at once. */
-const MOST_HANDSHAKES = 64;
+const MAXIMUM_HANDSHAKES_IN_FLIGHT = 64;
 
 /** What the links need. */
 export interface PeerLinksDependencies {
@@ -49,28 +49,28 @@
 /** Links to other daemons over WebSocket: one task for each peer dialled and each connection taken. */
 export class WebSocketPeerLinks implements PeerLinks, Plugin {
   private readonly handlers = new Map<PeerTopic, PeerHandler>();
-  private readonly table: LinkTable;
-  private readonly extras: ExtraLinks;
-  private readonly dialled = new Map<string, AbortController>();
+  private readonly linkTable: LinkTable;
+  private readonly extraLinks: ExtraLinks;
+  private readonly dialAbortByAddress = new Map<string, AbortController>();
   private readonly tasks = new Set<Promise<void>>();
   private readonly stopping = new AbortController();
-  private readonly fraction: number;
+  private readonly selectionFraction: number;
   /** Which daemon answered at an address: a seed names no daemon before that. */
-  private readonly nameAt = new Map<string, string>();
+  private readonly nameByAddress = new Map<string, string>();
   private server: WebSocketServer | undefined;
-  private handshakes = 0;
+  private handshakesInFlight = 0;
 
   constructor(private readonly dependencies: PeerLinksDependencies) {
-    this.table = new LinkTable(dependencies.identity);
-    this.fraction = dependencies.random.nextFraction();
-    this.extras = new ExtraLinks({
+    this.linkTable = new LinkTable(dependencies.identity);
+    this.selectionFraction = dependencies.random.nextFraction();
+    this.extraLinks = new ExtraLinks({
       clock: dependencies.clock,
       peerDirectory: dependencies.peerDirectory,
-      limit: dependencies.peersOptions.extra_links,
+      maximumLinks: dependencies.peersOptions.extra_links,
       dial: (address, signal, onUp) => this.dial(address, signal, onUp),
-      spawn: task => this.spawn(task),
+      trackTask: task => this.trackTask(task),
     });
-    dependencies.peerDirectory.onChange(() => this.choose());
+    dependencies.peerDirectory.onChange(() => this.updateDialledPeers());
   }
 
   get boundAddress(): string | undefined {
@@ -95,14 +95,17 @@
     });
     this.server = server;
     peerDirectory.ownAddress = this.boundAddress;
-    server.on('connection', socket => this.spawn(this.serve(socket)));
-    this.choose();
+    server.on('connection', socket =>
+      this.trackTask(this.acceptConnection(socket)),
+    );
+    this.updateDialledPeers();
   }
 
   async stop(): Promise<void> {
     this.stopping.abort();
-    for (const dialling of this.dialled.values()) dialling.abort();
-    for (const link of this.table.all()) link.close(PeerEnd.Stopped);
+    for (const dialling of this.dialAbortByAddress.values()) dialling.abort();
+    for (const link of this.linkTable.all())
+      link.close(PeerDisconnectReason.Stopped);
     for (const socket of this.server?.clients ?? []) socket.terminate();
     await new Promise<void>(resolve => {
       if (this.server) this.server.close(() => resolve());
@@ -112,11 +115,11 @@
   }
 
   connected(): readonly Peer[] {
-    return this.table.all().map(link => link.peer);
+    return this.linkTable.all().map(link => link.peer);
   }
 
   broadcast(topic: PeerTopic, message: unknown): void {
-    for (const link of this.table.all()) link.send(topic, message);
+    for (const link of this.linkTable.all()) link.send(topic, message);
   }
 
   async request(
@@ -126,35 +129,36 @@
     timeoutMilliseconds: number,
   ): Promise<unknown> {
     const link =
-      this.table.get(incarnation) ?? (await this.openExtra(incarnation));
+      this.linkTable.get(incarnation) ??
+      (await this.openExtraLink(incarnation));
     return link.request(topic, message, timeoutMilliseconds);
   }
 
-  handle(topic: PeerTopic, handler: PeerHandler): void {
+  setHandler(topic: PeerTopic, handler: PeerHandler): void {
     this.handlers.set(topic, handler);
   }
 
-  private openExtra(incarnation: string): Promise<PeerLink> {
-    if (this.server) return this.extras.openTo(incarnation);
+  private openExtraLink(incarnation: string): Promise<PeerLink> {
+    if (this.server) return this.extraLinks.openTo(incarnation);
     return Promise.reject(new Error(`no link to ${incarnation}`));
   }
 
   /** Starts a task for each peer that is chosen now, and ends those of the others. */
-  private choose(): void {
+  private updateDialledPeers(): void {
     if (!this.server || this.stopping.signal.aborted) return;
     const chosen = new Map(
       this.chosenPeers().map(candidate => [candidate.address, candidate]),
     );
-    for (const [address, dialling] of this.dialled) {
+    for (const [address, dialling] of this.dialAbortByAddress) {
       if (chosen.has(address)) continue;
       dialling.abort();
-      this.dialled.delete(address);
+      this.dialAbortByAddress.delete(address);
     }
     for (const candidate of chosen.values()) {
-      if (this.dialled.has(candidate.address)) continue;
+      if (this.dialAbortByAddress.has(candidate.address)) continue;
       const dialling = new AbortController();
-      this.dialled.set(candidate.address, dialling);
-      this.spawn(this.keepLinked(candidate, dialling.signal));
+      this.dialAbortByAddress.set(candidate.address, dialling);
+      this.trackTask(this.maintainLink(candidate, dialling.signal));
     }
   }
 
@@ -167,7 +171,7 @@
       address: peerDirectory.ownAddress ?? '',
     };
     const bounds = {local: options.local_links, remote: options.remote_links};
-    const chosen = choosePeers(self, known, bounds, this.fraction);
+    const chosen = choosePeers(self, known, bounds, this.selectionFraction);
     const knownAddresses = new Set(known.map(entry => entry.address));
     const seeds = options.seeds.filter(
       address => address !== self.address && !knownAddresses.has(address),
@@ -179,7 +183,7 @@
   }
 
   /** The task of one chosen peer: dials, carries the link, and comes back with growing pauses. */
-  private async keepLinked(
+  private async maintainLink(
     candidate: PeerCandidate,
     signal: AbortSignal,
   ): Promise<void> {
@@ -205,9 +209,11 @@
   }
 
   private isLinked(candidate: PeerCandidate): boolean {
-    const name = candidate.name || this.nameAt.get(candidate.address);
+    const name = candidate.name || this.nameByAddress.get(candidate.address);
     if (name === undefined) return false;
-    return name === this.dependencies.identity.name || this.table.hasName(name);
+    return (
+      name === this.dependencies.identity.name || this.linkTable.hasName(name)
+    );
   }
 
   private async dial(
@@ -225,9 +231,9 @@
     const cut = () => socket.terminate();
     signal.addEventListener('abort', cut, {once: true});
     try {
-      if (!(await opened(socket))) return;
-      await this.carry(socket, inbox, LinkSide.Dialer, link => {
-        this.nameAt.set(address, link.peer.name);
+      if (!(await waitForOpen(socket))) return;
+      await this.runLink(socket, inbox, LinkSide.Dialer, link => {
+        this.nameByAddress.set(address, link.peer.name);
         onUp?.(link);
       });
     } finally {
@@ -237,18 +243,18 @@
   }
 
   /** The task of one connection that another daemon opened. */
-  private async serve(socket: WebSocket): Promise<void> {
+  private async acceptConnection(socket: WebSocket): Promise<void> {
     socket.on('error', () => undefined);
-    if (this.handshakes >= MOST_HANDSHAKES) {
-      this.count(PeerEnd.Refused);
+    if (this.handshakesInFlight >= MAXIMUM_HANDSHAKES_IN_FLIGHT) {
+      this.countDisconnect(PeerDisconnectReason.Refused);
       socket.terminate();
       return;
     }
-    await this.carry(socket, new FrameInbox(socket), LinkSide.Listener);
+    await this.runLink(socket, new FrameInbox(socket), LinkSide.Listener);
     socket.terminate();
   }
 
-  private async carry(
+  private async runLink(
     socket: WebSocket,
     inbox: FrameInbox,
     side: LinkSide,
@@ -256,23 +262,23 @@
   ): Promise<void> {
     let link: PeerLink;
     try {
-      link = await this.makeLink(socket, inbox, side);
+      link = await this.establishLink(socket, inbox, side);
     } catch (error) {
-      this.noteRefusal(toError(error));
+      this.reportFailure(toError(error));
       return;
     }
     const {logger} = this.dependencies;
-    if (this.table.add(link))
+    if (this.linkTable.add(link))
       logger.info(LogEvent.PeerConnected, {...link.peer, side});
-    onUp?.(this.table.get(link.peer.incarnation) ?? link);
+    onUp?.(this.linkTable.get(link.peer.incarnation) ?? link);
     const end = await link.run();
-    this.table.remove(link);
-    this.count(end);
-    if (!this.table.get(link.peer.incarnation))
+    this.linkTable.remove(link);
+    this.countDisconnect(end);
+    if (!this.linkTable.get(link.peer.incarnation))
       logger.info(LogEvent.PeerLost, {...link.peer, reason: end});
   }
 
-  private async makeLink(
+  private async establishLink(
     socket: WebSocket,
     inbox: FrameInbox,
     side: LinkSide,
@@ -283,49 +289,55 @@
       isLate = true;
       socket.terminate();
     });
-    this.handshakes++;
+    this.handshakesInFlight++;
     try {
       const key = options.key ?? '';
-      const terms = await shakeHands(socket, inbox, side, identity, key);
+      const terms = await performHandshake(socket, inbox, side, identity, key);
       const {handlers} = this;
       const needs = {clock, metrics, options, handlers};
       return new PeerLink(socket, inbox, terms, side, needs);
     } catch (error) {
       if (isLate)
-        throw new PeerEndError(
-          PeerEnd.HandshakeTimeout,
+        throw new PeerDisconnectError(
+          PeerDisconnectReason.HandshakeTimeout,
           'no handshake in time',
         );
       throw error;
     } finally {
-      this.handshakes--;
+      this.handshakesInFlight--;
       deadline.cancel();
     }
   }
 
-  private noteRefusal(error: Error): void {
+  private reportFailure(error: Error): void {
     const reason =
-      error instanceof PeerEndError ? error.end : PeerEnd.Malformed;
-    this.count(reason);
-    if (reason === PeerEnd.Doubled || reason === PeerEnd.Closed) return;
+      error instanceof PeerDisconnectError
+        ? error.reason
+        : PeerDisconnectReason.Malformed;
+    this.countDisconnect(reason);
+    if (
+      reason === PeerDisconnectReason.Duplicate ||
+      reason === PeerDisconnectReason.Closed
+    )
+      return;
     const {logger} = this.dependencies;
     logger.warn(LogEvent.PeerRefused, {reason, error: error.message});
   }
 
-  private count(reason: PeerEnd): void {
+  private countDisconnect(reason: PeerDisconnectReason): void {
     const {metrics} = this.dependencies;
     metrics.increment(MetricName.PeerDisconnects, {reason});
   }
 
-  private spawn(task: Promise<void>): void {
+  private trackTask(task: Promise<void>): void {
     const guarded = task
-      .catch((error: unknown) => this.noteRefusal(toError(error)))
+      .catch((error: unknown) => this.reportFailure(toError(error)))
       .finally(() => this.tasks.delete(guarded));
     this.tasks.add(guarded);
   }
 }
 
-function opened(socket: WebSocket): Promise<boolean> {
+function waitForOpen(socket: WebSocket): Promise<boolean> {
   return new Promise(resolve => {
     socket.once('open', () => resolve(true));
     socket.once('close', () => resolve(false));
--- a/packages/plugin-platform-leases/src/__tests__/http-leases.test.ts
+++ b/packages/plugin-platform-leases/src/__tests__/http-lease-client.test.ts
@@ -9,16 +9,16 @@
 } from '@gentiandoor/shared-state';
 import {
   LeaseFault,
-  MemoryLeases,
+  MemoryLeaseClient,
   MemoryLog,
   MemoryVmActions,
   MemoryVmList,
-  PlatformLeasePaths,
+  PlatformLeaseRoutes,
   PlatformServer,
 } from '@gentiandoor/stand-ins';
-import {HttpLeases} from '../http-leases.js';
+import {HttpLeaseClient} from '../http-lease-client.js';
 import {HttpVmActions} from '../http-vm-actions.js';
-import {PlatformCallError, PlatformCalls} from '../platform-calls.js';
+import {PlatformRequestError, PlatformClient} from '../platform-client.js';
 
 const SIZE = {processors: 1, memoryGigabytes: 1, accelerators: 0};
 const TASK = {
@@ -32,7 +32,7 @@
 describe('the platform\u2019s leases over HTTP', () => {
   const clock = new VirtualClock();
   const list = new MemoryVmList(clock);
-  const leases = new MemoryLeases(clock, () => ({
+  const leases = new MemoryLeaseClient(clock, () => ({
     runMilliseconds: 30_000,
     fails: false,
     usage: SIZE,
@@ -41,14 +41,14 @@
   const platform = new PlatformServer(
     new MemoryLog(clock),
     list,
-    new PlatformLeasePaths(leases, actions),
+    new PlatformLeaseRoutes(leases, actions),
   );
-  let platformCalls: PlatformCalls;
+  let platformCalls: PlatformClient;
 
   before(async () => {
     const address = await platform.start('127.0.0.1:0');
     const options = {address, timeout_milliseconds: 5000, connections: 2};
-    platformCalls = new PlatformCalls({platformLeasesOptions: options});
+    platformCalls = new PlatformClient({platformLeasesOptions: options});
   });
 
   after(async () => {
@@ -57,29 +57,29 @@
   });
 
   it('carry a task from its start to its end', async () => {
-    const client = new HttpLeases({platformCalls});
+    const client = new HttpLeaseClient({platformCalls});
     assert.equal((await client.start(TASK)).state, TaskState.Running);
     await client.start(TASK);
     await client.renew(TASK.id, 60_000);
     clock.advance(31_000);
     const [report] = await client.report();
     assert.equal(report.state, TaskState.Finished);
-    assert.equal(leases.runs.get(TASK.id), 1);
+    assert.equal(leases.startCounts.get(TASK.id), 1);
   });
 
   it('bar a task that never started', async () => {
-    const client = new HttpLeases({platformCalls});
+    const client = new HttpLeaseClient({platformCalls});
     const {state} = await client.stop('badge-2/1');
     assert.equal(state, TaskState.NeverStarted);
     const later = await client.start({...TASK, id: 'badge-2/1'});
     assert.equal(later.state, TaskState.NeverStarted);
-    assert.equal(leases.runs.has('badge-2/1'), false);
+    assert.equal(leases.startCounts.has('badge-2/1'), false);
   });
 
   it('report a refusal as a failed call, sent once', async () => {
-    const client = new HttpLeases({platformCalls});
+    const client = new HttpLeaseClient({platformCalls});
     leases.faults.add(LeaseFault.Outage);
-    await assert.rejects(client.report(), PlatformCallError);
+    await assert.rejects(client.report(), PlatformRequestError);
     leases.faults.delete(LeaseFault.Outage);
   });
 
@@ -89,16 +89,16 @@
     list.put({id, ...place, state: ListedState.Live});
     const client = new HttpVmActions({platformCalls});
     const request = {id: 'admin-1/7/1', vm: id, action: VmAction.Reboot};
-    assert.equal(await client.ask(request), VmActionState.Running);
+    assert.equal(await client.requestAction(request), VmActionState.Running);
     clock.advance(121_000);
-    assert.equal(await client.ask(request), VmActionState.Done);
-    assert.equal(actions.done.length, 1);
+    assert.equal(await client.requestAction(request), VmActionState.Done);
+    assert.equal(actions.startedActions.length, 1);
   });
 
   it('fail clearly without an address', async () => {
     const options = {timeout_milliseconds: 100, connections: 1};
-    const calls = new PlatformCalls({platformLeasesOptions: options});
-    const client = new HttpLeases({platformCalls: calls});
+    const calls = new PlatformClient({platformLeasesOptions: options});
+    const client = new HttpLeaseClient({platformCalls: calls});
     await assert.rejects(client.report(), /has no address/);
   });
 });
--- a/packages/plugin-platform-leases/src/http-leases.ts
+++ b/packages/plugin-platform-leases/src/http-lease-client.ts
@@ -5,9 +5,9 @@
   type TaskReport,
   type TaskRequest,
 } from '@gentiandoor/shared-state';
-import type {PlatformCalls} from './platform-calls.js';
+import type {PlatformClient} from './platform-client.js';
 
-const taskReport = z.object({
+const taskReportSchema = z.object({
   id: z.string(),
   vm: z.string(),
   state: z.enum(TaskState),
@@ -18,18 +18,18 @@
   }),
   usageAgeMilliseconds: z.number(),
 });
-const taskReports = z.object({tasks: z.array(taskReport)});
+const taskReportsSchema = z.object({tasks: z.array(taskReportSchema)});
 
 /** The platform's task leases over HTTP. */
-export class HttpLeases implements LeaseClient {
-  private readonly calls: PlatformCalls;
+export class HttpLeaseClient implements LeaseClient {
+  private readonly client: PlatformClient;
 
-  constructor(dependencies: {readonly platformCalls: PlatformCalls}) {
-    this.calls = dependencies.platformCalls;
+  constructor(dependencies: {readonly platformCalls: PlatformClient}) {
+    this.client = dependencies.platformCalls;
   }
 
   start(request: TaskRequest, signal?: AbortSignal): Promise<TaskReport> {
-    return this.calls.post('/tasks/start', request, taskReport, signal);
+    return this.client.post('/tasks/start', request, taskReportSchema, signal);
   }
 
   renew(
@@ -38,15 +38,20 @@
     signal?: AbortSignal,
   ): Promise<TaskReport> {
     const body = {id, leaseMilliseconds};
-    return this.calls.post('/tasks/renew', body, taskReport, signal);
+    return this.client.post('/tasks/renew', body, taskReportSchema, signal);
   }
 
   stop(id: string, signal?: AbortSignal): Promise<TaskReport> {
-    return this.calls.post('/tasks/stop', {id}, taskReport, signal);
+    return this.client.post('/tasks/stop', {id}, taskReportSchema, signal);
   }
 
   checkpoint(id: string, signal?: AbortSignal): Promise<TaskReport> {
-    return this.calls.post('/tasks/checkpoint', {id}, taskReport, signal);
+    return this.client.post(
+      '/tasks/checkpoint',
+      {id},
+      taskReportSchema,
+      signal,
+    );
   }
 
   throttle(
@@ -55,11 +60,11 @@
     signal?: AbortSignal,
   ): Promise<TaskReport> {
     const body = {id, share};
-    return this.calls.post('/tasks/throttle', body, taskReport, signal);
+    return this.client.post('/tasks/throttle', body, taskReportSchema, signal);
   }
 
   async report(signal?: AbortSignal): Promise<readonly TaskReport[]> {
-    const {tasks} = await this.calls.get('/tasks', taskReports, signal);
+    const {tasks} = await this.client.get('/tasks', taskReportsSchema, signal);
     return tasks;
   }
 }
--- a/packages/plugin-platform-leases/src/http-vm-actions.ts
+++ b/packages/plugin-platform-leases/src/http-vm-actions.ts
@@ -4,26 +4,26 @@
   type VmActionRequest,
   type VmActions,
 } from '@gentiandoor/shared-state';
-import type {PlatformCalls} from './platform-calls.js';
+import type {PlatformClient} from './platform-client.js';
 
-const actionReport = z.object({state: z.enum(VmActionState)});
+const actionReportSchema = z.object({state: z.enum(VmActionState)});
 
 /** The platform's reboots and replacements over HTTP. */
 export class HttpVmActions implements VmActions {
-  private readonly calls: PlatformCalls;
+  private readonly client: PlatformClient;
 
-  constructor(dependencies: {readonly platformCalls: PlatformCalls}) {
-    this.calls = dependencies.platformCalls;
+  constructor(dependencies: {readonly platformCalls: PlatformClient}) {
+    this.client = dependencies.platformCalls;
   }
 
-  async ask(
+  async requestAction(
     request: VmActionRequest,
     signal?: AbortSignal,
   ): Promise<VmActionState> {
-    const {state} = await this.calls.post(
+    const {state} = await this.client.post(
       '/vm-actions',
       request,
-      actionReport,
+      actionReportSchema,
       signal,
     );
     return state;
--- a/packages/plugin-platform-leases/src/index.ts
+++ b/packages/plugin-platform-leases/src/index.ts
@@ -1,28 +1,28 @@
 import {asClass, asValue} from 'awilix';
 import type {PluginRegistry} from '@gentiandoor/kernel';
-import {HttpLeases} from './http-leases.js';
+import {HttpLeaseClient} from './http-lease-client.js';
 import {HttpVmActions} from './http-vm-actions.js';
-import {PlatformCalls} from './platform-calls.js';
-import {PlatformLeasesEdge} from './platform-leases-edge.js';
+import {PlatformClient} from './platform-client.js';
+import {PlatformLeasesPlugin} from './platform-leases-plugin.js';
 import {platformLeasesOptions} from './platform-leases-options.js';
 
-export {HttpLeases} from './http-leases.js';
+export {HttpLeaseClient} from './http-lease-client.js';
 export {HttpVmActions} from './http-vm-actions.js';
-export {PlatformCallError, PlatformCalls} from './platform-calls.js';
+export {PlatformRequestError, PlatformClient} from './platform-client.js';
 
 /** Registers the edge to the platform's task leases and VM actions. */
 export function registerPlatformLeases(registry: PluginRegistry): void {
   registry.add({
     name: 'platform-leases',
     options: platformLeasesOptions,
-    service: 'platformLeases',
+    registrationName: 'platformLeases',
     register(container, options) {
       container.register({
         platformLeasesOptions: asValue(options),
-        platformCalls: asClass(PlatformCalls).singleton(),
-        leaseClient: asClass(HttpLeases).singleton(),
+        platformCalls: asClass(PlatformClient).singleton(),
+        leaseClient: asClass(HttpLeaseClient).singleton(),
         vmActions: asClass(HttpVmActions).singleton(),
-        platformLeases: asClass(PlatformLeasesEdge).singleton(),
+        platformLeases: asClass(PlatformLeasesPlugin).singleton(),
       });
     },
   });
--- a/packages/plugin-platform-leases/src/platform-calls.ts
+++ b/packages/plugin-platform-leases/src/platform-client.ts
@@ -5,10 +5,10 @@
 const STATUS_OK = 200;
 
 /** A call that the platform refused or did not answer; it may have taken effect. */
-export class PlatformCallError extends Error {}
+export class PlatformRequestError extends Error {}
 
 /** Calls to the platform with a time limit and checked answers. Nothing is sent twice. */
-export class PlatformCalls {
+export class PlatformClient {
   private readonly pool: Pool | undefined;
   private readonly options: PlatformLeasesOptions;
 
@@ -28,7 +28,7 @@
     schema: Schema,
     signal?: AbortSignal,
   ): Promise<z.output<Schema>> {
-    return this.call('GET', path, undefined, schema, signal);
+    return this.request('GET', path, undefined, schema, signal);
   }
 
   async post<Schema extends z.ZodType>(
@@ -37,14 +37,14 @@
     schema: Schema,
     signal?: AbortSignal,
   ): Promise<z.output<Schema>> {
-    return this.call('POST', path, JSON.stringify(body), schema, signal);
+    return this.request('POST', path, JSON.stringify(body), schema, signal);
   }
 
   async stop(): Promise<void> {
     await this.pool?.destroy();
   }
 
-  private async call<Schema extends z.ZodType>(
+  private async request<Schema extends z.ZodType>(
     method: 'GET' | 'POST',
     path: string,
     body: string | undefined,
@@ -52,7 +52,7 @@
     signal: AbortSignal | undefined,
   ): Promise<z.output<Schema>> {
     if (!this.pool)
-      throw new PlatformCallError('[platform-leases] has no address');
+      throw new PlatformRequestError('[platform-leases] has no address');
     const limit = AbortSignal.timeout(this.options.timeout_milliseconds);
     const answer = await this.pool.request({
       method,
@@ -63,7 +63,7 @@
     });
     const value = await answer.body.json();
     if (answer.statusCode !== STATUS_OK)
-      throw new PlatformCallError(`${path}: status ${answer.statusCode}`);
+      throw new PlatformRequestError(`${path}: status ${answer.statusCode}`);
     return schema.parse(value);
   }
 }
--- /dev/null
+++ b/packages/plugin-platform-leases/src/platform-leases-plugin.ts
@@ -0,0 +1,19 @@
+import type {Plugin} from '@gentiandoor/kernel';
+import type {PlatformClient} from './platform-client.js';
+
+/** Life cycle of the edge: connections open with the first call and end with the daemon. */
+export class PlatformLeasesPlugin implements Plugin {
+  private readonly client: PlatformClient;
+
+  constructor(dependencies: {readonly platformCalls: PlatformClient}) {
+    this.client = dependencies.platformCalls;
+  }
+
+  async start(): Promise<void> {
+    return undefined;
+  }
+
+  stop(): Promise<void> {
+    return this.client.stop();
+  }
+}
--- a/packages/plugin-platform-list/src/__tests__/http-vm-list.test.ts
+++ b/packages/plugin-platform-list/src/__tests__/http-vm-list.test.ts
@@ -16,15 +16,15 @@
 
 /** Answers each poll with the next of its answers; undefined is a failure of the platform. */
 class ScriptedPlatform {
-  readonly asked: string[] = [];
+  readonly requestedPaths: string[] = [];
   private readonly server = http.createServer((request, response) => {
-    const answer = this.answers[this.asked.length];
-    this.asked.push(request.url ?? '');
+    const answer = this.responses[this.requestedPaths.length];
+    this.requestedPaths.push(request.url ?? '');
     response.statusCode = answer === undefined ? 503 : 200;
     response.end(JSON.stringify(answer ?? {error: 'out'}));
   });
 
-  constructor(private readonly answers: ReadonlyArray<object | undefined>) {}
+  constructor(private readonly responses: ReadonlyArray<object | undefined>) {}
 
   async start(): Promise<string> {
     await new Promise<void>(resolve =>
@@ -72,9 +72,9 @@
   });
 
   async function pollOnce(): Promise<void> {
-    const wanted = platform.asked.length + 1;
+    const wanted = platform.requestedPaths.length + 1;
     clock.advance(POLL_MILLISECONDS);
-    while (platform.asked.length < wanted)
+    while (platform.requestedPaths.length < wanted)
       await new Promise(resolve => setImmediate(resolve));
     for (let turn = 0; turn < 50; turn++)
       await new Promise(resolve => setTimeout(resolve, 1));
@@ -91,7 +91,7 @@
     await pollOnce();
     assert.deepEqual([...list.current().keys()], ['b']);
     assert.equal(changes, 2);
-    assert.deepEqual(platform.asked, [
+    assert.deepEqual(platform.requestedPaths, [
       '/vms',
       '/vms?since=4',
       '/vms?since=4',
--- a/packages/plugin-platform-list/src/http-vm-list.ts
+++ b/packages/plugin-platform-list/src/http-vm-list.ts
@@ -16,7 +16,7 @@
 } from '@gentiandoor/shared-state';
 import type {PlatformListOptions} from './platform-list-options.js';
 
-const listBody = z.object({
+const listBodySchema = z.object({
   version: z.number().int(),
   whole: z.boolean(),
   vms: z.array(
@@ -30,7 +30,7 @@
   ),
   removed: z.array(z.string()),
 });
-type ListBody = z.output<typeof listBody>;
+type ListBody = z.output<typeof listBodySchema>;
 
 /** What the list needs. */
 export interface HttpVmListDependencies {
@@ -44,12 +44,12 @@
 export class HttpVmList implements VmList, Plugin {
   private vms: ReadonlyMap<string, ListedVm> = new Map();
   private version: number | undefined;
-  private readAt = -Infinity;
+  private refreshedAt = -Infinity;
   private readonly listeners: Array<() => void> = [];
-  private readonly stopping = new AbortController();
+  private readonly stopController = new AbortController();
   private readonly pool: Pool;
-  private polling: Promise<void> = Promise.resolve();
-  private reachable = true;
+  private loop: Promise<void> = Promise.resolve();
+  private isReachable = true;
 
   constructor(private readonly dependencies: HttpVmListDependencies) {
     const {address} = dependencies.platformListOptions;
@@ -61,7 +61,7 @@
   }
 
   ageMilliseconds(): number {
-    return this.dependencies.clock.monotonicMilliseconds() - this.readAt;
+    return this.dependencies.clock.monotonicMilliseconds() - this.refreshedAt;
   }
 
   onChange(listener: () => void): void {
@@ -69,46 +69,46 @@
   }
 
   async start(): Promise<void> {
-    await this.readOnce();
-    this.polling = this.poll();
+    await this.refresh();
+    this.loop = this.poll();
   }
 
   async stop(): Promise<void> {
-    this.stopping.abort();
-    await this.polling;
+    this.stopController.abort();
+    await this.loop;
     await this.pool.destroy();
   }
 
   private async poll(): Promise<void> {
     const {clock, random, platformListOptions: options} = this.dependencies;
-    while (!this.stopping.signal.aborted) {
+    while (!this.stopController.signal.aborted) {
       await sleep(
         clock,
         jitter(random, options.poll_milliseconds),
-        this.stopping.signal,
+        this.stopController.signal,
       );
-      if (!this.stopping.signal.aborted) await this.readOnce();
+      if (!this.stopController.signal.aborted) await this.refresh();
     }
   }
 
-  private async readOnce(): Promise<void> {
+  private async refresh(): Promise<void> {
     const {clock, logger} = this.dependencies;
     try {
-      const changed = this.take(await this.fetchList());
-      this.readAt = clock.monotonicMilliseconds();
-      if (!this.reachable) logger.info(LogEvent.ListReturned);
-      this.reachable = true;
+      const changed = this.apply(await this.fetchList());
+      this.refreshedAt = clock.monotonicMilliseconds();
+      if (!this.isReachable) logger.info(LogEvent.ListReturned);
+      this.isReachable = true;
       if (changed) for (const listener of this.listeners) listener();
     } catch (error) {
-      if (this.stopping.signal.aborted) return;
-      if (this.reachable)
+      if (this.stopController.signal.aborted) return;
+      if (this.isReachable)
         logger.warn(LogEvent.ListUnavailable, {error: String(error)});
-      this.reachable = false;
+      this.isReachable = false;
     }
   }
 
   /** True when the answer changed something. */
-  private take(body: ListBody): boolean {
+  private apply(body: ListBody): boolean {
     const vms = new Map(body.whole ? [] : this.vms);
     for (const vm of body.vms) vms.set(vm.id, vm);
     for (const id of body.removed) vms.delete(id);
@@ -130,11 +130,11 @@
     const answer = await this.pool.request({
       path: this.version === undefined ? '/vms' : `/vms?since=${this.version}`,
       method: 'GET',
-      signal: AbortSignal.any([timeout, this.stopping.signal]),
+      signal: AbortSignal.any([timeout, this.stopController.signal]),
     });
     const body = await answer.body.json();
     if (answer.statusCode !== 200)
       throw new Error(`status ${answer.statusCode}`);
-    return listBody.parse(body);
+    return listBodySchema.parse(body);
   }
 }
--- a/packages/plugin-platform-list/src/index.ts
+++ b/packages/plugin-platform-list/src/index.ts
@@ -10,7 +10,7 @@
   registry.add({
     name: 'platform-list',
     options: platformListOptions,
-    service: 'vmList',
+    registrationName: 'vmList',
     register(container, options) {
       container.register({
         platformListOptions: asValue(options),
--- a/packages/plugin-platform-log/src/http-platform-log.ts
+++ b/packages/plugin-platform-log/src/http-platform-log.ts
@@ -2,7 +2,7 @@
 import {Pool, type Dispatcher} from 'undici';
 import {z} from 'zod';
 import {
-  LogFailure,
+  PlatformLogFailure,
   PlatformLogError,
   toError,
   type Plugin,
@@ -19,26 +19,26 @@
 
 const packr = new Packr({useRecords: false});
 const CONNECTIONS = 4;
-const LARGEST_ANSWER_BYTES = 64_000_000;
-const offset = z.number().int().min(0);
-const appendBody = z.object({first: offset});
-const readBody = z.object({
-  from: offset,
-  end: offset,
-  oldest: offset,
+const MAXIMUM_RESPONSE_BYTES = 64_000_000;
+const offsetSchema = z.number().int().min(0);
+const appendBodySchema = z.object({first: offsetSchema});
+const readBodySchema = z.object({
+  from: offsetSchema,
+  end: offsetSchema,
+  oldest: offsetSchema,
   records: z.array(z.instanceof(Uint8Array)),
 });
-const gapBody = z.object({oldest: offset});
+const gapBodySchema = z.object({oldest: offsetSchema});
 
 /** Failures before a byte of the call went out: nothing can have been appended. */
-const NOT_SENT: ReadonlySet<string> = new Set([
+const NOT_SENT_ERROR_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-interface Answer {
+interface HttpResponse {
   readonly status: number;
   readonly body: Buffer;
 }
@@ -62,7 +62,7 @@
     payloads: readonly Uint8Array[],
     signal?: AbortSignal,
   ): Promise<AppendPosition> {
-    const answer = await this.call(
+    const answer = await this.request(
       {
         path: `/streams/${stream}/records`,
         method: 'POST',
@@ -71,7 +71,7 @@
       this.options.timeout_milliseconds,
       signal,
     );
-    return {firstOffset: read(appendBody, answer).first};
+    return {firstOffset: parseResponse(appendBodySchema, answer).first};
   }
 
   async read(
@@ -82,26 +82,26 @@
   ): Promise<LogBatch> {
     const {limit, waitMilliseconds} = options;
     const query = `from=${from}&limit=${limit}&wait=${waitMilliseconds}`;
-    const answer = await this.call(
+    const answer = await this.request(
       {path: `/streams/${stream}/records?${query}`, method: 'GET'},
       this.options.timeout_milliseconds + waitMilliseconds,
       signal,
     );
-    const batch = read(readBody, answer);
+    const batch = parseResponse(readBodySchema, answer);
     if (batch.from !== from)
       throw new PlatformLogError(
-        LogFailure.NoAnswer,
+        PlatformLogFailure.NoResponse,
         `the log answered from offset ${batch.from}, asked for ${from}`,
       );
     const {end, oldest, records} = batch;
     return {from, end, oldest, payloads: records};
   }
 
-  private async call(
+  private async request(
     request: Pick<Dispatcher.RequestOptions, 'path' | 'method' | 'body'>,
     timeoutMilliseconds: number,
     signal?: AbortSignal,
-  ): Promise<Answer> {
+  ): Promise<HttpResponse> {
     const timeout = AbortSignal.timeout(timeoutMilliseconds);
     const either = signal ? AbortSignal.any([signal, timeout]) : timeout;
     try {
@@ -109,8 +109,8 @@
       const body = Buffer.from(await answer.body.arrayBuffer());
       return {status: answer.statusCode, body};
     } catch (thrown) {
-      if (timeout.aborted) this.leavePool();
-      throw failureOf(toError(thrown));
+      if (timeout.aborted) this.replacePool();
+      throw toPlatformLogError(toError(thrown));
     }
   }
 
@@ -119,7 +119,7 @@
    * it stays open and brings nothing. Its siblings took the same way, so none is used again;
    * new connections work. Calls still out on the old ones end by their own time.
    */
-  private leavePool(): void {
+  private replacePool(): void {
     const old = this.pool;
     this.pool = this.openPool();
     old.close().catch(() => undefined);
@@ -130,39 +130,43 @@
       connections: CONNECTIONS,
       pipelining: 1,
       connectTimeout: this.options.timeout_milliseconds,
-      maxResponseSize: LARGEST_ANSWER_BYTES,
+      maxResponseSize: MAXIMUM_RESPONSE_BYTES,
     });
   }
 }
 
-function failureOf(error: Error): PlatformLogError {
+function toPlatformLogError(error: Error): PlatformLogError {
   const {code} = error as {code?: unknown};
   const failure =
-    typeof code === 'string' && NOT_SENT.has(code)
-      ? LogFailure.Refused
-      : LogFailure.NoAnswer;
+    typeof code === 'string' && NOT_SENT_ERROR_CODES.has(code)
+      ? PlatformLogFailure.Refused
+      : PlatformLogFailure.NoResponse;
   return new PlatformLogError(failure, error.message, {cause: error});
 }
 
 /** The checked body; throws `PlatformLogError` for anything but a whole, well-formed answer. */
-function read<Value>(schema: z.ZodType<Value>, answer: Answer): Value {
+function parseResponse<Value>(
+  schema: z.ZodType<Value>,
+  answer: HttpResponse,
+): Value {
   const {status, body} = answer;
-  if (status === 200) return unpack(schema, body);
-  if (status === 410) throw new LogGapError(unpack(gapBody, body).oldest);
+  if (status === 200) return unpackBody(schema, body);
+  if (status === 410)
+    throw new LogGapError(unpackBody(gapBodySchema, body).oldest);
   const text = `status ${status}: ${body.toString('utf8').slice(0, 200)}`;
   const isRefusal = status === 429 || status === 503;
   throw new PlatformLogError(
-    isRefusal ? LogFailure.Refused : LogFailure.NoAnswer,
+    isRefusal ? PlatformLogFailure.Refused : PlatformLogFailure.NoResponse,
     text,
   );
 }
 
-function unpack<Value>(schema: z.ZodType<Value>, body: Buffer): Value {
+function unpackBody<Value>(schema: z.ZodType<Value>, body: Buffer): Value {
   try {
     return schema.parse(packr.unpack(body));
   } catch (error) {
     throw new PlatformLogError(
-      LogFailure.NoAnswer,
+      PlatformLogFailure.NoResponse,
       `the log's answer is malformed: ${toError(error).message}`,
       {cause: error},
     );
--- a/packages/plugin-platform-log/src/index.ts
+++ b/packages/plugin-platform-log/src/index.ts
@@ -13,7 +13,7 @@
   registry.add({
     name: 'platform-log',
     options: platformLogOptions,
-    service: 'platformLog',
+    registrationName: 'platformLog',
     register(container, options) {
       const log = new HttpPlatformLog(options as PlatformLogOptions);
       container.register({platformLog: asValue(log)});
--- a/packages/plugin-shared-state/src/__tests__/golden/sessions.test.ts
+++ b/packages/plugin-shared-state/src/__tests__/golden/sessions.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {RecordKind, StreamName} from '@gentiandoor/shared-state';
-import {LogFault, LogPathFault, assertGolden} from '@gentiandoor/stand-ins';
+import {LogFault, LogConnectionFault, assertGolden} from '@gentiandoor/stand-ins';
 import {Session} from '../session.js';
 
 const SECOND = 1000;
 const MINUTE = 60 * SECOND;
 const HOUR = 60 * MINUTE;
 
-function golden(name: string): URL {
+function goldenFile(name: string): URL {
   return new URL(
     `../../../src/__tests__/golden/${name}.golden.txt`,
     import.meta.url,
@@ -22,12 +22,12 @@
     ['entry-3', 'hall-c'],
   ])
     await session.start(name, dataCentre);
-  await session.pass(3 * SECOND);
+  await session.advance(3 * SECOND);
 }
 
 /** No daemon ever went back to an older version. */
-function assertNeverBack(session: Session): void {
-  for (const [name, {served}] of session.daemons)
+function assertVersionsNeverDecrease(session: Session): void {
+  for (const [name, {servedVersions: served}] of session.daemons)
     assert.deepEqual(
       served,
       [...served].sort((left, right) => left - right),
@@ -42,29 +42,29 @@
   it('a race of two bundles', async () => {
     const session = new Session();
     await startKingston(session);
-    session.tell('version 1');
+    session.addHeading('version 1');
     const first = {version: 1, base: 0, author: 'moana'} as const;
-    const rolled = session.rollOut('entry-1', first, 'kerry');
-    await session.pass(SECOND);
+    const rolled = session.proposeAndSignOff('entry-1', first, 'kerry');
+    await session.advance(SECOND);
     await rolled;
-    session.tell('two versions 2 at once');
+    session.addHeading('two versions 2 at once');
     const left = {version: 2, base: 1, author: 'moana', slots: 4} as const;
     const right = {version: 2, base: 1, author: 'kerry', slots: 6} as const;
     const race = [
-      session.rollOut('entry-1', left, 'kerry'),
-      session.rollOut('entry-3', right, 'tui'),
+      session.proposeAndSignOff('entry-1', left, 'kerry'),
+      session.proposeAndSignOff('entry-3', right, 'tui'),
     ];
-    await session.pass(SECOND);
+    await session.advance(SECOND);
     await Promise.all(race);
-    session.tell('the loser builds on the winner');
+    session.addHeading('the loser builds on the winner');
     const again = {version: 3, base: 2, author: 'kerry', slots: 6} as const;
-    const third = session.rollOut('entry-3', again, 'tui');
-    await session.pass(SECOND);
+    const third = session.proposeAndSignOff('entry-3', again, 'tui');
+    await session.advance(SECOND);
     await third;
-    session.show();
-    assertNeverBack(session);
+    session.addServedVersions();
+    assertVersionsNeverDecrease(session);
     await session.stopAll();
-    assertGolden(golden('bundle-race'), session.text);
+    assertGolden(goldenFile('bundle-race'), session.transcript);
   });
 
   // The log takes a drain and its answer is lost. The daemon reads its own record back and
@@ -74,8 +74,8 @@
     const session = new Session();
     await startKingston(session);
     const first = {version: 1, base: 0, author: 'moana'} as const;
-    const rolled = session.rollOut('entry-1', first, 'kerry');
-    await session.pass(SECOND);
+    const rolled = session.proposeAndSignOff('entry-1', first, 'kerry');
+    await session.advance(SECOND);
     await rolled;
     const entry = session.daemon('entry-1');
     const drain = (vm: string) =>
@@ -86,36 +86,36 @@
         vm,
         reason: 'a bad fan',
       }) as const;
-    session.tell('the answer of an append is lost, reads work');
-    session.log.faults.add(LogFault.LostAnswers);
+    session.addHeading('the answer of an append is lost, reads work');
+    session.log.faults.add(LogFault.LostResponses);
     const drained = session.publish(
       'entry-1',
       'drains hall-a-r1-1',
       drain('hall-a-r1-1'),
     );
-    await session.pass(5 * SECOND);
+    await session.advance(5 * SECOND);
     await drained;
-    session.tell('every answer to entry-1 is lost, and its peers are cut off');
-    entry.path.faults.add(LogPathFault.LostAnswers);
-    for (const other of ['hall-b', 'hall-c']) session.network.cut('hall-a', other);
+    session.addHeading('every answer to entry-1 is lost, and its peers are cut off');
+    entry.path.faults.add(LogConnectionFault.LostResponses);
+    for (const other of ['hall-b', 'hall-c']) session.network.partition('hall-a', other);
     const unknown = session.publish(
       'entry-1',
       'drains hall-a-r1-2',
       drain('hall-a-r1-2'),
     );
-    await session.pass(20 * SECOND);
+    await session.advance(20 * SECOND);
     await unknown;
-    session.tell('answers come back');
+    session.addHeading('answers come back');
     entry.path.faults.clear();
     session.log.faults.clear();
-    await session.pass(10 * SECOND);
+    await session.advance(10 * SECOND);
     for (const vm of ['hall-a-r1-1', 'hall-a-r1-2']) {
       const reason = entry.follower.state.vms.get(vm)?.drainReason;
-      session.note('entry-1', `${vm} drains: ${reason}`);
+      session.addLine('entry-1', `${vm} drains: ${reason}`);
     }
-    session.show();
+    session.addServedVersions();
     await session.stopAll();
-    assertGolden(golden('lost-answer'), session.text);
+    assertGolden(goldenFile('lost-answer'), session.transcript);
   });
 
   // The log is out for three hours. Every daemon serves on under its version; a roll-out is
@@ -125,27 +125,27 @@
     const session = new Session();
     await startKingston(session);
     const first = {version: 1, base: 0, author: 'moana'} as const;
-    const rolled = session.rollOut('entry-1', first, 'kerry');
-    await session.pass(SECOND);
+    const rolled = session.proposeAndSignOff('entry-1', first, 'kerry');
+    await session.advance(SECOND);
     await rolled;
-    session.tell('the log is out for three hours');
+    session.addHeading('the log is out for three hours');
     session.log.faults.add(LogFault.Outage);
     const second = {version: 2, base: 1, author: 'moana'} as const;
-    const refused = session.rollOut('entry-2', second, 'kerry');
-    await session.pass(MINUTE);
+    const refused = session.proposeAndSignOff('entry-2', second, 'kerry');
+    await session.advance(MINUTE);
     await refused;
-    await session.pass(3 * HOUR, 10 * SECOND);
-    session.show();
-    session.tell('the log returns');
+    await session.advance(3 * HOUR, 10 * SECOND);
+    session.addServedVersions();
+    session.addHeading('the log returns');
     session.log.faults.clear();
-    await session.pass(10 * SECOND);
-    const again = session.rollOut('entry-2', second, 'kerry');
-    await session.pass(SECOND);
+    await session.advance(10 * SECOND);
+    const again = session.proposeAndSignOff('entry-2', second, 'kerry');
+    await session.advance(SECOND);
     await again;
-    session.show();
-    assertNeverBack(session);
+    session.addServedVersions();
+    assertVersionsNeverDecrease(session);
     await session.stopAll();
-    assertGolden(golden('outage-and-return'), session.text);
+    assertGolden(goldenFile('outage-and-return'), session.transcript);
   });
 
   // hall-c cannot reach the log. It takes version 2 from its peers, with the same checks.
@@ -155,34 +155,34 @@
     const session = new Session();
     await startKingston(session);
     const first = {version: 1, base: 0, author: 'moana'} as const;
-    const rolled = session.rollOut('entry-1', first, 'kerry');
-    await session.pass(SECOND);
+    const rolled = session.proposeAndSignOff('entry-1', first, 'kerry');
+    await session.advance(SECOND);
     await rolled;
-    session.tell('hall-c cannot reach the log');
+    session.addHeading('hall-c cannot reach the log');
     const cutOff = session.daemon('entry-3');
-    cutOff.path.faults.add(LogPathFault.Cut);
-    await session.pass(20 * SECOND);
+    cutOff.path.faults.add(LogConnectionFault.Cut);
+    await session.advance(20 * SECOND);
     const second = {version: 2, base: 1, author: 'moana'} as const;
-    const next = session.rollOut('entry-1', second, 'kerry');
-    await session.pass(SECOND);
+    const next = session.proposeAndSignOff('entry-1', second, 'kerry');
+    await session.advance(SECOND);
     await next;
-    session.show();
-    session.tell('hall-c cannot reach its peers either');
-    for (const other of ['hall-a', 'hall-b']) session.network.cut('hall-c', other);
+    session.addServedVersions();
+    session.addHeading('hall-c cannot reach its peers either');
+    for (const other of ['hall-a', 'hall-b']) session.network.partition('hall-c', other);
     const third = {version: 3, base: 2, author: 'moana'} as const;
-    const last = session.rollOut('entry-1', third, 'kerry');
-    await session.pass(MINUTE);
+    const last = session.proposeAndSignOff('entry-1', third, 'kerry');
+    await session.advance(MINUTE);
     await last;
-    session.show();
-    session.tell('all paths heal');
+    session.addServedVersions();
+    session.addHeading('all paths heal');
     cutOff.path.faults.clear();
     for (const other of ['hall-a', 'hall-b']) session.network.heal('hall-c', other);
-    await session.pass(10 * SECOND);
-    session.show();
-    assertNeverBack(session);
-    assert.deepEqual(cutOff.served, [1, 2, 3]);
+    await session.advance(10 * SECOND);
+    session.addServedVersions();
+    assertVersionsNeverDecrease(session);
+    assert.deepEqual(cutOff.servedVersions, [1, 2, 3]);
     await session.stopAll();
-    assertGolden(golden('cut-off-data-centre'), session.text);
+    assertGolden(goldenFile('cut-off-data-centre'), session.transcript);
   });
 
   // All daemons are replaced at once, first with the log up: each serves nothing, then the
@@ -194,39 +194,39 @@
     await startKingston(session);
     for (const version of [1, 2, 3]) {
       const choice = {version, base: version - 1, author: 'moana'} as const;
-      const rolled = session.rollOut('entry-1', choice, 'kerry');
-      await session.pass(SECOND);
+      const rolled = session.proposeAndSignOff('entry-1', choice, 'kerry');
+      await session.advance(SECOND);
       await rolled;
     }
-    session.tell('all are replaced while the log is up');
+    session.addHeading('all are replaced while the log is up');
     for (const name of [...session.daemons.keys()]) await session.crash(name);
     await startKingston(session);
-    session.show();
-    for (const {served} of session.daemons.values())
+    session.addServedVersions();
+    for (const {servedVersions: served} of session.daemons.values())
       assert.deepEqual(served, [3]);
-    session.tell('all are replaced while the log is down');
+    session.addHeading('all are replaced while the log is down');
     session.log.faults.add(LogFault.Outage);
     for (const name of [...session.daemons.keys()]) await session.crash(name);
     await startKingston(session);
-    await session.pass(MINUTE);
-    session.show();
-    session.tell('the log returns');
+    await session.advance(MINUTE);
+    session.addServedVersions();
+    session.addHeading('the log returns');
     session.log.faults.clear();
-    await session.pass(10 * SECOND);
-    session.show();
-    session.tell('one after the other is replaced while the log is down');
+    await session.advance(10 * SECOND);
+    session.addServedVersions();
+    session.addHeading('one after the other is replaced while the log is down');
     session.log.faults.add(LogFault.Outage);
-    await session.pass(10 * SECOND);
+    await session.advance(10 * SECOND);
     for (const {name, dataCentre} of [...session.daemons.values()]) {
       await session.crash(name);
       await session.start(name, dataCentre);
-      await session.pass(5 * SECOND);
+      await session.advance(5 * SECOND);
     }
-    session.show();
-    for (const {served} of session.daemons.values())
+    session.addServedVersions();
+    for (const {servedVersions: served} of session.daemons.values())
       assert.deepEqual(served, [3]);
     await session.stopAll();
-    assertGolden(golden('restart-storm'), session.text);
+    assertGolden(goldenFile('restart-storm'), session.transcript);
   });
 
   // A data centre is cut off for so long that the log has dropped what it needs. One member
@@ -239,36 +239,36 @@
     });
     await startKingston(session);
     const first = {version: 1, base: 0, author: 'moana'} as const;
-    const rolled = session.rollOut('entry-1', first, 'kerry');
-    await session.pass(SECOND);
+    const rolled = session.proposeAndSignOff('entry-1', first, 'kerry');
+    await session.advance(SECOND);
     await rolled;
-    session.tell('hall-c is cut off from everything');
+    session.addHeading('hall-c is cut off from everything');
     const cutOff = session.daemon('entry-3');
-    cutOff.path.faults.add(LogPathFault.Cut);
-    for (const other of ['hall-a', 'hall-b']) session.network.cut('hall-c', other);
+    cutOff.path.faults.add(LogConnectionFault.Cut);
+    for (const other of ['hall-a', 'hall-b']) session.network.partition('hall-c', other);
     for (const version of [2, 3, 4, 5, 6, 7]) {
       const choice = {version, base: version - 1, author: 'moana'} as const;
-      const next = session.rollOut('entry-1', choice, 'kerry');
-      await session.pass(SECOND);
+      const next = session.proposeAndSignOff('entry-1', choice, 'kerry');
+      await session.advance(SECOND);
       await next;
     }
-    await session.pass(MINUTE);
-    session.tell('the log drops all but the last records; a snapshot is damaged');
+    await session.advance(MINUTE);
+    session.addHeading('the log drops all but the last records; a snapshot is damaged');
     const end = session.log.endOf(StreamName.Fleet);
     session.log.expire(StreamName.Fleet, end - 2);
     await session.log.append(StreamName.Snapshots, [Buffer.from('damaged')]);
-    session.tell('hall-c reaches the log again, its peers not yet');
+    session.addHeading('hall-c reaches the log again, its peers not yet');
     cutOff.path.faults.clear();
-    await session.pass(10 * SECOND);
-    session.show();
-    session.tell('a fresh daemon starts behind the gap');
+    await session.advance(10 * SECOND);
+    session.addServedVersions();
+    session.addHeading('a fresh daemon starts behind the gap');
     await session.start('entry-4', 'hall-a');
-    await session.pass(5 * SECOND);
-    session.show();
-    assertNeverBack(session);
-    assert.deepEqual(cutOff.served, [1, 7]);
-    assert.deepEqual(session.daemon('entry-4').served, [7]);
+    await session.advance(5 * SECOND);
+    session.addServedVersions();
+    assertVersionsNeverDecrease(session);
+    assert.deepEqual(cutOff.servedVersions, [1, 7]);
+    assert.deepEqual(session.daemon('entry-4').servedVersions, [7]);
     await session.stopAll();
-    assertGolden(golden('retention-gap'), session.text);
+    assertGolden(goldenFile('retention-gap'), session.transcript);
   });
 });
--- a/packages/plugin-shared-state/src/__tests__/session.ts
+++ b/packages/plugin-shared-state/src/__tests__/session.ts
@@ -11,7 +11,7 @@
 import {
   PeerDirectory,
   RecordKind,
-  digestOf,
+  sha256Hex,
   signBundle,
   type FleetRecord,
   type FoldOutcome,
@@ -22,12 +22,12 @@
   MemoryPeerNetwork,
   MemoryVmList,
 } from '@gentiandoor/stand-ins';
-import {LogFollower} from '../log-follower.js';
+import {LogBackedSharedState} from '../log-backed-shared-state.js';
 import {sharedStateOptions} from '../shared-state-options.js';
-import {fixedOperatorKeys} from './operators.js';
+import {operatorKeysFromSeed} from './operators.js';
 
 const STEP_MILLISECONDS = 10;
-const TURNS_OF_A_STEP = 12;
+const TURNS_PER_STEP = 12;
 /** Fields of log events that make a session readable and are the same at each run. */
 const SHOWN_FIELDS = [
   'version',
@@ -42,16 +42,16 @@
 
 /** Operators of a session by name. */
 export const OPERATORS = {
-  moana: fixedOperatorKeys(1),
-  kerry: fixedOperatorKeys(2),
-  tui: fixedOperatorKeys(3),
+  moana: operatorKeysFromSeed(1),
+  kerry: operatorKeysFromSeed(2),
+  tui: operatorKeysFromSeed(3),
 } as const;
 
 /** An operator of a session. */
 export type OperatorName = keyof typeof OPERATORS;
 
 /** What varies between the bundles of a session. */
-export interface BundleChoice {
+export interface BundleTextOptions {
   readonly version: number;
   readonly base: number;
   readonly author: OperatorName;
@@ -59,7 +59,7 @@
 }
 
 /** A small bundle of the Kingston kind. */
-export function bundleOf(choice: BundleChoice): string {
+export function bundleText(choice: BundleTextOptions): string {
   const operators = Object.entries(OPERATORS).map(
     ([name, {publicKey}]) => `[operator.${name}]\npublic_key = ${publicKey}\n`,
   );
@@ -84,9 +84,9 @@
 export class SessionDaemon {
   readonly path: FaultyLog;
   readonly metrics = new MemoryMetrics();
-  readonly follower: LogFollower;
+  readonly follower: LogBackedSharedState;
   /** Versions under which it served, in order. */
-  readonly served: number[] = [];
+  readonly servedVersions: number[] = [];
 
   constructor(
     session: Session,
@@ -99,7 +99,7 @@
     this.path = new FaultyLog(log, clock);
     const peerDirectory = new PeerDirectory();
     peerDirectory.ownAddress = `${name}:7901`;
-    this.follower = new LogFollower({
+    this.follower = new LogBackedSharedState({
       identity: {name, dataCentre, incarnation},
       clock,
       random: new SeededRandom(session.nextSeed()),
@@ -121,7 +121,7 @@
         ...settings,
       }),
     });
-    this.follower.onChange(() => this.noteServed());
+    this.follower.onChange(() => this.recordServedVersion());
   }
 
   /** The version served under; undefined for none. */
@@ -129,10 +129,10 @@
     return this.follower.state.inForce?.bundle.version;
   }
 
-  private noteServed(): void {
+  private recordServedVersion(): void {
     const {version} = this;
-    if (version !== undefined && version !== this.served.at(-1))
-      this.served.push(version);
+    if (version !== undefined && version !== this.servedVersions.at(-1))
+      this.servedVersions.push(version);
   }
 }
 
@@ -158,16 +158,16 @@
   }
 
   /** All lines so far. */
-  get text(): string {
+  get transcript(): string {
     return `${this.lines.join('\n')}\n`;
   }
 
   /** Adds a line of the teller's own. */
-  tell(line: string): void {
+  addHeading(line: string): void {
     this.lines.push(`\n# ${line}`);
   }
 
-  note(who: string, what: string): void {
+  addLine(who: string, what: string): void {
     const seconds = (this.clock.monotonicMilliseconds() / 1000).toFixed(2);
     this.lines.push(`${seconds.padStart(9)}s ${who.padEnd(8)} ${what}`);
   }
@@ -198,7 +198,7 @@
     this.network.leave(daemon.incarnation);
     this.daemons.delete(name);
     const stopped = daemon.follower.stop();
-    await this.pass(STEP_MILLISECONDS);
+    await this.advance(STEP_MILLISECONDS);
     await stopped;
   }
 
@@ -207,13 +207,13 @@
   }
 
   /** Lets virtual time pass. */
-  async pass(
+  async advance(
     milliseconds: number,
     step: number = STEP_MILLISECONDS,
   ): Promise<void> {
     for (let passed = 0; passed < milliseconds; passed += step) {
       await this.clock.advanceAsync(step);
-      for (let turn = 0; turn < TURNS_OF_A_STEP; turn++)
+      for (let turn = 0; turn < TURNS_PER_STEP; turn++)
         await new Promise(resolve => setImmediate(resolve));
     }
   }
@@ -229,7 +229,7 @@
       .then(
         outcome => {
           const {rejection} = outcome;
-          this.note(
+          this.addLine(
             at,
             rejection
               ? `${what}: ${rejection.reason}: ${rejection.detail}`
@@ -238,20 +238,20 @@
           return outcome;
         },
         (error: unknown) => {
-          this.note(at, `${what}: ${toError(error).message}`);
+          this.addLine(at, `${what}: ${toError(error).message}`);
           return undefined;
         },
       );
   }
 
   /** Proposes a bundle at a daemon and signs it off as another operator. */
-  async rollOut(
+  async proposeAndSignOff(
     at: string,
-    choice: BundleChoice,
+    choice: BundleTextOptions,
     signer: OperatorName,
   ): Promise<void> {
-    const text = bundleOf(choice);
-    const digest = digestOf(text);
+    const text = bundleText(choice);
+    const digest = sha256Hex(text);
     const {version, author} = choice;
     const proposed = await this.publish(at, `${author} proposes ${version}`, {
       kind: RecordKind.BundleProposed,
@@ -276,9 +276,9 @@
   }
 
   /** Notes what each daemon serves under. */
-  show(): void {
+  addServedVersions(): void {
     for (const [name, daemon] of this.daemons)
-      this.note(name, `serves under ${daemon.version ?? 'nothing'}`);
+      this.addLine(name, `serves under ${daemon.version ?? 'nothing'}`);
   }
 }
 
@@ -306,6 +306,6 @@
     const shown = SHOWN_FIELDS.filter(field => fields[field] !== undefined).map(
       field => `${field}=${String(fields[field])}`,
     );
-    this.session.note(this.name, [LogEvent[event], ...shown].join(' '));
+    this.session.addLine(this.name, [LogEvent[event], ...shown].join(' '));
   }
 }
--- a/packages/plugin-shared-state/src/member-watch.ts
+++ b/packages/plugin-shared-state/src/gone-member-remover.ts
@@ -9,19 +9,19 @@
   type RandomSource,
 } from '@gentiandoor/kernel';
 import {RecordKind, type Member, type VmList} from '@gentiandoor/shared-state';
-import {dutyOrder} from './duty-order.js';
-import type {Publish} from './membership.js';
+import {rendezvousOrder} from './rendezvous-order.js';
+import type {PublishRecord} from './membership.js';
 import type {SharedStateOptions} from './shared-state-options.js';
-import type {StateKeeper} from './state-keeper.js';
+import type {StateReplica} from './state-replica.js';
 
-const LOOK_MILLISECONDS = 5000;
+const CHECK_INTERVAL_MILLISECONDS = 5000;
 /** Looks that the next in line waits for the one before it. */
-const LOOKS_OF_A_RANK = 2;
+const CHECKS_PER_RANK = 2;
 /** A list that was not read for so long says nothing about who is gone. */
-const STALE_LIST_MILLISECONDS = 30_000;
+const MAXIMUM_LIST_AGE_MILLISECONDS = 30_000;
 
 /** What the watch needs. */
-export interface MemberWatchDependencies {
+export interface GoneMemberRemoverDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
@@ -35,43 +35,44 @@
  * Only absence after presence counts: a platform that does not list entry VMs says nothing.
  * Rests on one assumption: a VM that the list has dropped can no longer reach a target.
  */
-export class MemberWatch {
+export class GoneMemberRemover {
   private readonly listed = new Set<string>();
   private readonly absentSince = new Map<string, number>();
 
   constructor(
-    private readonly dependencies: MemberWatchDependencies,
+    private readonly dependencies: GoneMemberRemoverDependencies,
     private readonly options: SharedStateOptions,
-    private readonly keeper: StateKeeper,
-    private readonly publish: Publish,
+    private readonly replica: StateReplica,
+    private readonly publish: PublishRecord,
   ) {}
 
   async run(stop: AbortSignal): Promise<void> {
     const {clock, random} = this.dependencies;
     while (!stop.aborted) {
-      await sleep(clock, jitter(random, LOOK_MILLISECONDS), stop);
-      for (const member of this.goneMembers()) await this.takeOut(member, stop);
+      await sleep(clock, jitter(random, CHECK_INTERVAL_MILLISECONDS), stop);
+      for (const member of this.goneMembers())
+        await this.removeMember(member, stop);
     }
   }
 
   /** Members that have been gone long enough for this daemon, by its place in line, to act. */
   private goneMembers(): Member[] {
     const {clock, identity, vmList} = this.dependencies;
-    if (vmList.ageMilliseconds() > STALE_LIST_MILLISECONDS) {
+    if (vmList.ageMilliseconds() > MAXIMUM_LIST_AGE_MILLISECONDS) {
       this.absentSince.clear();
       return [];
     }
     const now = clock.monotonicMilliseconds();
-    const members = [...this.keeper.live.members.values()];
-    for (const {name} of members) this.note(name, now);
+    const members = [...this.replica.live.members.values()];
+    for (const {name} of members) this.updateAbsence(name, now);
     const patience = (member: Member) => {
       const others = members.filter(({name}) => name !== member.name);
-      const order = dutyOrder(others, `left ${member.incarnation}`);
+      const order = rendezvousOrder(others, `left ${member.incarnation}`);
       const place = order.indexOf(identity.incarnation);
       if (place < 0) return Infinity;
       return (
         this.options.gone_milliseconds +
-        place * LOOKS_OF_A_RANK * LOOK_MILLISECONDS
+        place * CHECKS_PER_RANK * CHECK_INTERVAL_MILLISECONDS
       );
     };
     return members.filter(member => {
@@ -80,7 +81,7 @@
     });
   }
 
-  private note(name: string, now: number): void {
+  private updateAbsence(name: string, now: number): void {
     if (this.dependencies.vmList.current().has(name)) {
       this.listed.add(name);
       this.absentSince.delete(name);
@@ -89,7 +90,7 @@
     }
   }
 
-  private async takeOut(member: Member, stop: AbortSignal): Promise<void> {
+  private async removeMember(member: Member, stop: AbortSignal): Promise<void> {
     const {identity, logger} = this.dependencies;
     const {name, incarnation} = member;
     const record = {
--- a/packages/plugin-shared-state/src/hash-history.ts
+++ b/packages/plugin-shared-state/src/hash-history.ts
@@ -1,18 +1,18 @@
-const KEPT_OFFSETS = 4096;
+const MAXIMUM_OFFSETS = 4096;
 
 /** State hashes at recent offsets, to compare with peers that are ahead or behind. */
 export class HashHistory {
   private readonly hashes = new Map<number, string>();
 
   /** Notes the hash of the state whose next offset is `offset`. */
-  note(offset: number, hash: string): void {
+  add(offset: number, hash: string): void {
     this.hashes.set(offset, hash);
-    if (this.hashes.size <= KEPT_OFFSETS) return;
+    if (this.hashes.size <= MAXIMUM_OFFSETS) return;
     const [oldest] = this.hashes.keys();
     this.hashes.delete(oldest);
   }
 
-  at(offset: number): string | undefined {
+  hashAt(offset: number): string | undefined {
     return this.hashes.get(offset);
   }
 
--- a/packages/plugin-shared-state/src/index.ts
+++ b/packages/plugin-shared-state/src/index.ts
@@ -1,9 +1,9 @@
 import {asClass, asValue} from 'awilix';
 import type {PluginRegistry} from '@gentiandoor/kernel';
-import {LogFollower} from './log-follower.js';
+import {LogBackedSharedState} from './log-backed-shared-state.js';
 import {sharedStateOptions} from './shared-state-options.js';
 
-export {LogFollower} from './log-follower.js';
+export {LogBackedSharedState} from './log-backed-shared-state.js';
 export {
   sharedStateOptions,
   type SharedStateOptions,
@@ -14,11 +14,11 @@
   registry.add({
     name: 'shared-state',
     options: sharedStateOptions,
-    service: 'sharedState',
+    registrationName: 'sharedState',
     register(container, options) {
       container.register({
         sharedStateOptions: asValue(options),
-        sharedState: asClass(LogFollower).singleton(),
+        sharedState: asClass(LogBackedSharedState).singleton(),
       });
     },
   });
--- a/packages/plugin-shared-state/src/log-follower.ts
+++ b/packages/plugin-shared-state/src/log-backed-shared-state.ts
@@ -1,6 +1,6 @@
 import {
   AdminMethod,
-  LogFailure,
+  PlatformLogFailure,
   PlatformLogError,
   sleep,
   type AdminRoutes,
@@ -29,19 +29,19 @@
   type SharedState,
   type VmList,
 } from '@gentiandoor/shared-state';
-import {MemberWatch} from './member-watch.js';
+import {GoneMemberRemover} from './gone-member-remover.js';
 import {Membership} from './membership.js';
-import {PeerExchange} from './peer-exchange.js';
+import {PeerStateSync} from './peer-state-sync.js';
 import {ServingGate} from './serving-gate.js';
 import type {SharedStateOptions} from './shared-state-options.js';
-import {SnapshotDuty} from './snapshot-duty.js';
+import {SnapshotWriter} from './snapshot-writer.js';
 import {SnapshotLoader} from './snapshot-loader.js';
-import {RecordSource, StateKeeper} from './state-keeper.js';
+import {RecordSource, StateReplica} from './state-replica.js';
 
-const OUTGROWN_MILLISECONDS = 10_000;
+const UNSUPPORTED_FORMAT_PAUSE_MILLISECONDS = 10_000;
 
 /** What the follower needs. */
-export interface LogFollowerDependencies {
+export interface LogBackedSharedStateDependencies {
   readonly identity: DaemonIdentity;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -56,35 +56,35 @@
 }
 
 /** Follows the fleet stream, keeps the folded state, publishes records. */
-export class LogFollower implements SharedState, Plugin, RecordSink {
+export class LogBackedSharedState implements SharedState, Plugin, RecordSink {
   /** The end of the fleet stream as the log last said. */
   end: number | undefined;
   /** The oldest offset that the log keeps, as it last said. */
   oldest = 0;
-  private readonly keeper: StateKeeper;
+  private readonly replica: StateReplica;
   private readonly reader: LogReader;
   private readonly appender: LogAppender;
   private readonly snapshotAppender: LogAppender;
   private readonly publisher: RecordPublisher<FoldOutcome>;
-  private readonly loader: SnapshotLoader;
-  private readonly exchange: PeerExchange;
+  private readonly snapshotLoader: SnapshotLoader;
+  private readonly peerStateSync: PeerStateSync;
   private readonly membership: Membership;
-  private readonly watch: MemberWatch;
-  private readonly gate: ServingGate;
-  private readonly duty: SnapshotDuty;
+  private readonly goneMemberRemover: GoneMemberRemover;
+  private readonly servingGate: ServingGate;
+  private readonly snapshotWriter: SnapshotWriter;
   private readonly stopping = new AbortController();
   private tasks: Array<Promise<void>> = [];
   /** The empty state for which a snapshot has been looked for. */
-  private lookedFor: FleetState | undefined;
+  private snapshotSearchedFor: FleetState | undefined;
 
-  constructor(private readonly dependencies: LogFollowerDependencies) {
+  constructor(private readonly dependencies: LogBackedSharedStateDependencies) {
     const {
       clock,
       platformLog,
       logger,
       sharedStateOptions: options,
     } = dependencies;
-    this.keeper = new StateKeeper(options.trusted_operators, dependencies);
+    this.replica = new StateReplica(options.trusted_operators, dependencies);
     this.reader = new LogReader(StreamName.Fleet, dependencies, this, {
       limit: options.read_limit,
       waitMilliseconds: options.read_wait_milliseconds,
@@ -105,46 +105,51 @@
       this.appender,
       () => this.reader.isReachable,
     );
-    this.keeper.onOutcome = outcome => this.settle(outcome);
-    this.loader = new SnapshotLoader(platformLog, logger, this.keeper);
-    this.exchange = new PeerExchange(
+    this.replica.onOutcome = outcome => this.resolveOutcome(outcome);
+    this.snapshotLoader = new SnapshotLoader(platformLog, logger, this.replica);
+    this.peerStateSync = new PeerStateSync(
       dependencies,
       options,
-      this.keeper,
+      this.replica,
       this.reader,
     );
     const publish = (record: FleetRecord, signal?: AbortSignal) =>
       this.publish(record, signal);
     this.membership = new Membership(
       dependencies,
-      this.keeper,
+      this.replica,
       publish,
-      () => this.gate.isCaughtUp,
+      () => this.servingGate.isCaughtUp,
     );
-    this.watch = new MemberWatch(dependencies, options, this.keeper, publish);
-    this.gate = new ServingGate(
+    this.goneMemberRemover = new GoneMemberRemover(
       dependencies,
       options,
-      this.keeper,
-      this.exchange,
+      this.replica,
+      publish,
+    );
+    this.servingGate = new ServingGate(
+      dependencies,
+      options,
+      this.replica,
+      this.peerStateSync,
       this,
     );
-    this.duty = new SnapshotDuty(
+    this.snapshotWriter = new SnapshotWriter(
       dependencies,
       options,
-      this.keeper,
+      this.replica,
       this,
       this.snapshotAppender,
       publish,
     );
     dependencies.adminRoutes.add(AdminMethod.Get, '/roll-out', async () => ({
       status: 200,
-      body: this.rollOut(),
+      body: this.rollOutStatus(),
     }));
   }
 
   get state(): FleetState {
-    return this.keeper.visible;
+    return this.replica.servedState;
   }
 
   get isLogReachable(): boolean {
@@ -157,18 +162,18 @@
   }
 
   onChange(listener: () => void): void {
-    this.keeper.onChange(listener);
+    this.replica.onChange(listener);
   }
 
   async start(): Promise<void> {
     const {signal} = this.stopping;
     this.tasks = [
       this.reader.run(signal),
-      this.exchange.run(signal),
-      this.gate.run(signal),
+      this.peerStateSync.run(signal),
+      this.servingGate.run(signal),
       this.membership.run(signal),
-      this.watch.run(signal),
-      this.duty.run(signal),
+      this.goneMemberRemover.run(signal),
+      this.snapshotWriter.run(signal),
     ];
   }
 
@@ -184,10 +189,10 @@
   }
 
   publish(record: FleetRecord, signal?: AbortSignal): Promise<FoldOutcome> {
-    if (this.keeper.isOutgrown)
+    if (this.replica.isFormatUnsupported)
       return Promise.reject(
         new PlatformLogError(
-          LogFailure.Refused,
+          PlatformLogFailure.Refused,
           'this version is older than the records in use; start a newer one',
         ),
       );
@@ -195,54 +200,58 @@
   }
 
   nextOffset(): number {
-    return this.keeper.verifiedOffset;
+    return this.replica.verifiedOffset;
   }
 
-  async take(batch: LogBatch): Promise<void> {
+  async applyBatch(batch: LogBatch): Promise<void> {
     this.end = batch.end;
     this.oldest = batch.oldest;
-    const {live, isOutgrown} = this.keeper;
+    const {live, isFormatUnsupported: isOutgrown} = this.replica;
     if (isOutgrown) {
       // The state stands still: without a pause the same records would be read without end.
       const {clock} = this.dependencies;
-      await sleep(clock, OUTGROWN_MILLISECONDS, this.stopping.signal);
+      await sleep(
+        clock,
+        UNSUPPORTED_FORMAT_PAUSE_MILLISECONDS,
+        this.stopping.signal,
+      );
       return;
     }
     // A daemon that starts behind many records goes by the newest snapshot, if there is one.
-    if (live.nextOffset === 0 && this.lookedFor !== live) {
-      if (await this.loader.load(0, this.stopping.signal)) return;
-      this.lookedFor = live;
+    if (live.nextOffset === 0 && this.snapshotSearchedFor !== live) {
+      if (await this.snapshotLoader.load(0, this.stopping.signal)) return;
+      this.snapshotSearchedFor = live;
     }
-    await this.keeper.apply(batch.from, batch.payloads, RecordSource.Log);
+    await this.replica.apply(batch.from, batch.payloads, RecordSource.Log);
   }
 
-  async crossGap(oldest: number): Promise<void> {
+  async recoverFromGap(oldest: number): Promise<void> {
     this.oldest = oldest;
-    if (this.keeper.live.nextOffset >= oldest) {
+    if (this.replica.live.nextOffset >= oldest) {
       // Peers brought the state past the gap; what they passed on can no longer be held against the log.
-      this.keeper.verifiedOffset = this.keeper.live.nextOffset;
+      this.replica.verifiedOffset = this.replica.live.nextOffset;
       return;
     }
-    if (await this.loader.load(oldest, this.stopping.signal)) return;
+    if (await this.snapshotLoader.load(oldest, this.stopping.signal)) return;
     throw new Error(
       `records before ${oldest} are gone and no snapshot from there on verifies`,
     );
   }
 
-  private settle(outcome: FoldOutcome): void {
+  private resolveOutcome(outcome: FoldOutcome): void {
     const {record} = outcome;
-    if ('id' in record) this.publisher.settle(record.id, outcome);
+    if ('id' in record) this.publisher.resolveOutcome(record.id, outcome);
   }
 
-  private rollOut() {
+  private rollOutStatus() {
     const {identity, clock} = this.dependencies;
     return {
       daemon: identity,
-      ...this.exchange.summary(),
+      ...this.peerStateSync.summary(),
       inForceForMilliseconds:
-        clock.monotonicMilliseconds() - this.keeper.inForceSince,
-      peers: this.exchange
-        .states()
+        clock.monotonicMilliseconds() - this.replica.inForceSince,
+      peers: this.peerStateSync
+        .peerStates()
         .map(({peer, summary, tookMilliseconds}) => ({
           ...peer,
           ...summary,
--- a/packages/plugin-shared-state/src/membership.ts
+++ b/packages/plugin-shared-state/src/membership.ts
@@ -9,19 +9,19 @@
   type RandomSource,
 } from '@gentiandoor/kernel';
 import {
-  RECORD_FORMAT,
+  MAXIMUM_RECORD_FORMAT,
   RecordKind,
   RejectionReason,
   type FleetRecord,
   type FoldOutcome,
   type PeerDirectory,
 } from '@gentiandoor/shared-state';
-import type {StateKeeper} from './state-keeper.js';
+import type {StateReplica} from './state-replica.js';
 
 const BACKOFF_BASE_MILLISECONDS = 500;
 const BACKOFF_MAXIMUM_MILLISECONDS = 10_000;
-const LOOK_MILLISECONDS = 50;
-const LEAVE_MILLISECONDS = 1000;
+const CHECK_INTERVAL_MILLISECONDS = 50;
+const LEAVE_TIMEOUT_MILLISECONDS = 1000;
 
 /** What membership needs. */
 export interface MembershipDependencies {
@@ -33,34 +33,34 @@
 }
 
 /** Publishes a record and tells its fate. */
-export type Publish = (
+export type PublishRecord = (
   record: FleetRecord,
   signal?: AbortSignal,
 ) => Promise<FoldOutcome>;
 
 /** Joins this incarnation through the log, keeps it a member, and leaves on a graceful stop. */
 export class Membership {
-  private isReplaced = false;
+  private mustNotJoin = false;
   private hasJoined = false;
-  private listedHash = 0n;
+  private listedMembersHash = 0n;
 
   constructor(
     private readonly dependencies: MembershipDependencies,
-    private readonly keeper: StateKeeper,
-    private readonly publish: Publish,
+    private readonly replica: StateReplica,
+    private readonly publish: PublishRecord,
     /** Whether the state is far enough; a join before that would be waited for in vain. */
     private readonly mayJoin: () => boolean,
   ) {
-    keeper.onChange(() => this.listPeers());
+    replica.onChange(() => this.updatePeerDirectory());
   }
 
   /** Joins once the state has caught up, and again when it was taken out while it still runs. */
   async run(stop: AbortSignal): Promise<void> {
     const {clock, random} = this.dependencies;
     let attempt = 0;
-    while (!stop.aborted && !this.isReplaced) {
+    while (!stop.aborted && !this.mustNotJoin) {
       if (!this.mayJoin() || this.isMember()) {
-        await sleep(clock, LOOK_MILLISECONDS, stop);
+        await sleep(clock, CHECK_INTERVAL_MILLISECONDS, stop);
         continue;
       }
       const isJoined = await this.join(stop);
@@ -80,25 +80,29 @@
     if (!this.isMember()) return;
     const {clock, identity} = this.dependencies;
     const late = new AbortController();
-    const timer = clock.schedule(LEAVE_MILLISECONDS, () => late.abort());
+    const timer = clock.schedule(LEAVE_TIMEOUT_MILLISECONDS, () =>
+      late.abort(),
+    );
     const record: FleetRecord = {
       kind: RecordKind.MemberLeft,
       id: randomUUID(),
       writer: identity.incarnation,
       incarnation: identity.incarnation,
     };
-    this.isReplaced = true;
+    this.mustNotJoin = true;
     await this.publish(record, late.signal).catch(() => undefined);
     timer.cancel();
   }
 
   private isMember(): boolean {
-    return this.keeper.live.members.has(this.dependencies.identity.incarnation);
+    return this.replica.live.members.has(
+      this.dependencies.identity.incarnation,
+    );
   }
 
   private async join(stop: AbortSignal): Promise<boolean> {
     const {identity, logger, peerDirectory} = this.dependencies;
-    if (this.hasJoined && this.findSuccessor()) return false;
+    if (this.hasJoined && this.detectReplacement()) return false;
     const record: FleetRecord = {
       kind: RecordKind.MemberJoined,
       id: randomUUID(),
@@ -107,7 +111,7 @@
       incarnation: identity.incarnation,
       dataCentre: identity.dataCentre,
       peerAddress: peerDirectory.ownAddress ?? '',
-      readsFormat: RECORD_FORMAT,
+      readsFormat: MAXIMUM_RECORD_FORMAT,
     };
     try {
       const {rejection} = await this.publish(record, stop);
@@ -121,13 +125,13 @@
   }
 
   /** A newer incarnation of the same name is the member now; this one must not push it out again. */
-  private findSuccessor(): boolean {
+  private detectReplacement(): boolean {
     const {identity, logger} = this.dependencies;
-    const successor = [...this.keeper.live.members.values()].find(
+    const successor = [...this.replica.live.members.values()].find(
       member => member.name === identity.name,
     );
     if (!successor) return false;
-    this.isReplaced = true;
+    this.mustNotJoin = true;
     logger.error(LogEvent.MemberReplaced, {
       name: identity.name,
       incarnation: identity.incarnation,
@@ -136,12 +140,12 @@
     return true;
   }
 
-  private listPeers(): void {
+  private updatePeerDirectory(): void {
     const {identity, peerDirectory} = this.dependencies;
-    const {hash} = this.keeper.live.members;
-    if (hash === this.listedHash) return;
-    this.listedHash = hash;
-    const entries = [...this.keeper.live.members.values()]
+    const {hash} = this.replica.live.members;
+    if (hash === this.listedMembersHash) return;
+    this.listedMembersHash = hash;
+    const entries = [...this.replica.live.members.values()]
       .filter(member => member.name !== identity.name)
       .filter(member => member.peerAddress !== '')
       .map(({name, incarnation, dataCentre, peerAddress}) => ({
--- a/packages/plugin-shared-state/src/peer-records.ts
+++ b/packages/plugin-shared-state/src/peer-records.ts
@@ -6,17 +6,21 @@
   type Peer,
   type PeerLinks,
 } from '@gentiandoor/shared-state';
-import {RecordSource, restOfLoop, type StateKeeper} from './state-keeper.js';
+import {
+  RecordSource,
+  yieldToEventLoop,
+  type StateReplica,
+} from './state-replica.js';
 import {
   recordsAnswerSchema,
   recordsRequestSchema,
   type RecordsAnswer,
 } from './state-summary.js';
 
-const ANSWER_BYTES = 2_000_000;
-const REQUEST_MILLISECONDS = 5000;
+const MAXIMUM_RESPONSE_BYTES = 2_000_000;
+const REQUEST_TIMEOUT_MILLISECONDS = 5000;
 /** A peer's snapshot is made at most so often, however many ask for it. */
-const SNAPSHOT_KEPT_MILLISECONDS = 10_000;
+const SNAPSHOT_CACHE_MILLISECONDS = 10_000;
 
 /** What passing records on needs. */
 export interface PeerRecordsDependencies {
@@ -26,34 +30,35 @@
 
 /** Gives records and whole states to peers, and takes them from peers. */
 export class PeerRecords {
-  private snapshot: {at: number; bytes: Promise<Uint8Array>} | undefined;
+  private cachedSnapshot: {at: number; bytes: Promise<Uint8Array>} | undefined;
 
   constructor(
     private readonly dependencies: PeerRecordsDependencies,
-    private readonly keeper: StateKeeper,
+    private readonly replica: StateReplica,
   ) {
-    dependencies.peerLinks.handle(PeerTopic.Records, async (_from, message) =>
-      this.answer(message),
+    dependencies.peerLinks.setHandler(
+      PeerTopic.Records,
+      async (_from, message) => this.respond(message),
     );
   }
 
   /** Takes from a peer what follows this daemon's state, or the peer's whole state. */
   async pullFrom(peer: Peer): Promise<void> {
-    const from = this.keeper.live.nextOffset;
-    const answer = await this.ask(peer, from, false);
+    const from = this.replica.live.nextOffset;
+    const answer = await this.requestRecords(peer, from, false);
     if (answer.payloads) {
-      await this.keeper.apply(answer.from, answer.payloads, RecordSource.Peer);
+      await this.replica.apply(answer.from, answer.payloads, RecordSource.Peer);
       return;
     }
-    const {snapshot} = await this.ask(peer, from, true);
+    const {snapshot} = await this.requestRecords(peer, from, true);
     if (!snapshot) return;
-    const {trusted} = this.keeper.live;
-    await this.keeper.restore(
-      await decodeSnapshot(snapshot, trusted, restOfLoop),
+    const {trustedOperators: trusted} = this.replica.live;
+    await this.replica.restore(
+      await decodeSnapshot(snapshot, trusted, yieldToEventLoop),
     );
   }
 
-  private async ask(
+  private async requestRecords(
     peer: Peer,
     from: number,
     snapshot: boolean,
@@ -62,23 +67,32 @@
       peer.incarnation,
       PeerTopic.Records,
       {from, snapshot},
-      REQUEST_MILLISECONDS,
+      REQUEST_TIMEOUT_MILLISECONDS,
     );
     return recordsAnswerSchema.parse(answer);
   }
 
-  private async answer(message: unknown): Promise<RecordsAnswer> {
+  private async respond(message: unknown): Promise<RecordsAnswer> {
     const {from, snapshot} = recordsRequestSchema.parse(message);
-    if (snapshot) return {from, snapshot: await this.ownSnapshot()};
-    return {from, payloads: this.keeper.recent.from(from, ANSWER_BYTES)};
+    if (snapshot) return {from, snapshot: await this.currentSnapshot()};
+    return {
+      from,
+      payloads: this.replica.recentRecords.readFrom(
+        from,
+        MAXIMUM_RESPONSE_BYTES,
+      ),
+    };
   }
 
-  private ownSnapshot(): Promise<Uint8Array> {
+  private currentSnapshot(): Promise<Uint8Array> {
     const now = this.dependencies.clock.monotonicMilliseconds();
-    if (!this.snapshot || now - this.snapshot.at > SNAPSHOT_KEPT_MILLISECONDS) {
-      const bytes = encodeSnapshot(this.keeper.live, restOfLoop);
-      this.snapshot = {at: now, bytes};
+    if (
+      !this.cachedSnapshot ||
+      now - this.cachedSnapshot.at > SNAPSHOT_CACHE_MILLISECONDS
+    ) {
+      const bytes = encodeSnapshot(this.replica.live, yieldToEventLoop);
+      this.cachedSnapshot = {at: now, bytes};
     }
-    return this.snapshot.bytes;
+    return this.cachedSnapshot.bytes;
   }
 }
--- a/packages/plugin-shared-state/src/recent-records.ts
+++ b/packages/plugin-shared-state/src/recent-records.ts
@@ -1,28 +1,28 @@
 /** Records kept for peers that cannot reach the log. */
-const KEPT_BYTES = 8_000_000;
-const KEPT_RECORDS = 10_000;
+const MAXIMUM_BYTES = 8_000_000;
+const MAXIMUM_RECORDS = 10_000;
 
 /** The last records applied, by offset; bounded in number and bytes. */
 export class RecentRecords {
-  private first = 0;
+  private firstOffset = 0;
   private payloads: Uint8Array[] = [];
   private bytes = 0;
 
   /** Adds the record at `offset`; one that does not follow on starts afresh. */
   add(offset: number, payload: Uint8Array): void {
-    if (offset !== this.first + this.payloads.length) this.reset(offset);
+    if (offset !== this.firstOffset + this.payloads.length) this.reset(offset);
     this.payloads.push(payload);
     this.bytes += payload.length;
     while (
       this.payloads.length > 1 &&
-      (this.bytes > KEPT_BYTES || this.payloads.length > KEPT_RECORDS)
+      (this.bytes > MAXIMUM_BYTES || this.payloads.length > MAXIMUM_RECORDS)
     )
       this.dropOldest();
   }
 
   /** Records from `offset` on, up to `limitBytes`; undefined when they are no longer kept. */
-  from(offset: number, limitBytes: number): Uint8Array[] | undefined {
-    const start = offset - this.first;
+  readFrom(offset: number, limitBytes: number): Uint8Array[] | undefined {
+    const start = offset - this.firstOffset;
     if (start < 0 || start > this.payloads.length) return undefined;
     const found: Uint8Array[] = [];
     let bytes = 0;
@@ -35,7 +35,7 @@
   }
 
   reset(offset: number): void {
-    this.first = offset;
+    this.firstOffset = offset;
     this.payloads = [];
     this.bytes = 0;
   }
@@ -43,6 +43,6 @@
   private dropOldest(): void {
     const payload = this.payloads.shift();
     this.bytes -= payload?.length ?? 0;
-    this.first++;
+    this.firstOffset++;
   }
 }
--- a/packages/plugin-shared-state/src/duty-order.ts
+++ b/packages/plugin-shared-state/src/rendezvous-order.ts
@@ -4,7 +4,7 @@
  * Members in the order in which they are to do a duty: the same at all daemons, another one
  * for each `duty`, so that one daemon does it and not seven, and not always the same.
  */
-export function dutyOrder(
+export function rendezvousOrder(
   members: Iterable<{readonly incarnation: string}>,
   duty: string,
 ): string[] {
--- a/packages/plugin-shared-state/src/serving-gate.ts
+++ b/packages/plugin-shared-state/src/serving-gate.ts
@@ -1,12 +1,12 @@
 import {sleep, type Clock, type DaemonIdentity} from '@gentiandoor/kernel';
 import type {PeerDirectory} from '@gentiandoor/shared-state';
-import type {PeerExchange} from './peer-exchange.js';
+import type {PeerStateSync} from './peer-state-sync.js';
 import type {SharedStateOptions} from './shared-state-options.js';
-import type {StateKeeper} from './state-keeper.js';
+import type {StateReplica} from './state-replica.js';
 
-const LOOK_MILLISECONDS = 50;
+const CHECK_INTERVAL_MILLISECONDS = 50;
 /** Peers that a starting daemon waits to hear of, of those it knows. */
-const ENOUGH_PEERS = 3;
+const SUFFICIENT_PEERS = 3;
 
 /** What the gate needs. */
 export interface ServingGateDependencies {
@@ -34,9 +34,9 @@
   constructor(
     private readonly dependencies: ServingGateDependencies,
     private readonly options: SharedStateOptions,
-    private readonly keeper: StateKeeper,
-    private readonly exchange: PeerExchange,
-    private readonly progress: LogProgress,
+    private readonly replica: StateReplica,
+    private readonly peerStateSync: PeerStateSync,
+    private readonly logProgress: LogProgress,
   ) {}
 
   /** Opens whenever the state has caught up and the join was read back; runs on, for the state may be given up later. */
@@ -45,12 +45,12 @@
     const startedAt = clock.monotonicMilliseconds();
     while (!stop.aborted) {
       const waited = clock.monotonicMilliseconds() - startedAt;
-      this.isCaughtUp = this.keeper.isServing || this.mayServe(waited);
-      if (!this.keeper.isServing && this.isCaughtUp && this.isAwaited())
-        this.keeper.serve();
-      const pause = this.keeper.isServing
+      this.isCaughtUp = this.replica.isServing || this.mayServe(waited);
+      if (!this.replica.isServing && this.isCaughtUp && this.isJoinSettled())
+        this.replica.startServing();
+      const pause = this.replica.isServing
         ? this.options.summary_milliseconds
-        : LOOK_MILLISECONDS;
+        : CHECK_INTERVAL_MILLISECONDS;
       await sleep(clock, pause, stop);
     }
   }
@@ -61,24 +61,24 @@
    * cannot be reached it serves with the state of a peer, which is a member and holds up what
    * this one would have to.
    */
-  private isAwaited(): boolean {
+  private isJoinSettled(): boolean {
     const {identity} = this.dependencies;
-    if (!this.progress.isReachable) return true;
-    return this.keeper.live.members.has(identity.incarnation);
+    if (!this.logProgress.isReachable) return true;
+    return this.replica.live.members.has(identity.incarnation);
   }
 
   /** `waitedMilliseconds` since the start. */
   mayServe(waitedMilliseconds: number): boolean {
     if (this.isBehindPeers()) return false;
     const isGathered =
-      this.hasHeardEnough() ||
+      this.hasHeardSufficientPeers() ||
       waitedMilliseconds >= this.options.gather_milliseconds;
     if (!isGathered) return false;
-    const {end, isReachable} = this.progress;
-    const {nextOffset, inForce} = this.keeper.live;
+    const {end, isReachable} = this.logProgress;
+    const {nextOffset, inForce} = this.replica.live;
     if (isReachable) return end !== undefined && nextOffset >= end;
-    const serving = this.exchange
-      .states()
+    const serving = this.peerStateSync
+      .peerStates()
       .filter(state => state.summary.isServing);
     return (
       inForce !== undefined &&
@@ -88,18 +88,21 @@
   }
 
   private isBehindPeers(): boolean {
-    const version = this.keeper.live.inForce?.bundle.version ?? 0;
-    return this.exchange
-      .states()
+    const version = this.replica.live.inForce?.bundle.version ?? 0;
+    return this.peerStateSync
+      .peerStates()
       .some(state => state.summary.version > version);
   }
 
-  private hasHeardEnough(): boolean {
+  private hasHeardSufficientPeers(): boolean {
     const {peerDirectory} = this.dependencies;
     // Without peer links of its own nobody will be heard.
     if (peerDirectory.ownAddress === undefined) return true;
     const known = peerDirectory.entries().length;
     if (known === 0) return false;
-    return this.exchange.states().length >= Math.min(known, ENOUGH_PEERS);
+    return (
+      this.peerStateSync.peerStates().length >=
+      Math.min(known, SUFFICIENT_PEERS)
+    );
   }
 }
--- a/packages/plugin-shared-state/src/shared-state-options.ts
+++ b/packages/plugin-shared-state/src/shared-state-options.ts
@@ -1,7 +1,7 @@
 import {z} from 'zod';
 import {integerSetting} from '@gentiandoor/kernel';
 
-const HOUR = 3_600_000;
+const HOUR_MILLISECONDS = 3_600_000;
 
 /** Settings section [shared-state]. */
 export const sharedStateOptions = z.strictObject({
@@ -37,7 +37,7 @@
     .describe(
       'A daemon that starts waits so long for the peers it knows of before it serves.',
     ),
-  gone_milliseconds: integerSetting(1000, HOUR)
+  gone_milliseconds: integerSetting(1000, HOUR_MILLISECONDS)
     .default(60_000)
     .describe(
       "A member that the platform's list has dropped is taken out after so long.",
@@ -45,12 +45,12 @@
   snapshot_records: integerSetting(10, 10_000_000)
     .default(5000)
     .describe('Records after which a snapshot is due.'),
-  snapshot_milliseconds: integerSetting(1000, 30 * 24 * HOUR)
-    .default(6 * HOUR)
+  snapshot_milliseconds: integerSetting(1000, 30 * 24 * HOUR_MILLISECONDS)
+    .default(6 * HOUR_MILLISECONDS)
     .describe(
       'Time after which a snapshot is due: well below the time for which the log keeps records.',
     ),
-  snapshot_check_milliseconds: integerSetting(100, HOUR)
+  snapshot_check_milliseconds: integerSetting(100, HOUR_MILLISECONDS)
     .default(10_000)
     .describe('Time between looks whether a snapshot is due.'),
 });
--- a/packages/plugin-shared-state/src/snapshot-loader.ts
+++ b/packages/plugin-shared-state/src/snapshot-loader.ts
@@ -7,18 +7,18 @@
   type FleetState,
   type LogBatch,
   type PlatformLog,
-  type WholeSnapshot,
+  type AssembledSnapshot,
 } from '@gentiandoor/shared-state';
-import {restOfLoop, type StateKeeper} from './state-keeper.js';
+import {yieldToEventLoop, type StateReplica} from './state-replica.js';
 
-const READ_LIMIT = 100;
+const MAXIMUM_RECORDS_PER_READ = 100;
 
 /** Finds the newest snapshot in the log that verifies. */
 export class SnapshotLoader {
   constructor(
     private readonly platformLog: PlatformLog,
     private readonly logger: Logger,
-    private readonly keeper: StateKeeper,
+    private readonly replica: StateReplica,
   ) {}
 
   /**
@@ -29,48 +29,54 @@
     const found = await this.readAll(stop);
     const newestFirst = found
       .filter(snapshot => snapshot.offset >= oldest)
-      .filter(snapshot => snapshot.offset > this.keeper.live.nextOffset)
+      .filter(snapshot => snapshot.offset > this.replica.live.nextOffset)
       .sort((left, right) => right.offset - left.offset);
     for (const snapshot of newestFirst) {
-      const state = await this.verified(snapshot);
-      if (state && (await this.keeper.restore(state))) return true;
+      const state = await this.decodeVerified(snapshot);
+      if (state && (await this.replica.restore(state))) return true;
     }
     return false;
   }
 
-  private async verified(
-    snapshot: WholeSnapshot,
+  private async decodeVerified(
+    snapshot: AssembledSnapshot,
   ): Promise<FleetState | undefined> {
-    const {trusted} = this.keeper.live;
+    const {trustedOperators: trusted} = this.replica.live;
     try {
-      const state = await decodeSnapshot(snapshot.bytes, trusted, restOfLoop);
+      const state = await decodeSnapshot(
+        snapshot.bytes,
+        trusted,
+        yieldToEventLoop,
+      );
       if (state.nextOffset === snapshot.offset) return state;
-      this.skip(`snapshot says offset ${snapshot.offset}, holds another`);
+      this.logSkipped(`snapshot says offset ${snapshot.offset}, holds another`);
     } catch (error) {
-      this.skip(`snapshot at offset ${snapshot.offset}: ${String(error)}`);
+      this.logSkipped(
+        `snapshot at offset ${snapshot.offset}: ${String(error)}`,
+      );
     }
     return undefined;
   }
 
-  private async readAll(stop: AbortSignal): Promise<WholeSnapshot[]> {
-    const assembler = new SnapshotAssembler(detail => this.skip(detail));
-    const found: WholeSnapshot[] = [];
+  private async readAll(stop: AbortSignal): Promise<AssembledSnapshot[]> {
+    const assembler = new SnapshotAssembler(detail => this.logSkipped(detail));
+    const found: AssembledSnapshot[] = [];
     let next = 0;
     for (;;) {
       const batch = await this.read(next, stop);
       for (const payload of batch.payloads) {
-        const whole = assembler.take(payload);
+        const whole = assembler.addChunk(payload);
         if (whole) found.push(whole);
       }
       next = batch.from + batch.payloads.length;
       if (batch.payloads.length === 0 || next >= batch.end) break;
     }
-    assembler.finish();
+    assembler.reportIncomplete();
     return found;
   }
 
   private async read(from: number, stop: AbortSignal): Promise<LogBatch> {
-    const options = {limit: READ_LIMIT, waitMilliseconds: 0};
+    const options = {limit: MAXIMUM_RECORDS_PER_READ, waitMilliseconds: 0};
     try {
       return await this.platformLog.read(
         StreamName.Snapshots,
@@ -84,7 +90,7 @@
     }
   }
 
-  private skip(detail: string): void {
+  private logSkipped(detail: string): void {
     this.logger.warn(LogEvent.SnapshotSkipped, {detail});
   }
 }
--- a/packages/plugin-shared-state/src/snapshot-duty.ts
+++ b/packages/plugin-shared-state/src/snapshot-writer.ts
@@ -10,26 +10,26 @@
   type RandomSource,
 } from '@gentiandoor/kernel';
 import {
-  NEWEST_SNAPSHOT,
-  RECORD_FORMAT,
+  NEWEST_SNAPSHOT_KEY,
+  MAXIMUM_RECORD_FORMAT,
   RecordKind,
-  cutSnapshot,
+  splitSnapshot,
   encodeSnapshot,
   snapshotDigest,
   type FleetState,
   type LogAppender,
-  type TakenSnapshot,
+  type SnapshotReference,
 } from '@gentiandoor/shared-state';
-import {dutyOrder} from './duty-order.js';
-import type {Publish} from './membership.js';
+import {rendezvousOrder} from './rendezvous-order.js';
+import type {PublishRecord} from './membership.js';
 import type {SharedStateOptions} from './shared-state-options.js';
-import {restOfLoop, type StateKeeper} from './state-keeper.js';
+import {yieldToEventLoop, type StateReplica} from './state-replica.js';
 
 /** Looks that the next in line waits for the one before it. */
-const LOOKS_OF_A_RANK = 3;
+const CHECKS_PER_RANK = 3;
 
 /** What snapshot duty needs. */
-export interface SnapshotDutyDependencies {
+export interface SnapshotWriterDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
@@ -37,7 +37,7 @@
 }
 
 /** What the log keeps of the fleet stream, as it last said. */
-export interface KeptRecords {
+export interface RetainedRange {
   readonly oldest: number;
   readonly end: number | undefined;
 }
@@ -49,12 +49,12 @@
  */
 export function isSnapshotDue(
   state: FleetState,
-  kept: KeptRecords,
+  kept: RetainedRange,
   ages: {readonly sinceMilliseconds: number; readonly wallMilliseconds: number},
   options: SharedStateOptions,
 ): boolean {
   if (state.nextOffset === 0) return false;
-  const last = state.snapshots.get(NEWEST_SNAPSHOT);
+  const last = state.snapshots.get(NEWEST_SNAPSHOT_KEY);
   const lastOffset = last?.offset ?? 0;
   const records = state.nextOffset - lastOffset;
   if (records >= options.snapshot_records) return true;
@@ -66,20 +66,20 @@
 }
 
 /** Takes snapshots when it is this daemon's turn, and raises the record format once all read it. */
-export class SnapshotDuty {
-  private last: TakenSnapshot | undefined;
-  private lastSeenAt: number;
+export class SnapshotWriter {
+  private lastSnapshot: SnapshotReference | undefined;
+  private lastSnapshotSeenAt: number;
 
   constructor(
-    private readonly dependencies: SnapshotDutyDependencies,
+    private readonly dependencies: SnapshotWriterDependencies,
     private readonly options: SharedStateOptions,
-    private readonly keeper: StateKeeper,
-    private readonly kept: KeptRecords,
+    private readonly replica: StateReplica,
+    private readonly retainedRange: RetainedRange,
     private readonly appender: LogAppender,
-    private readonly publish: Publish,
+    private readonly publish: PublishRecord,
   ) {
-    this.lastSeenAt = dependencies.clock.monotonicMilliseconds();
-    keeper.onChange(() => this.noteLast());
+    this.lastSnapshotSeenAt = dependencies.clock.monotonicMilliseconds();
+    replica.onChange(() => this.updateLastSnapshot());
   }
 
   async run(stop: AbortSignal): Promise<void> {
@@ -91,37 +91,41 @@
       looksDue = this.isDue() ? looksDue + 1 : 0;
       const rank = this.rank();
       if (rank === 0) await this.raiseFormat(stop);
-      if (looksDue > rank * LOOKS_OF_A_RANK) await this.take(stop);
+      if (looksDue > rank * CHECKS_PER_RANK) await this.writeSnapshot(stop);
     }
   }
 
   private isDue(): boolean {
     const {clock} = this.dependencies;
-    const {live, isServing} = this.keeper;
+    const {live, isServing} = this.replica;
     if (!isServing) return false;
     const ages = {
-      sinceMilliseconds: clock.monotonicMilliseconds() - this.lastSeenAt,
-      wallMilliseconds: clock.wallMilliseconds() - (this.last?.at ?? 0),
+      sinceMilliseconds:
+        clock.monotonicMilliseconds() - this.lastSnapshotSeenAt,
+      wallMilliseconds: clock.wallMilliseconds() - (this.lastSnapshot?.at ?? 0),
     };
-    return isSnapshotDue(live, this.kept, ages, this.options);
+    return isSnapshotDue(live, this.retainedRange, ages, this.options);
   }
 
   /** This daemon's place in the line; Infinity for one that is no member. */
   private rank(): number {
-    const {live} = this.keeper;
-    const duty = `snapshot after ${this.last?.offset ?? 0}`;
-    const order = dutyOrder(live.members.values(), duty);
+    const {live} = this.replica;
+    const duty = `snapshot after ${this.lastSnapshot?.offset ?? 0}`;
+    const order = rendezvousOrder(live.members.values(), duty);
     const place = order.indexOf(this.dependencies.identity.incarnation);
     return place < 0 ? Infinity : place;
   }
 
-  private async take(stop: AbortSignal): Promise<void> {
+  private async writeSnapshot(stop: AbortSignal): Promise<void> {
     const {clock, identity, logger} = this.dependencies;
-    const offset = this.keeper.live.nextOffset;
+    const offset = this.replica.live.nextOffset;
     const at = Math.max(0, Math.floor(clock.wallMilliseconds()));
     try {
-      const snapshot = await encodeSnapshot(this.keeper.live, restOfLoop);
-      for (const chunk of cutSnapshot(offset, snapshot))
+      const snapshot = await encodeSnapshot(
+        this.replica.live,
+        yieldToEventLoop,
+      );
+      for (const chunk of splitSnapshot(offset, snapshot))
         await this.appender.append(chunk, stop);
       await this.publish(
         {
@@ -145,23 +149,24 @@
   }
 
   private async raiseFormat(stop: AbortSignal): Promise<void> {
-    const {live} = this.keeper;
-    if (live.formatInUse >= RECORD_FORMAT) return;
+    const {live} = this.replica;
+    if (live.formatInUse >= MAXIMUM_RECORD_FORMAT) return;
     const members = [...live.members.values()];
-    if (members.some(member => member.readsFormat < RECORD_FORMAT)) return;
+    if (members.some(member => member.readsFormat < MAXIMUM_RECORD_FORMAT))
+      return;
     const record = {
       kind: RecordKind.FormatRaised,
       id: randomUUID(),
       writer: this.dependencies.identity.incarnation,
-      format: RECORD_FORMAT,
+      format: MAXIMUM_RECORD_FORMAT,
     } as const;
     await this.publish(record, stop).catch(() => undefined);
   }
 
-  private noteLast(): void {
-    const newest = this.keeper.live.snapshots.get(NEWEST_SNAPSHOT);
-    if (newest === this.last) return;
-    this.last = newest;
-    this.lastSeenAt = this.dependencies.clock.monotonicMilliseconds();
+  private updateLastSnapshot(): void {
+    const newest = this.replica.live.snapshots.get(NEWEST_SNAPSHOT_KEY);
+    if (newest === this.lastSnapshot) return;
+    this.lastSnapshot = newest;
+    this.lastSnapshotSeenAt = this.dependencies.clock.monotonicMilliseconds();
   }
 }
--- a/packages/plugin-shared-state/src/state-comparison.ts
+++ b/packages/plugin-shared-state/src/state-divergence-detector.ts
@@ -4,15 +4,15 @@
   type Logger,
   type Metrics,
 } from '@gentiandoor/kernel';
-import {RECORD_FORMAT, type Peer} from '@gentiandoor/shared-state';
-import type {StateKeeper} from './state-keeper.js';
+import {MAXIMUM_RECORD_FORMAT, type Peer} from '@gentiandoor/shared-state';
+import type {StateReplica} from './state-replica.js';
 import type {StateSummary} from './state-summary.js';
 
 /** Offsets of peers ahead of this daemon, kept to compare their hashes when it gets there. */
-const MOST_PENDING = 64;
+const MAXIMUM_PENDING_OFFSETS = 64;
 
 /** What the comparison needs. */
-export interface StateComparisonDependencies {
+export interface StateDivergenceDetectorDependencies {
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
@@ -21,41 +21,48 @@
  * Holds the states of peers against this daemon's at equal offsets. Without it two daemons
  * that fold one record differently would route and drain by two truths, and nobody would know.
  */
-export class StateComparison {
-  private readonly pending = new Map<number, {hash: string; peer: string}>();
+export class StateDivergenceDetector {
+  private readonly pendingHashByOffset = new Map<
+    number,
+    {hash: string; peer: string}
+  >();
 
   constructor(
-    private readonly dependencies: StateComparisonDependencies,
-    private readonly keeper: StateKeeper,
+    private readonly dependencies: StateDivergenceDetectorDependencies,
+    private readonly replica: StateReplica,
   ) {
-    keeper.onChange(() => this.judgePending());
+    replica.onChange(() => this.comparePending());
   }
 
   /** Compares now, or when this daemon gets to the peer's offset. */
   compare(peer: Peer, summary: StateSummary): void {
     this.compareBundles(peer, summary);
-    if (summary.readsFormat !== RECORD_FORMAT) return;
-    const own = this.keeper.hashes.at(summary.offset);
+    if (summary.readsFormat !== MAXIMUM_RECORD_FORMAT) return;
+    const own = this.replica.hashHistory.hashAt(summary.offset);
     if (own !== undefined) {
-      this.judge(own, summary.hash, summary.offset, peer.name);
+      this.compareHashes(own, summary.hash, summary.offset, peer.name);
       return;
     }
-    if (summary.offset <= this.keeper.live.nextOffset) return;
-    this.pending.set(summary.offset, {hash: summary.hash, peer: peer.name});
-    if (this.pending.size <= MOST_PENDING) return;
-    const [oldest] = this.pending.keys();
-    this.pending.delete(oldest);
+    if (summary.offset <= this.replica.live.nextOffset) return;
+    this.pendingHashByOffset.set(summary.offset, {
+      hash: summary.hash,
+      peer: peer.name,
+    });
+    if (this.pendingHashByOffset.size <= MAXIMUM_PENDING_OFFSETS) return;
+    const [oldest] = this.pendingHashByOffset.keys();
+    this.pendingHashByOffset.delete(oldest);
   }
 
-  private judgePending(): void {
-    for (const [offset, {hash, peer}] of this.pending) {
-      const own = this.keeper.hashes.at(offset);
-      if (own !== undefined) this.judge(own, hash, offset, peer);
-      if (offset <= this.keeper.live.nextOffset) this.pending.delete(offset);
+  private comparePending(): void {
+    for (const [offset, {hash, peer}] of this.pendingHashByOffset) {
+      const own = this.replica.hashHistory.hashAt(offset);
+      if (own !== undefined) this.compareHashes(own, hash, offset, peer);
+      if (offset <= this.replica.live.nextOffset)
+        this.pendingHashByOffset.delete(offset);
     }
   }
 
-  private judge(
+  private compareHashes(
     own: string,
     theirs: string,
     offset: number,
@@ -69,7 +76,7 @@
 
   /** Equal versions, unequal bundles: identity is version and digest. */
   private compareBundles(peer: Peer, summary: StateSummary): void {
-    const own = this.keeper.live.inForce;
+    const own = this.replica.live.inForce;
     if (!own || own.bundle.version !== summary.version) return;
     if (own.digest === summary.digest) return;
     this.dependencies.metrics.increment(MetricName.BundleAlarms);
--- a/packages/plugin-shared-state/src/state-keeper.ts
+++ b/packages/plugin-shared-state/src/state-replica.ts
@@ -6,7 +6,7 @@
   type Metrics,
 } from '@gentiandoor/kernel';
 import {
-  RECORD_FORMAT,
+  MAXIMUM_RECORD_FORMAT,
   RejectionReason,
   applyPayload,
   emptyFleetState,
@@ -15,7 +15,7 @@
   type FoldOutcome,
   type TrustedOperators,
 } from '@gentiandoor/shared-state';
-import {parseBundleAhead} from './bundle-ahead.js';
+import {preparseBundle} from './preparse-bundle.js';
 import {HashHistory} from './hash-history.js';
 import {RecentRecords} from './recent-records.js';
 import {UnverifiedRecords} from './unverified-records.js';
@@ -30,14 +30,14 @@
 }
 
 /** What the keeper needs. */
-export interface StateKeeperDependencies {
+export interface StateReplicaDependencies {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
 /** Gives way to other work on the event loop. */
-export function restOfLoop(): Promise<void> {
+export function yieldToEventLoop(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
 
@@ -46,9 +46,9 @@
  * What others see is empty until the state has caught up: a daemon that starts would
  * otherwise serve under each older version on its way through the log.
  */
-export class StateKeeper {
-  readonly recent = new RecentRecords();
-  readonly hashes = new HashHistory();
+export class StateReplica {
+  readonly recentRecords = new RecentRecords();
+  readonly hashHistory = new HashHistory();
   /** The folded state, also while it is still catching up. */
   live: FleetState;
   /** Offset up to which the log itself was read. */
@@ -57,25 +57,25 @@
   inForceSince = 0;
   /** Called for each record that was judged. */
   onOutcome: (outcome: FoldOutcome) => void = () => undefined;
-  private readonly hidden: FleetState;
-  private readonly unverified = new UnverifiedRecords();
+  private readonly emptyState: FleetState;
+  private readonly unverifiedRecords = new UnverifiedRecords();
   private readonly listeners: Array<() => void> = [];
   private serving = false;
   /** The highest version that was served under. */
-  private floor = 0;
-  private lane: Promise<void> = Promise.resolve();
+  private highestServedVersion = 0;
+  private lastChange: Promise<void> = Promise.resolve();
 
   constructor(
-    private readonly trusted: TrustedOperators,
-    private readonly dependencies: StateKeeperDependencies,
+    private readonly trustedOperators: TrustedOperators,
+    private readonly dependencies: StateReplicaDependencies,
   ) {
-    this.live = emptyFleetState(trusted);
-    this.hidden = emptyFleetState(trusted);
+    this.live = emptyFleetState(trustedOperators);
+    this.emptyState = emptyFleetState(trustedOperators);
   }
 
   /** The state to serve by. */
-  get visible(): FleetState {
-    return this.serving ? this.live : this.hidden;
+  get servedState(): FleetState {
+    return this.serving ? this.live : this.emptyState;
   }
 
   get isServing(): boolean {
@@ -83,8 +83,8 @@
   }
 
   /** Another version has raised the format above what this one reads: the state stands still. */
-  get isOutgrown(): boolean {
-    return this.live.formatInUse > RECORD_FORMAT;
+  get isFormatUnsupported(): boolean {
+    return this.live.formatInUse > MAXIMUM_RECORD_FORMAT;
   }
 
   onChange(listener: () => void): void {
@@ -92,12 +92,12 @@
   }
 
   /** Shows the state to the daemon. */
-  serve(): void {
+  startServing(): void {
     const version = this.live.inForce?.bundle.version ?? 0;
     // A state built again must not bring back an older version.
-    if (this.serving || version < this.floor) return;
+    if (this.serving || version < this.highestServedVersion) return;
     this.serving = true;
-    this.floor = version;
+    this.highestServedVersion = version;
     this.logInForce();
     this.notify();
   }
@@ -108,26 +108,26 @@
     payloads: readonly Uint8Array[],
     source: RecordSource,
   ): Promise<void> {
-    return this.inLane(() => this.applyAll(from, payloads, source));
+    return this.runExclusive(() => this.applyAll(from, payloads, source));
   }
 
   /** Takes the state of a verified snapshot; false when it is older than what is here. */
   restore(state: FleetState): Promise<boolean> {
-    return this.inLane(async () => {
+    return this.runExclusive(async () => {
       const version = this.live.inForce?.bundle.version ?? 0;
       if (state.nextOffset <= this.live.nextOffset) return false;
       if ((state.inForce?.bundle.version ?? 0) < version) return false;
       const before = this.live.inForce?.digest;
       this.live = state;
       this.verifiedOffset = state.nextOffset;
-      this.unverified.clear();
-      this.hashes.clear();
-      this.recent.reset(state.nextOffset);
-      this.hashes.note(state.nextOffset, stateHash(state));
+      this.unverifiedRecords.clear();
+      this.hashHistory.clear();
+      this.recentRecords.reset(state.nextOffset);
+      this.hashHistory.add(state.nextOffset, stateHash(state));
       this.dependencies.logger.info(LogEvent.SnapshotLoaded, {
         offset: state.nextOffset,
       });
-      if (state.inForce?.digest !== before) this.noteInForce();
+      if (state.inForce?.digest !== before) this.onBundleInForce();
       this.notify();
       return true;
     });
@@ -143,18 +143,21 @@
     let applied = 0;
     for (const [index, payload] of payloads.entries()) {
       const offset = from + index;
-      if (offset > this.live.nextOffset || this.isOutgrown) break;
+      if (offset > this.live.nextOffset || this.isFormatUnsupported) break;
       if (offset === this.live.nextOffset) {
-        await parseBundleAhead(this.live, payload, restOfLoop);
+        await preparseBundle(this.live, payload, yieldToEventLoop);
         this.applyOne(payload, source);
         applied++;
-      } else if (source === RecordSource.Log && !this.verify(offset, payload)) {
+      } else if (
+        source === RecordSource.Log &&
+        !this.verifyAgainstLog(offset, payload)
+      ) {
         return;
       }
       if (source === RecordSource.Log) this.verifiedOffset = offset + 1;
       if (clock.monotonicMilliseconds() - sliceStart < SLICE_MILLISECONDS)
         continue;
-      await restOfLoop();
+      await yieldToEventLoop();
       sliceStart = clock.monotonicMilliseconds();
     }
     if (applied > 0) this.notify();
@@ -164,19 +167,19 @@
    * A record that a peer passed on is not what the log holds: the state is given up and read
    * again from the log. Nothing is served meanwhile, for nobody knows what it rested on.
    */
-  private verify(offset: number, payload: Uint8Array): boolean {
-    if (this.unverified.verify(offset, payload)) return true;
+  private verifyAgainstLog(offset: number, payload: Uint8Array): boolean {
+    if (this.unverifiedRecords.verify(offset, payload)) return true;
     const {logger, metrics} = this.dependencies;
     metrics.increment(MetricName.StateHashDifferences);
     logger.error(LogEvent.StateHashDiffers, {
       offset,
       detail: 'a record from a peer is not the one in the log',
     });
-    this.live = emptyFleetState(this.trusted);
+    this.live = emptyFleetState(this.trustedOperators);
     this.verifiedOffset = 0;
-    this.unverified.clear();
-    this.hashes.clear();
-    this.recent.reset(0);
+    this.unverifiedRecords.clear();
+    this.hashHistory.clear();
+    this.recentRecords.reset(0);
     this.serving = false;
     this.notify();
     return false;
@@ -185,24 +188,24 @@
   private applyOne(payload: Uint8Array, source: RecordSource): void {
     const before = this.live.inForce?.digest;
     const outcome = applyPayload(this.live, payload);
-    this.recent.add(outcome.offset, payload);
+    this.recentRecords.add(outcome.offset, payload);
     if (source === RecordSource.Peer)
-      this.unverified.note(outcome.offset, payload);
-    this.hashes.note(this.live.nextOffset, stateHash(this.live));
-    this.noteOutcome(outcome);
-    if (this.live.inForce?.digest !== before) this.noteInForce();
+      this.unverifiedRecords.add(outcome.offset, payload);
+    this.hashHistory.add(this.live.nextOffset, stateHash(this.live));
+    this.reportOutcome(outcome);
+    if (this.live.inForce?.digest !== before) this.onBundleInForce();
     this.onOutcome(outcome);
   }
 
-  private noteOutcome(outcome: FoldOutcome): void {
+  private reportOutcome(outcome: FoldOutcome): void {
     const {logger, metrics} = this.dependencies;
     const {offset, rejection} = outcome;
     if (!rejection) {
       metrics.increment(MetricName.RecordsApplied);
-      if (this.isOutgrown)
+      if (this.isFormatUnsupported)
         logger.error(LogEvent.RecordUnreadable, {
           offset,
-          detail: `records of format ${this.live.formatInUse} are in use, this version reads up to ${RECORD_FORMAT}`,
+          detail: `records of format ${this.live.formatInUse} are in use, this version reads up to ${MAXIMUM_RECORD_FORMAT}`,
         });
       return;
     }
@@ -214,10 +217,11 @@
     logger.warn(event, {offset, ...rejection});
   }
 
-  private noteInForce(): void {
+  private onBundleInForce(): void {
     this.inForceSince = this.dependencies.clock.monotonicMilliseconds();
     if (!this.serving) return;
-    this.floor = this.live.inForce?.bundle.version ?? this.floor;
+    this.highestServedVersion =
+      this.live.inForce?.bundle.version ?? this.highestServedVersion;
     this.logInForce();
   }
 
@@ -235,9 +239,9 @@
   }
 
   /** One change at a time: records from the log, records from peers and snapshots. */
-  private inLane<Result>(action: () => Promise<Result>): Promise<Result> {
-    const result = this.lane.then(action);
-    this.lane = result.then(
+  private runExclusive<Result>(action: () => Promise<Result>): Promise<Result> {
+    const result = this.lastChange.then(action);
+    this.lastChange = result.then(
       () => undefined,
       () => undefined,
     );
--- a/packages/plugin-shared-state/src/unverified-records.ts
+++ b/packages/plugin-shared-state/src/unverified-records.ts
@@ -1,6 +1,6 @@
 import {createHash} from 'node:crypto';
 
-const KEPT = 200_000;
+const MAXIMUM_DIGESTS = 200_000;
 
 /**
  * Digests of records that came from peers and not from the log. When the log can be read
@@ -14,9 +14,9 @@
     return this.digests.size;
   }
 
-  note(offset: number, payload: Uint8Array): void {
-    this.digests.set(offset, digestOf(payload));
-    if (this.digests.size <= KEPT) return;
+  add(offset: number, payload: Uint8Array): void {
+    this.digests.set(offset, payloadDigest(payload));
+    if (this.digests.size <= MAXIMUM_DIGESTS) return;
     const [oldest] = this.digests.keys();
     this.digests.delete(oldest);
   }
@@ -25,7 +25,7 @@
   verify(offset: number, payload: Uint8Array): boolean {
     const digest = this.digests.get(offset);
     this.digests.delete(offset);
-    return digest === undefined || digest === digestOf(payload);
+    return digest === undefined || digest === payloadDigest(payload);
   }
 
   clear(): void {
@@ -33,6 +33,6 @@
   }
 }
 
-function digestOf(payload: Uint8Array): string {
+function payloadDigest(payload: Uint8Array): string {
   return createHash('sha256').update(payload).digest('base64');
 }
--- a/packages/plugin-target-http/src/__tests__/whole-answers.test.ts
+++ b/packages/plugin-target-http/src/__tests__/complete-responses.test.ts
@@ -1,8 +1,12 @@
 import assert from 'node:assert/strict';
 import {after, afterEach, before, beforeEach, describe, it} from 'node:test';
 import {ExchangeEnd} from '@gentiandoor/kernel';
-import {ForgetfulPath, RawFault, RawTarget} from '@gentiandoor/stand-ins';
-import {POST, TransportFixture, outgoing} from './transport-fixture.js';
+import {
+  SilentDropProxy,
+  RawTargetBehaviour,
+  RawTarget,
+} from '@gentiandoor/stand-ins';
+import {POST, TransportFixture, outgoingRequest} from './transport-fixture.js';
 
 describe('an answer is whole or told as not whole', () => {
   const target = new RawTarget();
@@ -11,52 +15,56 @@
   before(() => target.start());
   after(() => target.stop());
   beforeEach(() => {
-    target.fault = RawFault.None;
+    target.behaviour = RawTargetBehaviour.None;
     target.received.length = 0;
     fixture = new TransportFixture({progress_milliseconds: 500});
   });
   afterEach(() => fixture.stop());
 
-  const endOfFault: ReadonlyArray<readonly [RawFault, ExchangeEnd]> = [
-    [RawFault.None, ExchangeEnd.Whole],
-    [RawFault.ResetInBody, ExchangeEnd.Truncated],
-    [RawFault.CloseInBody, ExchangeEnd.Truncated],
-    [RawFault.CloseInChunks, ExchangeEnd.Truncated],
-    [RawFault.SilentInBody, ExchangeEnd.Truncated],
-    [RawFault.NoLength, ExchangeEnd.Malformed],
-    [RawFault.LengthAndChunks, ExchangeEnd.Malformed],
-    [RawFault.TwoLengths, ExchangeEnd.Malformed],
-    [RawFault.Garbage, ExchangeEnd.Malformed],
-    [RawFault.OversizedHead, ExchangeEnd.Malformed],
-    [RawFault.Upgrade, ExchangeEnd.Broken],
-    [RawFault.Interim, ExchangeEnd.Whole],
-    [RawFault.Trailers, ExchangeEnd.Whole],
-    [RawFault.AnnouncedClose, ExchangeEnd.Whole],
-  ];
+  const endOfFault: ReadonlyArray<readonly [RawTargetBehaviour, ExchangeEnd]> =
+    [
+      [RawTargetBehaviour.None, ExchangeEnd.Complete],
+      [RawTargetBehaviour.ResetInBody, ExchangeEnd.Truncated],
+      [RawTargetBehaviour.CloseInBody, ExchangeEnd.Truncated],
+      [RawTargetBehaviour.CloseInChunks, ExchangeEnd.Truncated],
+      [RawTargetBehaviour.SilentInBody, ExchangeEnd.Truncated],
+      [RawTargetBehaviour.NoLength, ExchangeEnd.Malformed],
+      [RawTargetBehaviour.LengthAndChunks, ExchangeEnd.Malformed],
+      [RawTargetBehaviour.TwoLengths, ExchangeEnd.Malformed],
+      [RawTargetBehaviour.Garbage, ExchangeEnd.Malformed],
+      [RawTargetBehaviour.OversizedHead, ExchangeEnd.Malformed],
+      [RawTargetBehaviour.Upgrade, ExchangeEnd.ConnectionLost],
+      [RawTargetBehaviour.Interim, ExchangeEnd.Complete],
+      [RawTargetBehaviour.Trailers, ExchangeEnd.Complete],
+      [RawTargetBehaviour.AnnouncedClose, ExchangeEnd.Complete],
+    ];
   for (const [fault, end] of endOfFault) {
     // The target's answer is cut, doubled or framed in two ways. Only an answer that is
     // provably whole may end as whole; all others end with the connection destroyed.
     it(`ends as ${end} when the target does ${fault}`, async () => {
-      target.fault = fault;
+      target.behaviour = fault;
       const {result, sink} = await fixture.send(target.address, POST);
       assert.equal(result.end, end);
-      assert.equal(sink.ended, end === ExchangeEnd.Whole);
-      if (end === ExchangeEnd.Whole) assert.equal(sink.body, 'whole');
+      assert.equal(sink.ended, end === ExchangeEnd.Complete);
+      if (end === ExchangeEnd.Complete) assert.equal(sink.body, 'whole');
       assert.equal(target.received.length, 1);
     });
   }
 
-  for (const fault of [RawFault.LongBody, RawFault.TwoAnswers]) {
+  for (const fault of [
+    RawTargetBehaviour.LongBody,
+    RawTargetBehaviour.TwoAnswers,
+  ]) {
     describe(`when the target does ${fault}`, () => {
       // More bytes follow the answer on its connection. Were the connection used again, the
       // next caller would get them as the beginning of its own answer.
       it('nobody gets the rest', async () => {
-        target.fault = fault;
-        const first = await fixture.send(target.address, outgoing());
+        target.behaviour = fault;
+        const first = await fixture.send(target.address, outgoingRequest());
         assert.equal(first.sink.body, 'whole');
-        target.fault = RawFault.None;
+        target.behaviour = RawTargetBehaviour.None;
         const second = await fixture.send(target.address, POST);
-        assert.equal(second.result.end, ExchangeEnd.Whole);
+        assert.equal(second.result.end, ExchangeEnd.Complete);
         assert.equal(second.sink.body, 'whole');
         const [one, two] = target.received.map(item => item.connection);
         assert.notEqual(one, two);
@@ -68,12 +76,12 @@
     // A late second answer arrives after the first exchange ended and before the next one
     // begins. The connection must not carry another exchange.
     it('the next request does not get them as its answer', async () => {
-      await fixture.send(target.address, outgoing());
+      await fixture.send(target.address, outgoingRequest());
       target.writeUnasked('HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwrong');
       for (let turn = 0; turn < 5; turn++)
         await new Promise(resolve => setTimeout(resolve, 5));
       const {result, sink} = await fixture.send(target.address, POST);
-      assert.equal(result.end, ExchangeEnd.Whole);
+      assert.equal(result.end, ExchangeEnd.Complete);
       assert.equal(sink.body, 'whole');
     });
   });
@@ -82,15 +90,15 @@
     // The target answers on the head alone, as for a body it will not take. The caller gets
     // this answer; the connection, with half a request on it, is not used again.
     it('is whole and its connection is not used again', async () => {
-      target.fault = RawFault.EarlyAnswer;
+      target.behaviour = RawTargetBehaviour.EarlyAnswer;
       const {result, sink} = await fixture.send(
         target.address,
-        outgoing({method: 'POST', idempotent: false, body: endless()}),
+        outgoingRequest({method: 'POST', idempotent: false, body: endless()}),
       );
-      assert.equal(result.end, ExchangeEnd.Whole);
+      assert.equal(result.end, ExchangeEnd.Complete);
       assert.equal(sink.body, 'whole');
-      target.fault = RawFault.None;
-      await fixture.send(target.address, outgoing());
+      target.behaviour = RawTargetBehaviour.None;
+      await fixture.send(target.address, outgoingRequest());
       const [one, two] = target.received.map(item => item.connection);
       assert.notEqual(one, two);
     });
@@ -98,14 +106,14 @@
 
   describe('when the answer comes after the deadline', () => {
     it('ends as timed out and the late answer reaches nobody', async () => {
-      target.fault = RawFault.Silent;
+      target.behaviour = RawTargetBehaviour.Silent;
       const {result} = await fixture.send(
         target.address,
-        outgoing({headMilliseconds: 50}),
+        outgoingRequest({responseHeadTimeoutMilliseconds: 50}),
       );
       assert.equal(result.end, ExchangeEnd.TimedOut);
       target.writeUnasked('HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nlate');
-      target.fault = RawFault.None;
+      target.behaviour = RawTargetBehaviour.None;
       const next = await fixture.send(target.address, POST);
       assert.equal(next.sink.body, 'whole');
     });
@@ -114,12 +122,12 @@
 
 describe('when the path forgets all open connections', () => {
   const target = new RawTarget();
-  let path: ForgetfulPath;
+  let path: SilentDropProxy;
   let fixture: TransportFixture;
 
   before(async () => {
     await target.start();
-    path = new ForgetfulPath(target.address);
+    path = new SilentDropProxy(target.address);
     await path.start();
     fixture = new TransportFixture({idle_milliseconds: 60_000});
   });
@@ -135,18 +143,20 @@
   // would each wait for a whole deadline.
   it('one caller waits for its deadline and the next does not', async () => {
     await Promise.all(
-      Array.from({length: 5}, () => fixture.send(path.address, outgoing())),
+      Array.from({length: 5}, () =>
+        fixture.send(path.address, outgoingRequest()),
+      ),
     );
     assert.equal(fixture.transport.openConnections(path.address), 5);
-    path.forget();
+    path.dropOpenConnections();
     const first = await fixture.send(
       path.address,
-      outgoing({headMilliseconds: 50}),
+      outgoingRequest({responseHeadTimeoutMilliseconds: 50}),
     );
     assert.equal(first.result.end, ExchangeEnd.TimedOut);
     assert.equal(fixture.transport.openConnections(path.address), 0);
     const second = await fixture.send(path.address, POST);
-    assert.equal(second.result.end, ExchangeEnd.Whole);
+    assert.equal(second.result.end, ExchangeEnd.Complete);
     const posts = target.received.filter(item => item.head.startsWith('POST'));
     assert.equal(posts.length, 1);
   });
--- a/packages/plugin-target-http/src/__tests__/sent-once.test.ts
+++ b/packages/plugin-target-http/src/__tests__/sent-once.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import {afterEach, beforeEach, describe, it} from 'node:test';
 import {ExchangeEnd, VirtualClock} from '@gentiandoor/kernel';
-import {RawFault, RawTarget} from '@gentiandoor/stand-ins';
-import {POST, TransportFixture, outgoing} from './transport-fixture.js';
+import {RawTargetBehaviour, RawTarget} from '@gentiandoor/stand-ins';
+import {POST, TransportFixture, outgoingRequest} from './transport-fixture.js';
 
 const UNUSED_ADDRESS = '127.0.0.1:1';
 
@@ -13,7 +13,7 @@
   beforeEach(async () => {
     await target.start();
     target.received.length = 0;
-    target.fault = RawFault.None;
+    target.behaviour = RawTargetBehaviour.None;
     fixture = new TransportFixture();
   });
 
@@ -34,33 +34,37 @@
     // nothing is written when the connection opens later.
     it('is told as not sent', async () => {
       const sink = {onHead() {}, onData: () => true, onEnd() {}};
-      const exchange = fixture.transport.begin(
+      const exchange = fixture.transport.startExchange(
         {id: 'a', address: target.address},
         POST,
         sink,
       );
       exchange.abort();
       assert.equal((await exchange.done).end, ExchangeEnd.NotSent);
-      await fixture.send(target.address, outgoing());
+      await fixture.send(target.address, outgoingRequest());
       assert.deepEqual(methods(target), ['GET']);
     });
   });
 
   for (const fault of [
-    RawFault.ResetOnRequest,
-    RawFault.CloseOnRequest,
-    RawFault.ResetInHead,
+    RawTargetBehaviour.ResetOnRequest,
+    RawTargetBehaviour.CloseOnRequest,
+    RawTargetBehaviour.ResetInHead,
   ]) {
-    for (const request of [POST, outgoing(), outgoing({method: 'PUT'})]) {
+    for (const request of [
+      POST,
+      outgoingRequest(),
+      outgoingRequest({method: 'PUT'}),
+    ]) {
       describe(`when the target does ${fault} to a ${request.method}`, () => {
         // The target reads the request and then the connection ends without an answer. It
         // may have run: a library that sends it again by itself would run it twice.
         it('reaches the target once and is told as broken', async () => {
-          target.fault = fault;
+          target.behaviour = fault;
           const {result} = await fixture.send(target.address, request);
-          assert.equal(result.end, ExchangeEnd.Broken);
-          target.fault = RawFault.None;
-          await fixture.send(target.address, outgoing({path: '/after'}));
+          assert.equal(result.end, ExchangeEnd.ConnectionLost);
+          target.behaviour = RawTargetBehaviour.None;
+          await fixture.send(target.address, outgoingRequest({path: '/after'}));
           const paths = target.received.map(item => item.head.split(' ')[1]);
           assert.deepEqual(paths, ['/x', '/after']);
         });
@@ -74,17 +78,17 @@
     // connection, unwritten so far, or ends as broken: never on both.
     for (let round = 0; round < 5; round++) {
       it(`reaches the target at most once, round ${round}`, async () => {
-        await fixture.send(target.address, outgoing());
+        await fixture.send(target.address, outgoingRequest());
         target.received.length = 0;
         target.closeConnections();
         if (round % 2 === 1) await new Promise(setImmediate);
         const {result, sink} = await fixture.send(target.address, POST);
-        if (result.end === ExchangeEnd.Whole) {
+        if (result.end === ExchangeEnd.Complete) {
           assert.equal(sink.body, 'whole');
           assert.deepEqual(methods(target), ['POST']);
         } else {
           assert.ok(target.received.length <= 1);
-          assert.notEqual(result.end, ExchangeEnd.Whole);
+          assert.notEqual(result.end, ExchangeEnd.Complete);
         }
       });
     }
@@ -97,11 +101,11 @@
         {idle_milliseconds: 3000, proven_milliseconds: 500},
         clock,
       );
-      await timed.send(target.address, outgoing());
+      await timed.send(target.address, outgoingRequest());
       clock.advance(499);
       await timed.send(target.address, POST);
       clock.advance(501);
-      await timed.send(target.address, outgoing());
+      await timed.send(target.address, outgoingRequest());
       clock.advance(501);
       await timed.send(target.address, POST);
       const used = target.received.map(item => item.connection);
@@ -113,8 +117,8 @@
 
   describe('when the target announced that the connection closes', () => {
     it('it counts no more and the next request takes a new one', async () => {
-      target.fault = RawFault.AnnouncedClose;
-      await fixture.send(target.address, outgoing());
+      target.behaviour = RawTargetBehaviour.AnnouncedClose;
+      await fixture.send(target.address, outgoingRequest());
       assert.equal(fixture.transport.openConnections(target.address), 0);
       await fixture.send(target.address, POST);
       const [first, second] = target.received.map(item => item.connection);
@@ -125,8 +129,8 @@
   describe('when a target gives a keep-alive time', () => {
     it('its connection is not used after that, less a margin', async () => {
       const hinted = new TransportFixture({idle_milliseconds: 60_000});
-      target.fault = RawFault.KeepAliveHint;
-      await hinted.send(target.address, outgoing());
+      target.behaviour = RawTargetBehaviour.KeepAliveHint;
+      await hinted.send(target.address, outgoingRequest());
       assert.equal(hinted.transport.openConnections(target.address), 1);
       while (hinted.transport.openConnections(target.address) > 0)
         await new Promise(resolve => setTimeout(resolve, 50));
@@ -136,18 +140,18 @@
 
   describe('when all connections that a target may have are in use', () => {
     it('is refused as not sent, and an unused one makes room', async () => {
-      target.fault = RawFault.Silent;
+      target.behaviour = RawTargetBehaviour.Silent;
       const first = fixture.send(
         target.address,
-        outgoing({headMilliseconds: 200}),
+        outgoingRequest({responseHeadTimeoutMilliseconds: 200}),
         1,
       );
       const second = await fixture.send(target.address, POST, 1);
       assert.equal(second.result.end, ExchangeEnd.NotSent);
       assert.equal((await first).result.end, ExchangeEnd.TimedOut);
-      target.fault = RawFault.None;
+      target.behaviour = RawTargetBehaviour.None;
       const third = await fixture.send(target.address, POST, 1);
-      assert.equal(third.result.end, ExchangeEnd.Whole);
+      assert.equal(third.result.end, ExchangeEnd.Complete);
       assert.equal(fixture.transport.openConnections(target.address), 1);
     });
   });
--- a/packages/plugin-target-http/src/__tests__/target-exchange.test.ts
+++ b/packages/plugin-target-http/src/__tests__/target-exchange.test.ts
@@ -40,7 +40,7 @@
       exchange.onRequestStart(second);
       assert.equal(second.aborted, true);
       exchange.onResponseError(second, new Error('aborted'));
-      assert.equal((await exchange.done).end, ExchangeEnd.Broken);
+      assert.equal((await exchange.done).end, ExchangeEnd.ConnectionLost);
     });
   });
 
--- a/packages/plugin-target-http/src/__tests__/transport-fixture.ts
+++ b/packages/plugin-target-http/src/__tests__/transport-fixture.ts
@@ -1,7 +1,7 @@
 import {
   SilentLogger,
   SystemClock,
-  type AnswerSink,
+  type ResponseSink,
   type Clock,
   type Exchange,
   type ExchangeResult,
@@ -13,7 +13,7 @@
 const LONG_MILLISECONDS = 60_000;
 
 /** Keeps an answer as it came. */
-export class CollectingSink implements AnswerSink {
+export class CollectingSink implements ResponseSink {
   status = 0;
   headers: readonly string[] = [];
   body = '';
@@ -37,7 +37,7 @@
 }
 
 /** A request with the parts that matter to a test. */
-export function outgoing(
+export function outgoingRequest(
   parts: Partial<OutgoingRequest> = {},
 ): OutgoingRequest {
   return {
@@ -46,20 +46,20 @@
     headers: [],
     body: null,
     idempotent: parts.method === undefined,
-    headMilliseconds: LONG_MILLISECONDS,
+    responseHeadTimeoutMilliseconds: LONG_MILLISECONDS,
     ...parts,
   };
 }
 
 /** A POST: it must not run twice. */
-export const POST = outgoing({
+export const POST = outgoingRequest({
   method: 'POST',
   body: Buffer.from('crest'),
   idempotent: false,
 });
 
 /** What became of one request. */
-export interface Outcome {
+export interface SendResult {
   readonly exchange: Exchange;
   readonly result: ExchangeResult;
   readonly sink: CollectingSink;
@@ -81,10 +81,10 @@
     address: string,
     request: OutgoingRequest,
     connections?: number,
-  ): Promise<Outcome> {
+  ): Promise<SendResult> {
     const sink = new CollectingSink();
     const target = {id: 'hall-a-r1-1', address, connections};
-    const exchange = this.transport.begin(target, request, sink);
+    const exchange = this.transport.startExchange(target, request, sink);
     return {exchange, result: await exchange.done, sink};
   }
 
--- a/packages/plugin-target-http/src/http-target-transport.ts
+++ b/packages/plugin-target-http/src/http-target-transport.ts
@@ -1,7 +1,7 @@
 import {
   ExchangeEnd,
   LogEvent,
-  type AnswerSink,
+  type ResponseSink,
   type Clock,
   type Exchange,
   type ExchangeResult,
@@ -10,7 +10,7 @@
   type Plugin,
   type TargetAddress,
   type TargetTransport,
-  resolveNow,
+  resolveDependencies,
 } from '@gentiandoor/kernel';
 import type {TargetConnection} from './target-connection.js';
 import {TargetConnections} from './target-connections.js';
@@ -24,17 +24,17 @@
 }
 
 interface SettledExchange extends ExchangeResult {
-  readonly reusable: boolean;
+  readonly isConnectionReusable: boolean;
 }
 
 /** Carries requests to targets over HTTP, and keeps idle connections for the next one. */
 export class HttpTargetTransport implements TargetTransport, Plugin {
-  private readonly targets = new Map<string, TargetConnections>();
+  private readonly connectionsByAddress = new Map<string, TargetConnections>();
 
   private readonly dependencies: HttpTargetTransportDependencies;
 
   constructor(dependencies: HttpTargetTransportDependencies) {
-    this.dependencies = resolveNow(
+    this.dependencies = resolveDependencies(
       dependencies,
       'clock',
       'logger',
@@ -45,23 +45,24 @@
   async start(): Promise<void> {}
 
   async stop(): Promise<void> {
-    for (const connections of this.targets.values()) connections.closeAll();
-    this.targets.clear();
+    for (const connections of this.connectionsByAddress.values())
+      connections.closeAll();
+    this.connectionsByAddress.clear();
   }
 
   /** Connections open to a target's address. */
   openConnections(address: string): number {
-    return this.targets.get(address)?.size ?? 0;
+    return this.connectionsByAddress.get(address)?.size ?? 0;
   }
 
-  begin(
+  startExchange(
     target: TargetAddress,
     request: OutgoingRequest,
-    sink: AnswerSink,
+    sink: ResponseSink,
   ): Exchange {
     const {clock, targetHttpOptions: options} = this.dependencies;
     const connections = this.connectionsTo(target.address);
-    const connection = connections.take(
+    const connection = connections.acquire(
       request.idempotent,
       target.connections ?? options.connections,
       clock.monotonicMilliseconds(),
@@ -69,31 +70,32 @@
     if (!connection) return new RefusedExchange(target);
     const exchange = connection.begin(request, sink);
     void exchange.done.then(result =>
-      this.settle(target, connections, connection, {
+      this.releaseConnection(target, connections, connection, {
         ...result,
-        reusable: exchange.keepsConnection,
+        isConnectionReusable: exchange.isConnectionReusable,
       }),
     );
     return exchange;
   }
 
-  private settle(
+  private releaseConnection(
     target: TargetAddress,
     connections: TargetConnections,
     connection: TargetConnection,
     result: SettledExchange,
   ): void {
-    if (result.end === ExchangeEnd.Whole && result.reusable) {
+    if (result.end === ExchangeEnd.Complete && result.isConnectionReusable) {
       const now = this.dependencies.clock.monotonicMilliseconds();
-      connections.giveBack(connection, now);
+      connections.release(connection, now);
     } else {
       connections.discard(connection);
-      if (isSilence(result)) this.suspectSiblings(target, connections);
+      if (isTimeout(result)) this.closeIdleConnections(target, connections);
     }
-    if (connections.size === 0) this.targets.delete(target.address);
+    if (connections.size === 0)
+      this.connectionsByAddress.delete(target.address);
   }
 
-  protected suspectSiblings(
+  protected closeIdleConnections(
     target: TargetAddress,
     connections: TargetConnections,
   ): void {
@@ -106,13 +108,13 @@
   }
 
   private connectionsTo(address: string): TargetConnections {
-    let connections = this.targets.get(address);
+    let connections = this.connectionsByAddress.get(address);
     if (!connections) {
       connections = new TargetConnections(
         address,
         this.dependencies.targetHttpOptions,
       );
-      this.targets.set(address, connections);
+      this.connectionsByAddress.set(address, connections);
     }
     return connections;
   }
@@ -136,7 +138,7 @@
 
 const BODY_TIMEOUT_CODE = 'UND_ERR_BODY_TIMEOUT';
 
-function isSilence({end, error}: ExchangeResult): boolean {
+function isTimeout({end, error}: ExchangeResult): boolean {
   if (end === ExchangeEnd.TimedOut) return true;
   return (
     error !== undefined && 'code' in error && error.code === BODY_TIMEOUT_CODE
--- a/packages/plugin-target-http/src/index.ts
+++ b/packages/plugin-target-http/src/index.ts
@@ -11,7 +11,7 @@
   registry.add({
     name: 'target-http',
     options: targetHttpOptions,
-    service: 'targetTransport',
+    registrationName: 'targetTransport',
     register(container, options) {
       container.register({
         targetHttpOptions: asValue(options),
--- a/packages/plugin-target-http/src/answer-framing.ts
+++ b/packages/plugin-target-http/src/response-framing.ts
@@ -10,7 +10,7 @@
  * dies in the middle closes the connection as well, and the caller would take half an
  * answer for a whole one. Such an answer is refused, since nothing can prove it whole.
  */
-export function wholenessProblem(
+export function framingProblem(
   method: string,
   status: number,
   headers: readonly string[],
@@ -19,12 +19,12 @@
     return undefined;
   }
   for (let index = 0; index + 1 < headers.length; index += 2) {
-    if (framesBody(headers[index], headers[index + 1])) return undefined;
+    if (delimitsBody(headers[index], headers[index + 1])) return undefined;
   }
   return 'the answer has neither a length nor chunks, so its end cannot be told';
 }
 
-function framesBody(name: string, value: string): boolean {
+function delimitsBody(name: string, value: string): boolean {
   if (name.length === CONTENT_LENGTH.length)
     return name.toLowerCase() === CONTENT_LENGTH;
   if (name.length !== TRANSFER_ENCODING.length) return false;
--- a/packages/plugin-target-http/src/target-connection.ts
+++ b/packages/plugin-target-http/src/target-connection.ts
@@ -1,5 +1,5 @@
 import {Client, type Dispatcher} from 'undici';
-import type {AnswerSink, OutgoingRequest} from '@gentiandoor/kernel';
+import type {ResponseSink, OutgoingRequest} from '@gentiandoor/kernel';
 import {TargetExchange} from './target-exchange.js';
 import type {TargetHttpOptions} from './target-http-options.js';
 
@@ -11,7 +11,7 @@
   private readonly client: Client;
   /** Monotonic milliseconds of the last end of an exchange. */
   idleSince = 0;
-  private broken = false;
+  private isClosed = false;
 
   constructor(
     address: string,
@@ -34,22 +34,22 @@
       keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MILLISECONDS,
     });
     this.client.on('disconnect', () => {
-      this.broken = true;
+      this.isClosed = true;
       onClosed(this);
     });
     this.client.on('connectionError', () => {
-      this.broken = true;
+      this.isClosed = true;
       onClosed(this);
     });
   }
 
   /** False once the connection has closed: it is not used again. */
   get isUsable(): boolean {
-    return !this.broken && !this.client.destroyed;
+    return !this.isClosed && !this.client.destroyed;
   }
 
   /** Sends one request. */
-  begin(request: OutgoingRequest, sink: AnswerSink): TargetExchange {
+  begin(request: OutgoingRequest, sink: ResponseSink): TargetExchange {
     const exchange = new TargetExchange(request, sink, this);
     this.client.dispatch(
       {
@@ -66,7 +66,7 @@
   }
 
   destroy(): void {
-    this.broken = true;
+    this.isClosed = true;
     void this.client.destroy();
   }
 }
--- a/packages/plugin-target-http/src/target-connections.ts
+++ b/packages/plugin-target-http/src/target-connections.ts
@@ -9,8 +9,8 @@
  * that the network has forgotten; a non-idempotent one then ends with an unknown outcome.
  */
 export class TargetConnections {
-  private readonly idle: TargetConnection[] = [];
-  private readonly open = new Set<TargetConnection>();
+  private readonly idleConnections: TargetConnection[] = [];
+  private readonly openConnections = new Set<TargetConnection>();
 
   constructor(
     private readonly address: string,
@@ -19,33 +19,33 @@
 
   /** Connections open or opening. */
   get size(): number {
-    return this.open.size;
+    return this.openConnections.size;
   }
 
   /**
    * The most recently used connection that is fit, a new one, or undefined at the limit.
    * `now` in monotonic milliseconds.
    */
-  take(
+  acquire(
     idempotent: boolean,
     limit: number,
     now: number,
   ): TargetConnection | undefined {
-    return this.takeIdle(idempotent, now) ?? this.openNew(limit);
+    return this.acquireIdle(idempotent, now) ?? this.openConnection(limit);
   }
 
   /** Keeps a connection whose exchange ended whole for the next one. */
-  giveBack(connection: TargetConnection, now: number): void {
+  release(connection: TargetConnection, now: number): void {
     if (!connection.isUsable) {
       this.discard(connection);
       return;
     }
     connection.idleSince = now;
-    this.idle.push(connection);
+    this.idleConnections.push(connection);
   }
 
   discard(connection: TargetConnection): void {
-    this.forget(connection);
+    this.remove(connection);
     connection.destroy();
   }
 
@@ -58,15 +58,15 @@
    * those in use prove themselves by their own answer.
    */
   closeIdle(): number {
-    const closed = this.idle.splice(0);
+    const closed = this.idleConnections.splice(0);
     for (const connection of closed) this.discard(connection);
     return closed.length;
   }
 
   closeAll(): void {
-    for (const connection of this.open) connection.destroy();
-    this.open.clear();
-    this.idle.length = 0;
+    for (const connection of this.openConnections) connection.destroy();
+    this.openConnections.clear();
+    this.idleConnections.length = 0;
   }
 
   /**
@@ -74,45 +74,45 @@
    * that is proof that both ends still know it. Otherwise it pays for a new connection, one
    * round trip, as much as a probe would cost and without asking anything of the target.
    */
-  private takeIdle(
+  private acquireIdle(
     idempotent: boolean,
     now: number,
   ): TargetConnection | undefined {
     const {idle_milliseconds: idle, proven_milliseconds: proven} = this.options;
     const longest = idempotent ? idle : Math.min(idle, proven);
     for (;;) {
-      const connection = this.idle.at(-1);
+      const connection = this.idleConnections.at(-1);
       if (!connection) return undefined;
       // The last one was used last: when it is too old, all are.
       if (connection.isUsable && now - connection.idleSince >= longest) {
         return undefined;
       }
-      this.idle.pop();
+      this.idleConnections.pop();
       if (connection.isUsable) return connection;
       this.discard(connection);
     }
   }
 
-  private openNew(limit: number): TargetConnection | undefined {
-    if (this.open.size >= limit) this.closeOldest();
-    if (this.open.size >= limit) return undefined;
+  private openConnection(limit: number): TargetConnection | undefined {
+    if (this.openConnections.size >= limit) this.closeOldestIdle();
+    if (this.openConnections.size >= limit) return undefined;
     const connection = new TargetConnection(
       this.address,
       this.options,
-      closed => this.forget(closed),
+      closed => this.remove(closed),
     );
-    this.open.add(connection);
+    this.openConnections.add(connection);
     return connection;
   }
 
-  private closeOldest(): void {
-    const oldest = this.idle.shift();
+  private closeOldestIdle(): void {
+    const oldest = this.idleConnections.shift();
     if (oldest) this.discard(oldest);
   }
 
-  private forget(connection: TargetConnection): void {
-    this.open.delete(connection);
-    const index = this.idle.indexOf(connection);
-    if (index >= 0) this.idle.splice(index, 1);
+  private remove(connection: TargetConnection): void {
+    this.openConnections.delete(connection);
+    const index = this.idleConnections.indexOf(connection);
+    if (index >= 0) this.idleConnections.splice(index, 1);
   }
 }
--- a/packages/plugin-target-http/src/target-exchange.ts
+++ b/packages/plugin-target-http/src/target-exchange.ts
@@ -2,7 +2,7 @@
 import {
   ExchangeEnd,
   toError,
-  type AnswerSink,
+  type ResponseSink,
   type Exchange,
   type ExchangeResult,
   type OutgoingBody,
@@ -11,8 +11,8 @@
 import {
   announcesClose,
   isMalformed,
-  wholenessProblem,
-} from './answer-framing.js';
+  framingProblem,
+} from './response-framing.js';
 
 /** Status codes below are interim answers: the final one follows. */
 const FIRST_FINAL_STATUS = 200;
@@ -30,54 +30,58 @@
  */
 export class TargetExchange implements Dispatcher.DispatchHandler, Exchange {
   readonly done: Promise<ExchangeResult>;
-  private finish!: (result: ExchangeResult) => void;
+  private resolveDone!: (result: ExchangeResult) => void;
   private controller: Dispatcher.DispatchController | undefined;
-  private sent = false;
-  private headSeen = false;
-  private bodySent: boolean;
-  private closing = false;
+  private isSent = false;
+  private hasHead = false;
+  private isBodySent: boolean;
+  private isConnectionClosing = false;
   private failure: ExchangeResult | undefined;
   private readonly headTimer: NodeJS.Timeout;
 
   constructor(
     private readonly request: OutgoingRequest,
-    private readonly sink: AnswerSink,
+    private readonly sink: ResponseSink,
     private readonly connection: ExchangeConnection,
   ) {
     this.done = new Promise(resolve => {
-      this.finish = resolve;
+      this.resolveDone = resolve;
     });
-    this.bodySent = !isStream(request.body);
+    this.isBodySent = !isStream(request.body);
     this.headTimer = setTimeout(
-      () => this.giveUp(ExchangeEnd.TimedOut, 'no head of an answer in time'),
-      request.headMilliseconds,
+      () =>
+        this.abortWith(ExchangeEnd.TimedOut, 'no head of an answer in time'),
+      request.responseHeadTimeoutMilliseconds,
     );
   }
 
   /** The body to hand to the library. */
   get body(): OutgoingBody {
     const {body} = this.request;
-    return isStream(body) ? this.follow(body) : body;
+    return isStream(body) ? this.trackBody(body) : body;
   }
 
   /** True when both sides may use the connection for another exchange. */
-  get keepsConnection(): boolean {
-    return this.bodySent && !this.closing;
+  get isConnectionReusable(): boolean {
+    return this.isBodySent && !this.isConnectionClosing;
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.controller = controller;
-    if (this.sent) {
+    if (this.isSent) {
       // A library that sends again by itself would run the request twice, unseen by all
       // counters here. This event comes before the first byte, so ending it here is enough.
-      this.giveUp(ExchangeEnd.Broken, 'refused to send the request twice');
+      this.abortWith(
+        ExchangeEnd.ConnectionLost,
+        'refused to send the request twice',
+      );
       return;
     }
     if (this.failure !== undefined) {
       controller.abort(this.failure.error ?? new Error(this.failure.end));
       return;
     }
-    this.sent = true;
+    this.isSent = true;
   }
 
   onResponseStart(
@@ -86,23 +90,24 @@
   ): void {
     if (status < FIRST_FINAL_STATUS) return;
     const headers = toStrings(controller.rawHeaders);
-    const problem = wholenessProblem(this.request.method, status, headers);
+    const problem = framingProblem(this.request.method, status, headers);
     if (problem !== undefined) {
-      this.giveUp(ExchangeEnd.Malformed, problem);
+      this.abortWith(ExchangeEnd.Malformed, problem);
       return;
     }
-    this.headSeen = true;
+    this.hasHead = true;
     // The library closes a connection after HEAD, in case a body follows all the same.
-    this.closing = this.request.method === 'HEAD' || announcesClose(headers);
+    this.isConnectionClosing =
+      this.request.method === 'HEAD' || announcesClose(headers);
     clearTimeout(this.headTimer);
-    this.guard(() => this.sink.onHead(status, headers));
+    this.abortOnError(() => this.sink.onHead(status, headers));
   }
 
   onResponseData(
     controller: Dispatcher.DispatchController,
     chunk: Buffer,
   ): void {
-    this.guard(() => {
+    this.abortOnError(() => {
       if (!this.sink.onData(chunk)) controller.pause();
     });
   }
@@ -110,7 +115,7 @@
   onResponseEnd(controller: Dispatcher.DispatchController): void {
     clearTimeout(this.headTimer);
     this.sink.onEnd(toStrings(controller.rawTrailers));
-    this.finish({end: ExchangeEnd.Whole});
+    this.resolveDone({end: ExchangeEnd.Complete});
   }
 
   onResponseError(
@@ -118,7 +123,7 @@
     error: Error,
   ): void {
     clearTimeout(this.headTimer);
-    this.finish(this.resultOf(error));
+    this.resolveDone(this.toExchangeResult(error));
   }
 
   resume(): void {
@@ -126,17 +131,17 @@
   }
 
   abort(): void {
-    this.giveUp(ExchangeEnd.Aborted, 'given up by the caller\u2019s side');
+    this.abortWith(ExchangeEnd.Aborted, 'given up by the caller\u2019s side');
   }
 
-  private async *follow(
+  private async *trackBody(
     body: AsyncIterable<Uint8Array>,
   ): AsyncGenerator<Uint8Array> {
     for await (const chunk of body) yield chunk;
-    this.bodySent = true;
+    this.isBodySent = true;
   }
 
-  private giveUp(end: ExchangeEnd, detail: string): void {
+  private abortWith(end: ExchangeEnd, detail: string): void {
     const error = new Error(detail);
     this.failure ??= {end, error};
     if (this.controller) this.controller.abort(error);
@@ -145,19 +150,21 @@
   }
 
   /** A sink that throws (a header that cannot be passed on) ends the exchange, not the daemon. */
-  private guard(action: () => void): void {
+  private abortOnError(action: () => void): void {
     try {
       action();
     } catch (error) {
-      this.giveUp(ExchangeEnd.Malformed, toError(error).message);
+      this.abortWith(ExchangeEnd.Malformed, toError(error).message);
     }
   }
 
-  private resultOf(error: Error): ExchangeResult {
-    if (!this.sent) return {end: ExchangeEnd.NotSent, error};
+  private toExchangeResult(error: Error): ExchangeResult {
+    if (!this.isSent) return {end: ExchangeEnd.NotSent, error};
     if (this.failure) return this.failure;
-    if (this.headSeen) return {end: ExchangeEnd.Truncated, error};
-    const end = isMalformed(error) ? ExchangeEnd.Malformed : ExchangeEnd.Broken;
+    if (this.hasHead) return {end: ExchangeEnd.Truncated, error};
+    const end = isMalformed(error)
+      ? ExchangeEnd.Malformed
+      : ExchangeEnd.ConnectionLost;
     return {end, error};
   }
 }
