--- a/packages/scheduling/src/__tests__/answer-bound.test.ts
+++ b/packages/scheduling/src/__tests__/adaptive-timeout.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {SeededRandom} from '@gentiandoor/kernel';
-import {AnswerBound} from '../answer-bound.js';
+import {AdaptiveTimeout} from '../adaptive-timeout.js';
 
 const LEAST = 250;
 const MOST = 1_500;
 
 /** Mean time of an exchange with repeats, when a share of the answers is lost. */
 function meanExchange(lostShare: number, answerMilliseconds: number): number {
-  const bound = new AnswerBound(LEAST, MOST);
+  const bound = new AdaptiveTimeout(LEAST, MOST);
   const random = new SeededRandom(11);
   let total = 0;
   let answered = 0;
@@ -16,11 +16,11 @@
     const isLost = random.nextFraction() < lostShare;
     if (!isLost && answerMilliseconds <= bound.milliseconds) {
       total += answerMilliseconds;
-      bound.noteAnswer(answerMilliseconds);
+      bound.recordResponse(answerMilliseconds);
       answered++;
     } else {
       total += bound.milliseconds;
-      bound.noteSilence();
+      bound.recordTimeout();
     }
   }
   return total / answered;
@@ -39,19 +39,19 @@
   });
 
   it('never waits longer than the longest bound', () => {
-    const bound = new AnswerBound(LEAST, MOST);
-    for (let silence = 0; silence < 20; silence++) bound.noteSilence();
+    const bound = new AdaptiveTimeout(LEAST, MOST);
+    for (let silence = 0; silence < 20; silence++) bound.recordTimeout();
     assert.equal(bound.milliseconds, MOST);
   });
 
   // Reads that wait for the next record queue up behind large ones. Each that was given up too early left
   // its answer to be sent for nothing, and the next one was given up as early.
   it('waits longer for answers after silence, and as before once one has come', () => {
-    const bound = new AnswerBound(LEAST, MOST);
-    bound.noteSilence();
-    bound.noteSilence();
+    const bound = new AdaptiveTimeout(LEAST, MOST);
+    bound.recordTimeout();
+    bound.recordTimeout();
     assert.equal(bound.milliseconds, 4 * LEAST);
-    bound.noteWaitedAnswer();
+    bound.recordDelayedResponse();
     assert.equal(bound.milliseconds, LEAST);
   });
 });
--- a/packages/scheduling/src/__tests__/order-window.test.ts
+++ b/packages/scheduling/src/__tests__/order-concurrency-limiter.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {OrderWindow} from '../order-window.js';
+import {OrderConcurrencyLimiter} from '../order-concurrency-limiter.js';
 
 /** What was seen of a coordinator that was asked for more orders than it gives. */
 interface Flow {
@@ -10,7 +10,7 @@
 
 /** Orders go out one after the other, `perSecond` of them; as many as the window takes are always wanted. */
 function overload(perSecond: number, seconds: number): Flow {
-  const window = new OrderWindow();
+  const window = new OrderConcurrencyLimiter();
   const waits: number[] = [];
   const queue: number[] = [];
   const each = 1_000 / perSecond;
@@ -22,7 +22,7 @@
     const decidedAt = queue.shift() ?? now;
     waits.push(now - decidedAt);
     window.end();
-    window.noteAnswer(now - decidedAt, now);
+    window.recordResponse(now - decidedAt, now);
   }
   return {waits};
 }
@@ -51,13 +51,13 @@
   // A round of placement orders 250 tasks at once on a strong VM, again and again. The last ones are
   // answered after 170 ms, and a bound that fell for that left two thirds of the pool's room idle.
   it('does not take bursts for a link that is full', () => {
-    const window = new OrderWindow();
+    const window = new OrderConcurrencyLimiter();
     for (let burst = 0; burst < 50; burst++) {
       let given = 0;
       for (; given < 250 && window.allows(1); given++) window.begin();
       assert.equal(given, 250, `burst ${burst}`);
       for (let answer = 1; answer <= given; answer++) {
-        window.noteAnswer(answer / 1.5, 200 * burst + answer / 1.5);
+        window.recordResponse(answer / 1.5, 200 * burst + answer / 1.5);
         window.end();
       }
     }
@@ -65,18 +65,18 @@
 
   // A gang starts together or not at all; held back for being larger than the bound it would never start.
   it('takes a gang of any size while nothing else is under way', () => {
-    const window = new OrderWindow();
+    const window = new OrderConcurrencyLimiter();
     assert.ok(window.allows(10_000));
     window.begin();
     assert.ok(!window.allows(10_000));
   });
 
   it('grows while answers are quick and it is used', () => {
-    const window = new OrderWindow();
+    const window = new OrderConcurrencyLimiter();
     let underWay = 0;
     for (let order = 0; order < 3_000; order++) {
       for (; window.allows(1); underWay++) window.begin();
-      window.noteAnswer(5, order);
+      window.recordResponse(5, order);
       window.end();
       underWay--;
     }
--- a/packages/scheduling/src/__tests__/placement.test.ts
+++ b/packages/scheduling/src/__tests__/placement.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {PLAIN_STEP, type StepSpecification} from '@gentiandoor/jobs';
-import {LeaseClock, longestLease} from '../lease-clock.js';
+import {LeaseClock, worstCaseLeaseMilliseconds} from '../lease-clock.js';
 import {FullestFirst} from '../worker-choice.js';
-import type {PlacementWorker} from '../worker-room.js';
+import type {PlacementWorker} from '../placement-worker.js';
 
 const STEP: StepSpecification = {...PLAIN_STEP, processorMillicores: 2_000};
 
@@ -19,13 +19,13 @@
     freeMegabytes: 1_000,
     freeAccelerators: 0,
     totalMillicores: 10_000,
-    servingTasks: 0,
+    latencySensitiveTaskCount: 0,
     bestEffortTasks: 0,
     tasks: 0,
-    trust: 1,
-    countOf: () => 0,
+    reliability: 1,
+    taskCountOfStep: () => 0,
     isolatedJob: () => undefined,
-    hasUnprovenOther: () => false,
+    hasCrashRiskFromOtherJob: () => false,
     ...differences,
   };
 }
@@ -41,7 +41,7 @@
       stepKey: 's',
       step: {...STEP, ...step},
       job: 'a',
-      avoid: {workers: new Set(avoid), isBarred: true},
+      avoid: {workers: new Set(avoid), isMandatory: true},
       isIsolated,
       now: 0,
     },
@@ -59,7 +59,7 @@
   it('takes no worker without room, label or trust in the step’s bound', () => {
     assert.equal(choose([worker('full', {freeMillicores: 1_000})]), undefined);
     assert.equal(choose([worker('other')], {requiredLabel: 'gpu'}), undefined);
-    const crowded = worker('crowded', {countOf: () => 1});
+    const crowded = worker('crowded', {taskCountOfStep: () => 1});
     assert.equal(choose([crowded], {maximumPerWorker: 1}), undefined);
   });
 
@@ -80,7 +80,7 @@
   it('keeps a task apart that may crash its worker', () => {
     const used = worker('used', {
       freeMillicores: 3_000,
-      hasUnprovenOther: () => true,
+      hasCrashRiskFromOtherJob: () => true,
     });
     assert.equal(choose([used, worker('empty')], {}, [], true), 'empty');
     assert.equal(choose([used], {}, [], true), undefined);
@@ -95,7 +95,10 @@
   });
 
   it('puts best-effort tasks where the least serves', () => {
-    const workers = [worker('serving', {servingTasks: 2}), worker('quiet')];
+    const workers = [
+      worker('serving', {latencySensitiveTaskCount: 2}),
+      worker('quiet'),
+    ];
     assert.equal(choose(workers, {bestEffort: true}), 'quiet');
   });
 });
@@ -105,9 +108,12 @@
   it('does not call a lease over before it is on the slowest clock', () => {
     const lease = new LeaseClock();
     lease.observe(50_000, 1_000);
-    lease.noteGiven(lease.leaseEnd(1_000, 8_000));
+    lease.recordGrant(lease.leaseEnd(1_000, 8_000));
     assert.equal(lease.hasLapsed(1_000 + 8_000), false);
-    assert.equal(lease.hasLapsed(1_000 + longestLease(8_000) + 1), true);
+    assert.equal(
+      lease.hasLapsed(1_000 + worstCaseLeaseMilliseconds(8_000) + 1),
+      true,
+    );
   });
 
   it('never calls a lease over on a worker that was not heard of', () => {
--- a/packages/scheduling/src/__tests__/pool-plan.test.ts
+++ b/packages/scheduling/src/__tests__/pool-plan.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {DemandMeter} from '../demand-meter.js';
+import {ArrivalRateEstimator} from '../arrival-rate-estimator.js';
 import {
   DEFAULT_POOL_PLAN,
   planPools,
@@ -8,7 +8,7 @@
   type PlannedVm,
   type PoolPlanOptions,
 } from '../pool-plan.js';
-import {vmsForSpread} from '../spread-need.js';
+import {vmsForSpreadConstraint} from '../spread-constraint.js';
 
 const VM_MILLICORES = 64_000;
 
@@ -21,7 +21,7 @@
     name: `${prefix}-${index}`,
     millicores: VM_MILLICORES,
     idleMilliseconds,
-    emptying: false,
+    isCordoned: false,
     usedMillicores: 0,
   }));
 }
@@ -33,11 +33,11 @@
     usedMillicores: 0,
     waitingMillicores: 0,
     waitingMilliseconds: 0,
-    arrivingMillicores: 0,
-    chanceMillicores: 0,
-    spreadVms: 0,
-    arriving: 0,
-    usable: 0,
+    offeredLoadMillicores: 0,
+    standardErrorMillicores: 0,
+    spreadConstraintVms: 0,
+    incomingVms: 0,
+    usableVms: 0,
     vms: [],
     vmMillicores: VM_MILLICORES,
     ...differences,
@@ -58,7 +58,7 @@
 function playTurn(options: PoolPlanOptions): {late: number; vmSeconds: number} {
   const coming: number[] = [];
   const running: number[] = [];
-  const meter = new DemandMeter();
+  const meter = new ArrivalRateEstimator();
   let waiting: number[] = [];
   let late = 0;
   let vmSeconds = 0;
@@ -69,7 +69,7 @@
     const jobs = (TURN_VMS * STEP_MILLISECONDS) / 1_000;
     for (let job = 0; job < jobs; job++) {
       waiting.push(now);
-      meter.note(VM_MILLICORES * ESTIMATE_MILLISECONDS, now);
+      meter.observe(VM_MILLICORES * ESTIMATE_MILLISECONDS, now);
     }
     const inTime = (at: number) => now - at <= PATIENCE_MILLISECONDS;
     // No VM that is ordered for it can be there for what comes before.
@@ -82,17 +82,17 @@
       running.push(now + JOB_MILLISECONDS);
     }
     const turn = pool({
-      usable,
-      arriving: coming.filter(at => at > now).length,
+      usableVms: usable,
+      incomingVms: coming.filter(at => at > now).length,
       usedMillicores: running.length * VM_MILLICORES,
       waitingMillicores: waiting.length * VM_MILLICORES,
-      arrivingMillicores: meter.millicores(now),
-      chanceMillicores: meter.chanceMillicores(now),
+      offeredLoadMillicores: meter.offeredLoadMillicores(now),
+      standardErrorMillicores: meter.standardErrorMillicores(now),
     });
     const spare = pool({
       service: 'spare',
       standby: true,
-      vms: vms(`spare-${now}`, 250 - usable - turn.arriving, 60_000),
+      vms: vms(`spare-${now}`, 250 - usable - turn.incomingVms, 60_000),
     });
     const {moves} = planPools([turn, spare], options);
     coming.push(...moves.map(() => now + LEAD_MILLISECONDS));
@@ -111,18 +111,21 @@
   const step = {waiting: 4, running: 8, maximumPerWorker: 2};
 
   it('counts what runs and what waits of a step, at so many on a VM', () => {
-    assert.equal(vmsForSpread([step]), 6);
-    assert.equal(vmsForSpread([{...step, waiting: 3}]), 6);
+    assert.equal(vmsForSpreadConstraint([step]), 6);
+    assert.equal(vmsForSpreadConstraint([{...step, waiting: 3}]), 6);
   });
 
   it('is the need of the widest step, since steps share VMs', () => {
-    assert.equal(vmsForSpread([step, {...step, maximumPerWorker: 1}]), 12);
+    assert.equal(
+      vmsForSpreadConstraint([step, {...step, maximumPerWorker: 1}]),
+      12,
+    );
   });
 
   it('is nothing where nothing waits or all may share a VM', () => {
-    assert.equal(vmsForSpread([{...step, waiting: 0}]), 0);
-    assert.equal(vmsForSpread([{...step, maximumPerWorker: 0}]), 0);
-    assert.equal(vmsForSpread([]), 0);
+    assert.equal(vmsForSpreadConstraint([{...step, waiting: 0}]), 0);
+    assert.equal(vmsForSpreadConstraint([{...step, maximumPerWorker: 0}]), 0);
+    assert.equal(vmsForSpreadConstraint([]), 0);
   });
 });
 
@@ -131,7 +134,10 @@
     // Callers of the first second wait for a move's time when VMs are fetched only once all are
     // full. Work that arrives for five VMs is reason enough, before anything waits.
     it('fetches VMs before any work waits', () => {
-      const quotes = pool({usable: 2, arrivingMillicores: 5 * VM_MILLICORES});
+      const quotes = pool({
+        usableVms: 2,
+        offeredLoadMillicores: 5 * VM_MILLICORES,
+      });
       const {moves} = planPools([quotes, SPARE]);
       // Five for what arrives, three for what gathers until they come.
       const wanted =
@@ -144,9 +150,9 @@
     // the time they come, and each move ends what it was worth.
     it('fetches nothing more for what may be chance', () => {
       const quotes = pool({
-        usable: 4,
-        arrivingMillicores: 5 * VM_MILLICORES,
-        chanceMillicores: 2 * VM_MILLICORES,
+        usableVms: 4,
+        offeredLoadMillicores: 5 * VM_MILLICORES,
+        standardErrorMillicores: 2 * VM_MILLICORES,
       });
       const wanted =
         Math.ceil(5 * DEFAULT_POOL_PLAN.headroom) + DEFAULT_POOL_PLAN.spareVms;
@@ -155,9 +161,9 @@
 
     it('does not fetch again what is on its way', () => {
       const quotes = pool({
-        usable: 2,
-        arriving: 9,
-        arrivingMillicores: 5 * VM_MILLICORES,
+        usableVms: 2,
+        incomingVms: 9,
+        offeredLoadMillicores: 5 * VM_MILLICORES,
       });
       assert.deepEqual(planPools([quotes, SPARE]).moves, []);
     });
@@ -188,13 +194,13 @@
     it('gives the idle VMs of the last queue to the next one', () => {
       const last = pool({
         service: 'last',
-        usable: 7,
+        usableVms: 7,
         vms: vms('last', 7, 400),
       });
       const next = pool({
         service: 'next',
-        usable: 1,
-        arrivingMillicores: 3 * VM_MILLICORES,
+        usableVms: 1,
+        offeredLoadMillicores: 3 * VM_MILLICORES,
       });
       const {moves} = planPools([last, next, SPARE]);
       const given = moves.filter(move => move.to === 'next');
@@ -205,12 +211,12 @@
     });
 
     it('sends no VM to the spare pool before it has idled for a move’s worth', () => {
-      const last = pool({usable: 6, vms: vms('last', 6, 400)});
+      const last = pool({usableVms: 6, vms: vms('last', 6, 400)});
       assert.deepEqual(planPools([last, SPARE]).moves, []);
     });
 
     it('keeps the VMs that the pool wants', () => {
-      const last = pool({usable: 6, vms: vms('last', 6, 5_000)});
+      const last = pool({usableVms: 6, vms: vms('last', 6, 5_000)});
       const {moves} = planPools([last, SPARE]);
       assert.equal(moves.length, 6 - DEFAULT_POOL_PLAN.spareVms);
     });
@@ -221,9 +227,9 @@
     // made a difference to the size, so they waited for ever.
     it('fetches one VM after a while', () => {
       const quotes = pool({
-        usable: 6,
+        usableVms: 6,
         waitingMillicores: 5_000,
-        waitingMilliseconds: DEFAULT_POOL_PLAN.longestWaitMilliseconds,
+        waitingMilliseconds: DEFAULT_POOL_PLAN.maximumWaitMilliseconds,
       });
       const {moves} = planPools([quotes, SPARE]);
       assert.equal(moves.length, 1);
@@ -236,30 +242,30 @@
     it('empties VMs of the late backlog for a queue that can be in time', () => {
       const late = pool({
         service: 'late',
-        usable: 10,
+        usableVms: 10,
         usedMillicores: 0,
         vms: vms('late', 10, undefined),
       });
       const next = pool({
         service: 'next',
-        usable: 1,
-        arrivingMillicores: 4 * VM_MILLICORES,
+        usableVms: 1,
+        offeredLoadMillicores: 4 * VM_MILLICORES,
       });
-      const {moves, empty} = planPools([late, next]);
+      const {moves, cordon: empty} = planPools([late, next]);
       assert.deepEqual(moves, []);
       // Seven for the work and what gathers of it, with headroom eight: all that the pool has but its spare ones.
       assert.equal(empty.length, 10 - DEFAULT_POOL_PLAN.spareVms);
     });
 
     it('leaves them alone while nobody lacks VMs', () => {
-      const late = pool({usable: 10, vms: vms('late', 10, undefined)});
-      assert.deepEqual(planPools([late, SPARE]).empty, []);
+      const late = pool({usableVms: 10, vms: vms('late', 10, undefined)});
+      assert.deepEqual(planPools([late, SPARE]).cordon, []);
     });
   });
 
   // In a fleet of 250 VMs a turn needs a hundred and more; a part of them at a time comes too late for it.
   it('fetches as large a part of a large fleet', () => {
-    const quotes = pool({arrivingMillicores: 120 * VM_MILLICORES});
+    const quotes = pool({offeredLoadMillicores: 120 * VM_MILLICORES});
     const spare = pool({
       service: 'spare',
       standby: true,
@@ -270,7 +276,7 @@
 
   it('shares few VMs between queues that lack as many', () => {
     const lacking = (service: string) =>
-      pool({service, arrivingMillicores: 20 * VM_MILLICORES});
+      pool({service, offeredLoadMillicores: 20 * VM_MILLICORES});
     const {moves} = planPools([lacking('one'), lacking('two'), SPARE]);
     assert.equal(moves.filter(move => move.to === 'one').length, 5);
     assert.equal(moves.filter(move => move.to === 'two').length, 5);
@@ -278,13 +284,13 @@
 
   describe('when a turn asks for more than the whole fleet', () => {
     const turn = pool({
-      usable: 6,
+      usableVms: 6,
       usedMillicores: 6 * VM_MILLICORES,
       waitingMillicores: 8 * VM_MILLICORES,
     });
     const atRest = pool({
       service: 'at-rest',
-      usable: 2,
+      usableVms: 2,
       vms: vms('at-rest', 2, 5_000),
     });
 
@@ -310,7 +316,7 @@
       const rising = {
         ...turn,
         waitingMillicores: 0,
-        arrivingMillicores: 9 * VM_MILLICORES,
+        offeredLoadMillicores: 9 * VM_MILLICORES,
       };
       assert.deepEqual(planPools([rising, atRest]).moves, []);
     });
@@ -319,11 +325,11 @@
   it('never takes a VM twice', () => {
     const one = pool({
       service: 'one',
-      arrivingMillicores: 20 * VM_MILLICORES,
+      offeredLoadMillicores: 20 * VM_MILLICORES,
     });
     const two = pool({
       service: 'two',
-      arrivingMillicores: 20 * VM_MILLICORES,
+      offeredLoadMillicores: 20 * VM_MILLICORES,
     });
     const {moves} = planPools([one, two, SPARE]);
     assert.equal(new Set(moves.map(move => move.vm)).size, moves.length);
--- a/packages/scheduling/src/__tests__/waiting-order.test.ts
+++ b/packages/scheduling/src/__tests__/waiting-order.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {SeededRandom} from '@gentiandoor/kernel';
-import {chanceOf, compareWaitingJobs, rankOf} from '../job-order.js';
+import {feasibilityOf, compareWaitingJobs, rankOf} from '../job-order.js';
 import {orderWaiting, type WaitingWork} from '../waiting-order.js';
 
 const MILLICORES = 1_000;
@@ -48,13 +48,13 @@
   const job = {
     priority: 0,
     dueAt: asked.at + objective,
-    lateUntil: asked.at + 3 * objective,
-    remainingChain: asked.estimated,
+    expiresAt: asked.at + 3 * objective,
+    remainingCriticalPathMilliseconds: asked.estimated,
   };
   return {
     ...job,
-    rank: rankOf(chanceOf(job, now), false),
-    remainingWork: asked.millicores * asked.estimated,
+    rank: rankOf(feasibilityOf(job, now), false),
+    remainingMillicoreMilliseconds: asked.millicores * asked.estimated,
     asked,
   };
 }
@@ -91,7 +91,7 @@
 const planned: Order = (jobs, now) =>
   orderWaiting(
     jobs,
-    {usableMillicores: MILLICORES, arrivingMillicores: 0},
+    {usableMillicores: MILLICORES, incomingMillicores: 0},
     now,
   );
 const byLatestStart: Order = jobs => [...jobs].sort(compareWaitingJobs);
@@ -132,7 +132,7 @@
         0,
       ),
     );
-    const room = {usableMillicores: 100, arrivingMillicores: 50_000};
+    const room = {usableMillicores: 100, incomingMillicores: 50_000};
     const ordered = orderWaiting(jobs, room, 0);
     assert.deepEqual(ordered, [...jobs].sort(compareWaitingJobs));
   });
--- a/packages/scheduling/src/__tests__/wave-plan.test.ts
+++ b/packages/scheduling/src/__tests__/wave-plan.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {planWave, type DueVm, type WaveStanding} from '../wave-plan.js';
+import {planWave, type DueVm, type WaveStatus} from '../wave-plan.js';
 
 function due(count: number, differences: Partial<DueVm> = {}): DueVm[] {
   return Array.from({length: count}, (_, index) => ({
     name: `vm-${index}`,
     idle: true,
-    emptying: false,
+    isEvacuating: false,
     shortTasks: 0,
     longRunningTasks: 0,
     inDemand: false,
@@ -14,14 +14,14 @@
   }));
 }
 
-function standing(differences: Partial<WaveStanding>): WaveStanding {
+function standing(differences: Partial<WaveStatus>): WaveStatus {
   return {
     due: due(16),
-    away: 0,
+    inMaintenance: 0,
     maximumAtOnce: 8,
-    leftMilliseconds: 24_000,
+    remainingMilliseconds: 24_000,
     maintenanceMilliseconds: 3_000,
-    workWaits: false,
+    hasWaitingWork: false,
     ...differences,
   };
 }
@@ -32,16 +32,18 @@
     const step = planWave(standing({}));
     assert.ok(step.maintain.length > 0);
     assert.ok(step.maintain.length < 8);
-    assert.deepEqual(step.empty, []);
+    assert.deepEqual(step.evacuate, []);
   });
 
   it('takes none while work waits and there is time', () => {
-    const step = planWave(standing({workWaits: true, due: due(8)}));
+    const step = planWave(standing({hasWaitingWork: true, due: due(8)}));
     assert.deepEqual(step.maintain, []);
   });
 
   it('never goes over the bound of VMs at once', () => {
-    const step = planWave(standing({away: 7, leftMilliseconds: 1_000}));
+    const step = planWave(
+      standing({inMaintenance: 7, remainingMilliseconds: 1_000}),
+    );
     assert.equal(step.maintain.length, 1);
   });
 
@@ -51,9 +53,9 @@
       ...due(1, {name: 'short', idle: false, shortTasks: 3}),
     ];
     const step = planWave(
-      standing({due: busy, maximumAtOnce: 1, leftMilliseconds: 8_000}),
+      standing({due: busy, maximumAtOnce: 1, remainingMilliseconds: 8_000}),
     );
-    assert.deepEqual(step.empty, ['short']);
+    assert.deepEqual(step.evacuate, ['short']);
   });
 
   // A burst is served by the very VMs that the wave would empty.
@@ -63,14 +65,14 @@
       ...due(1, {name: 'other', idle: false, longRunningTasks: 1}),
     ];
     const step = planWave(
-      standing({due: busy, maximumAtOnce: 1, leftMilliseconds: 8_000}),
+      standing({due: busy, maximumAtOnce: 1, remainingMilliseconds: 8_000}),
     );
-    assert.deepEqual(step.empty, ['other']);
+    assert.deepEqual(step.evacuate, ['other']);
   });
 
   it('goes on emptying what it has begun to empty', () => {
-    const busy = due(2, {idle: false, emptying: true, longRunningTasks: 1});
+    const busy = due(2, {idle: false, isEvacuating: true, longRunningTasks: 1});
     const step = planWave(standing({due: busy}));
-    assert.equal(step.empty.length, 2);
+    assert.equal(step.evacuate.length, 2);
   });
 });
--- a/packages/scheduling/src/answer-bound.ts
+++ b/packages/scheduling/src/adaptive-timeout.ts
@@ -1,5 +1,5 @@
 /** Weight of the newest response time in the moving average. */
-const NEWEST_SHARE = 0.15;
+const SMOOTHING_FACTOR = 0.15;
 /** The timeout as a multiple of the mean response time. */
 const MEAN_FACTOR = 4;
 
@@ -10,37 +10,39 @@
  * milliseconds. A bound that was reached doubles the next ones until an answer comes, so that a
  * store that is only slow is waited for.
  */
-export class AnswerBound {
-  private mean = 0;
+export class AdaptiveTimeout {
+  private movingAverageMilliseconds = 0;
   private doublings = 0;
 
   constructor(
-    private readonly leastMilliseconds: number,
-    private readonly mostMilliseconds: number,
+    private readonly minimumMilliseconds: number,
+    private readonly maximumMilliseconds: number,
   ) {}
 
   /** How long to wait for the next answer. */
   get milliseconds(): number {
-    const bound = this.leastMilliseconds + MEAN_FACTOR * this.mean;
-    return Math.min(this.mostMilliseconds, bound * 2 ** this.doublings);
+    const bound =
+      this.minimumMilliseconds + MEAN_FACTOR * this.movingAverageMilliseconds;
+    return Math.min(this.maximumMilliseconds, bound * 2 ** this.doublings);
   }
 
   /** Mean of the last answers. */
-  get meanMilliseconds(): number {
-    return this.mean;
+  get meanResponseMilliseconds(): number {
+    return this.movingAverageMilliseconds;
   }
 
-  noteAnswer(milliseconds: number): void {
-    this.mean += NEWEST_SHARE * (milliseconds - this.mean);
+  recordResponse(milliseconds: number): void {
+    this.movingAverageMilliseconds +=
+      SMOOTHING_FACTOR * (milliseconds - this.movingAverageMilliseconds);
     this.doublings = 0;
   }
 
   /** An answer came that had waited for something else: it says that there are answers, not how fast. */
-  noteWaitedAnswer(): void {
+  recordDelayedResponse(): void {
     this.doublings = 0;
   }
 
-  noteSilence(): void {
-    if (this.milliseconds < this.mostMilliseconds) this.doublings++;
+  recordTimeout(): void {
+    if (this.milliseconds < this.maximumMilliseconds) this.doublings++;
   }
 }
--- a/packages/scheduling/src/demand-meter.ts
+++ b/packages/scheduling/src/arrival-rate-estimator.ts
@@ -4,7 +4,7 @@
 const WINDOW_BUCKETS = 2 * HALF_WINDOW_BUCKETS;
 const WINDOW_MILLISECONDS = WINDOW_BUCKETS * BUCKET_MILLISECONDS;
 /** A rising rate is extrapolated at most to this multiple. */
-const MOST_GROWTH = 2;
+const MAXIMUM_GROWTH = 2;
 
 interface Bucket {
   work: number;
@@ -16,11 +16,11 @@
  * Load: queues that ask by turns for several times their mean. Without it a pool is enlarged only
  * when its VMs are full, and the VMs arrive a move's time later than they could.
  */
-export class DemandMeter {
+export class ArrivalRateEstimator {
   private readonly buckets = new Map<number, Bucket>();
 
   /** `work`: millicores times milliseconds of the tasks of a job that has come. */
-  note(work: number, now: number): void {
+  observe(work: number, now: number): void {
     const index = Math.floor(now / BUCKET_MILLISECONDS);
     const bucket = this.buckets.get(index) ?? {work: 0, jobs: 0};
     bucket.work += work;
@@ -29,14 +29,14 @@
   }
 
   /** Millicores by which the rate lies off by chance: so many jobs come like that anyway. */
-  chanceMillicores(now: number): number {
+  standardErrorMillicores(now: number): number {
     const newest = Math.floor(now / BUCKET_MILLISECONDS);
     const {work, jobs} = this.between(newest - WINDOW_BUCKETS, newest);
     return work / Math.sqrt(Math.max(1, jobs)) / WINDOW_MILLISECONDS;
   }
 
   /** Millicores that work which arrives at the present rate keeps busy. */
-  millicores(now: number): number {
+  offeredLoadMillicores(now: number): number {
     const newest = Math.floor(now / BUCKET_MILLISECONDS);
     this.forget(newest - WINDOW_BUCKETS);
     const recent = this.between(newest - HALF_WINDOW_BUCKETS, newest);
@@ -52,7 +52,7 @@
     // So many more jobs come by chance: with ten a second every other half looks like a rise.
     const byChance = perJob * Math.sqrt(jobs);
     const rising = Math.max(0, recent.work - before.work - byChance);
-    const most = MOST_GROWTH * certain;
+    const most = MAXIMUM_GROWTH * certain;
     return Math.min(most, certain + 2 * rising) / WINDOW_MILLISECONDS;
   }
 
--- a/packages/scheduling/src/best-effort-pace.ts
+++ b/packages/scheduling/src/best-effort-speed-controller.ts
@@ -1,5 +1,5 @@
 /** Share of the target above which best-effort work is slowed down. */
-const GIVE_WAY_RATIO = 0.85;
+const THROTTLE_RATIO = 0.85;
 /** Share of the target below which best-effort work is sped up again. */
 const RECOVER_RATIO = 0.6;
 const FULL_PERCENT = 100;
@@ -8,7 +8,7 @@
 /** Percent of one step up; smaller than a step down to avoid oscillation. */
 const RECOVER_STEP_PERCENT = 15;
 /** Percent below which the work is paused. */
-const LEAST_PERCENT = 5;
+const MINIMUM_PERCENT = 5;
 
 /**
  * Speed of the best-effort tasks on one worker.
@@ -16,7 +16,7 @@
  * seconds. Without it the response times of what serves stay over their target while batch work
  * goes on at full speed.
  */
-export class BestEffortPace {
+export class BestEffortSpeedController {
   private current = FULL_PERCENT;
 
   get percent(): number {
@@ -25,14 +25,14 @@
 
   /** `worstRatio`: largest tail against its target among the serving tasks beside; 0 for none. */
   update(worstRatio: number): number {
-    if (worstRatio > GIVE_WAY_RATIO) this.slowDown();
+    if (worstRatio > THROTTLE_RATIO) this.slowDown();
     else if (worstRatio < RECOVER_RATIO) this.speedUp();
     return this.current;
   }
 
   private slowDown(): void {
     const slower = Math.floor(this.current * BACK_OFF_FACTOR);
-    this.current = slower < LEAST_PERCENT ? 0 : slower;
+    this.current = slower < MINIMUM_PERCENT ? 0 : slower;
   }
 
   private speedUp(): void {
--- a/packages/scheduling/src/duration-model.ts
+++ b/packages/scheduling/src/duration-model.ts
@@ -1,9 +1,9 @@
 /** Number of recent runs in the regression. */
-const MEMORY_RUNS = 200;
+const MAXIMUM_SAMPLE_WEIGHT = 200;
 /** Minimum number of runs before estimates are corrected. */
-const LEAST_RUNS = 12;
+const MINIMUM_RUNS = 12;
 /** Lower limit of estimates and run times, which enter as logarithms. */
-const LEAST_MILLISECONDS = 1;
+const MINIMUM_MILLISECONDS = 1;
 
 /** What a model has learned, for a successor. */
 export interface DurationSnapshot {
@@ -53,10 +53,10 @@
   }
 
   /** Notes a run that ended well. */
-  note(estimatedMilliseconds: number, actualMilliseconds: number): void {
+  observe(estimatedMilliseconds: number, actualMilliseconds: number): void {
     const estimate = logarithm(estimatedMilliseconds);
     const actual = logarithm(actualMilliseconds);
-    this.weight = Math.min(this.weight + 1, MEMORY_RUNS);
+    this.weight = Math.min(this.weight + 1, MAXIMUM_SAMPLE_WEIGHT);
     const share = 1 / this.weight;
     const beforeEstimate = estimate - this.meanEstimate;
     const beforeActual = actual - this.meanActual;
@@ -71,17 +71,17 @@
   }
 
   /** Run time that half of the tasks with this estimate exceed, in milliseconds. */
-  expected(estimatedMilliseconds: number): number {
-    if (this.weight < LEAST_RUNS) return estimatedMilliseconds;
+  medianMilliseconds(estimatedMilliseconds: number): number {
+    if (this.weight < MINIMUM_RUNS) return estimatedMilliseconds;
     const slope = this.slope();
     const distance = logarithm(estimatedMilliseconds) - this.meanEstimate;
     return Math.exp(this.meanActual + slope * distance);
   }
 
   /** Mean run time of the tasks with this estimate, in milliseconds: what room is needed for. */
-  mean(estimatedMilliseconds: number): number {
-    const median = this.expected(estimatedMilliseconds);
-    if (this.weight < LEAST_RUNS) return median;
+  meanMilliseconds(estimatedMilliseconds: number): number {
+    const median = this.medianMilliseconds(estimatedMilliseconds);
+    if (this.weight < MINIMUM_RUNS) return median;
     // Of figures whose logarithms spread evenly the mean lies above the middle by half their variance.
     const unexplained = Math.max(
       0,
@@ -97,5 +97,5 @@
 }
 
 function logarithm(milliseconds: number): number {
-  return Math.log(Math.max(LEAST_MILLISECONDS, milliseconds));
+  return Math.log(Math.max(MINIMUM_MILLISECONDS, milliseconds));
 }
--- a/packages/scheduling/src/isolation.ts
+++ b/packages/scheduling/src/isolation.ts
@@ -1,12 +1,12 @@
 /** A task that has run so long is no longer expected to crash its worker. */
-export const PROVEN_MILLISECONDS = 1_000;
+export const CRASH_RISK_MILLISECONDS = 1_000;
 /** Crashes of workers under a task from which on it is kept apart. */
 const CRASHES_TO_ISOLATE = 2;
 /** In a pool that stays full a task that is kept apart would wait for good. */
-const MOST_WAIT_MILLISECONDS = 4_000;
+const MAXIMUM_ISOLATION_WAIT_MILLISECONDS = 4_000;
 /** A task with so many crashes is given up with the next one, whichever task causes it. */
-const CRASHES_TO_INSIST = 4;
-const MOST_INSISTENT_WAIT_MILLISECONDS = 10_000;
+const CRASHES_FOR_EXTENDED_ISOLATION = 4;
+const EXTENDED_ISOLATION_WAIT_MILLISECONDS = 10_000;
 
 /**
  * Whether a task starts apart from other jobs' tasks that may crash a worker too, `waitedMilliseconds`
@@ -19,13 +19,16 @@
   waitedMilliseconds: number,
 ): boolean {
   const mostWait =
-    crashes >= CRASHES_TO_INSIST
-      ? MOST_INSISTENT_WAIT_MILLISECONDS
-      : MOST_WAIT_MILLISECONDS;
+    crashes >= CRASHES_FOR_EXTENDED_ISOLATION
+      ? EXTENDED_ISOLATION_WAIT_MILLISECONDS
+      : MAXIMUM_ISOLATION_WAIT_MILLISECONDS;
   return crashes >= CRASHES_TO_ISOLATE && waitedMilliseconds < mostWait;
 }
 
 /** Whether a run that began at `beganAt`, undefined for not yet, may still crash its worker. */
-export function isUnproven(beganAt: number | undefined, now: number): boolean {
-  return beganAt === undefined || now - beganAt < PROVEN_MILLISECONDS;
+export function mayCrashWorker(
+  beganAt: number | undefined,
+  now: number,
+): boolean {
+  return beganAt === undefined || now - beganAt < CRASH_RISK_MILLISECONDS;
 }
--- a/packages/scheduling/src/job-order.ts
+++ b/packages/scheduling/src/job-order.ts
@@ -5,46 +5,52 @@
   /** When its objective ends. */
   readonly dueAt: number;
   /** Until when it still counts as late; after that nobody waits for it. */
-  readonly lateUntil: number;
+  readonly expiresAt: number;
   /** Expected time of its longest chain of open steps. */
-  readonly remainingChain: number;
+  readonly remainingCriticalPathMilliseconds: number;
 }
 
 /** What a waiting job can still reach. */
-export enum Chance {
+export enum DeadlineFeasibility {
   InTime = 'in_time',
   /** Late, and lost unless it starts soon. */
-  LastCall = 'last_call',
+  AboutToExpire = 'last_call',
   Late = 'late',
   /** Too late for anybody. */
-  Lost = 'lost',
+  Infeasible = 'lost',
 }
 
 /** A late job gets priority when it would expire within this time. */
-const LAST_CALL_MILLISECONDS = 700;
+const ABOUT_TO_EXPIRE_MILLISECONDS = 700;
 
-const CHANCE_RANKS: Readonly<Record<Chance, number>> = {
-  [Chance.InTime]: 1,
-  [Chance.LastCall]: 1.5,
-  [Chance.Late]: 2,
-  [Chance.Lost]: 3,
+const FEASIBILITY_RANKS: Readonly<Record<DeadlineFeasibility, number>> = {
+  [DeadlineFeasibility.InTime]: 1,
+  [DeadlineFeasibility.AboutToExpire]: 1.5,
+  [DeadlineFeasibility.Late]: 2,
+  [DeadlineFeasibility.Infeasible]: 3,
 };
 /** Rank of a job that may go ahead of all others. */
 const FIRST_RANK = 0;
 
 /** What a job can still reach when it starts now. */
-export function chanceOf(job: WaitingJob, now: number): Chance {
-  const earliestEnd = now + job.remainingChain;
-  if (earliestEnd <= job.dueAt) return Chance.InTime;
-  if (earliestEnd > job.lateUntil) return Chance.Lost;
-  return earliestEnd + LAST_CALL_MILLISECONDS > job.lateUntil
-    ? Chance.LastCall
-    : Chance.Late;
+export function feasibilityOf(
+  job: WaitingJob,
+  now: number,
+): DeadlineFeasibility {
+  const earliestEnd = now + job.remainingCriticalPathMilliseconds;
+  if (earliestEnd <= job.dueAt) return DeadlineFeasibility.InTime;
+  if (earliestEnd > job.expiresAt) return DeadlineFeasibility.Infeasible;
+  return earliestEnd + ABOUT_TO_EXPIRE_MILLISECONDS > job.expiresAt
+    ? DeadlineFeasibility.AboutToExpire
+    : DeadlineFeasibility.Late;
 }
 
 /** Rank of a job among all that wait; the lowest goes first. `goesFirst`: ahead of all others, whatever it can reach. */
-export function rankOf(chance: Chance, goesFirst: boolean): number {
-  return goesFirst ? FIRST_RANK : CHANCE_RANKS[chance];
+export function rankOf(
+  chance: DeadlineFeasibility,
+  goesFirst: boolean,
+): number {
+  return goesFirst ? FIRST_RANK : FEASIBILITY_RANKS[chance];
 }
 
 /** A waiting job with its rank. */
@@ -67,5 +73,5 @@
 
 /** When a job must start at the latest to meet its objective. */
 export function latestStart(job: WaitingJob): number {
-  return job.dueAt - job.remainingChain;
+  return job.dueAt - job.remainingCriticalPathMilliseconds;
 }
--- a/packages/scheduling/src/lease-clock.ts
+++ b/packages/scheduling/src/lease-clock.ts
@@ -30,7 +30,7 @@
   }
 
   /** Notes a lease that may have reached the worker, whatever became of the order. */
-  noteGiven(leaseEnd: number): void {
+  recordGrant(leaseEnd: number): void {
     this.latestLeaseEnd = Math.max(this.latestLeaseEnd, leaseEnd);
   }
 
@@ -47,6 +47,6 @@
 }
 
 /** Time after which a lease of `duration`, given by somebody else by now, is over on any worker's clock. */
-export function longestLease(duration: number): number {
+export function worstCaseLeaseMilliseconds(duration: number): number {
   return duration / SLOWEST_CLOCK_RATE;
 }
--- a/packages/scheduling/src/service-turns.ts
+++ b/packages/scheduling/src/least-recently-served-order.ts
@@ -4,23 +4,23 @@
  * is looked at first takes every order that becomes free, and a task of the other one that is to last
  * does not run beside free room.
  */
-export class ServiceTurns {
-  private readonly lastTurn = new Map<string, number>();
+export class LeastRecentlyServedOrder {
+  private readonly lastServed = new Map<string, number>();
   private turns = 0;
 
   /** The services, the one first that has been without a turn for longest. */
   order(services: Iterable<string>): string[] {
     return [...services].sort(
-      (left, right) => this.lastTurnOf(left) - this.lastTurnOf(right),
+      (left, right) => this.lastServedOf(left) - this.lastServedOf(right),
     );
   }
 
   /** The service was given orders. */
-  noteTurn(service: string): void {
-    this.lastTurn.set(service, ++this.turns);
+  recordServed(service: string): void {
+    this.lastServed.set(service, ++this.turns);
   }
 
-  private lastTurnOf(service: string): number {
-    return this.lastTurn.get(service) ?? 0;
+  private lastServedOf(service: string): number {
+    return this.lastServed.get(service) ?? 0;
   }
 }
--- a/packages/scheduling/src/order-window.ts
+++ b/packages/scheduling/src/order-concurrency-limiter.ts
@@ -1,14 +1,14 @@
 /** Response time above which the window shrinks. */
-const SLOW_ANSWER_MILLISECONDS = 100;
+const SLOW_RESPONSE_MILLISECONDS = 100;
 /** Interval over which response times are judged. */
 const INTERVAL_MILLISECONDS = 250;
 /** Lower limit of the window, in orders. */
-const LEAST_ORDERS = 24;
+const MINIMUM_LIMIT = 24;
 /** Initial size of the window, in orders. */
-const FIRST_ORDERS = 384;
-const MOST_ORDERS = 4_000;
+const INITIAL_LIMIT = 384;
+const MAXIMUM_LIMIT = 4_000;
 /** The window shrinks at most to this share at once. */
-const LEAST_KEPT_SHARE = 0.5;
+const MINIMUM_SHRINK_FACTOR = 0.5;
 const GROWTH_FACTOR = 1.25;
 
 /**
@@ -19,50 +19,54 @@
  * bound falls while even the quickest answer of an interval is late, which a burst alone never brings
  * about, and grows while it is used and they are not.
  */
-export class OrderWindow {
-  private underWay = 0;
-  private size = FIRST_ORDERS;
+export class OrderConcurrencyLimiter {
+  private inFlight = 0;
+  private limit = INITIAL_LIMIT;
   private intervalFrom = -Infinity;
-  private quickest = Infinity;
-  private mostUnderWay = 0;
+  private fastestResponseMilliseconds = Infinity;
+  private peakInFlight = 0;
 
   /** Whether `count` orders may be begun together; a gang that is larger than the bound goes alone. */
   allows(count: number): boolean {
-    return this.underWay === 0 || this.underWay + count <= this.size;
+    return this.inFlight === 0 || this.inFlight + count <= this.limit;
   }
 
   /** An order was decided. */
   begin(): void {
-    this.underWay++;
-    this.mostUnderWay = Math.max(this.mostUnderWay, this.underWay);
+    this.inFlight++;
+    this.peakInFlight = Math.max(this.peakInFlight, this.inFlight);
   }
 
   /** Its fate is known. */
   end(): void {
-    this.underWay--;
+    this.inFlight--;
   }
 
   /** A worker answered at once, as far as it is concerned, and the answer came after `milliseconds`. */
-  noteAnswer(milliseconds: number, now: number): void {
-    this.quickest = Math.min(this.quickest, milliseconds);
+  recordResponse(milliseconds: number, now: number): void {
+    this.fastestResponseMilliseconds = Math.min(
+      this.fastestResponseMilliseconds,
+      milliseconds,
+    );
     if (now - this.intervalFrom < INTERVAL_MILLISECONDS) return;
-    if (this.quickest > SLOW_ANSWER_MILLISECONDS) this.shrink();
-    else if (2 * this.mostUnderWay >= this.size) this.grow();
+    if (this.fastestResponseMilliseconds > SLOW_RESPONSE_MILLISECONDS)
+      this.shrink();
+    else if (2 * this.peakInFlight >= this.limit) this.grow();
     this.intervalFrom = now;
-    this.quickest = Infinity;
-    this.mostUnderWay = this.underWay;
+    this.fastestResponseMilliseconds = Infinity;
+    this.peakInFlight = this.inFlight;
   }
 
   private shrink(): void {
-    const used = Math.min(this.size, this.mostUnderWay);
-    const share = SLOW_ANSWER_MILLISECONDS / this.quickest;
-    this.size = Math.max(
-      LEAST_ORDERS,
-      used * Math.max(LEAST_KEPT_SHARE, share),
+    const used = Math.min(this.limit, this.peakInFlight);
+    const share = SLOW_RESPONSE_MILLISECONDS / this.fastestResponseMilliseconds;
+    this.limit = Math.max(
+      MINIMUM_LIMIT,
+      used * Math.max(MINIMUM_SHRINK_FACTOR, share),
     );
   }
 
   private grow(): void {
-    this.size = Math.min(MOST_ORDERS, GROWTH_FACTOR * this.size);
+    this.limit = Math.min(MAXIMUM_LIMIT, GROWTH_FACTOR * this.limit);
   }
 }
--- a/packages/scheduling/src/worker-room.ts
+++ b/packages/scheduling/src/placement-worker.ts
@@ -11,23 +11,23 @@
   readonly freeAccelerators: number;
   readonly totalMillicores: number;
   /** Long-running tasks that serve on it. */
-  readonly servingTasks: number;
+  readonly latencySensitiveTaskCount: number;
   /** Tasks on it that use processor time that others leave. */
   readonly bestEffortTasks: number;
   /** All tasks on it. */
   readonly tasks: number;
   /** Share of trust in [0, 1]; 0 takes one task at a time. */
-  readonly trust: number;
+  readonly reliability: number;
   /** Tasks of a step on it. */
-  countOf(stepKey: string): number;
+  taskCountOfStep(stepKey: string): number;
   /** Job whose task is kept apart on it; undefined for none. */
   isolatedJob(now: number): string | undefined;
   /** Whether a task of another job than `job` has not run on it for long. */
-  hasUnprovenOther(job: string, now: number): boolean;
+  hasCrashRiskFromOtherJob(job: string, now: number): boolean;
 }
 
 /** Whether a task of `step` fits. */
-export function fits(
+export function fitsOnWorker(
   worker: PlacementWorker,
   step: StepSpecification,
 ): boolean {
--- a/packages/scheduling/src/pool-plan.ts
+++ b/packages/scheduling/src/pool-plan.ts
@@ -10,15 +10,15 @@
   /** How long there has been such work without a break; 0 while there is none. */
   readonly waitingMilliseconds: number;
   /** Millicores that work which arrives at the present rate keeps busy. */
-  readonly arrivingMillicores: number;
+  readonly offeredLoadMillicores: number;
   /** Millicores by which that lies off by chance. */
-  readonly chanceMillicores: number;
+  readonly standardErrorMillicores: number;
   /** VMs that work which waits needs since its tasks may not share them; 0 for none. */
-  readonly spreadVms: number;
+  readonly spreadConstraintVms: number;
   /** VMs that are on their way into it. */
-  readonly arriving: number;
+  readonly incomingVms: number;
   /** VMs that take work, or are being emptied. */
-  readonly usable: number;
+  readonly usableVms: number;
   /** VMs that may leave it. */
   readonly vms: readonly PlannedVm[];
   /** Millicores of one of its VMs. */
@@ -32,7 +32,7 @@
   /** How long nothing has run on it; undefined while something does. */
   readonly idleMilliseconds: number | undefined;
   /** It is being emptied: nothing new starts on it. */
-  readonly emptying: boolean;
+  readonly isCordoned: boolean;
   /** Millicores in use, weighed by what the work is still worth. */
   readonly usedMillicores: number;
 }
@@ -49,9 +49,9 @@
   /** A VM over what its pool needs that idles so long is sent to the standby pool. */
   readonly idleBeforeStandbyMilliseconds: number;
   /** A VM over what its pool needs that idles so long may be given to a pool that lacks room. */
-  readonly idleBeforeGivingMilliseconds: number;
+  readonly idleBeforeReassignmentMilliseconds: number;
   /** Work that finds no room for so long gets a VM, however little it is. */
-  readonly longestWaitMilliseconds: number;
+  readonly maximumWaitMilliseconds: number;
   /** VMs that a pool keeps over what it uses: the first second of a burst finds them. */
   readonly spareVms: number;
   /** The same for a pool without work that waits, while another one has such work and no VM is off. */
@@ -59,34 +59,34 @@
   /** Room that a pool has for each unit of demand: tasks don't fill VMs to the brim, and rates are guesses. */
   readonly headroom: number;
   /** A VM that is ordered now takes work after about this. */
-  readonly leadMilliseconds: number;
+  readonly leadTimeMilliseconds: number;
   /** What gathers until the VMs come is worked off within this, so that callers of a turn's beginning are in time. */
   readonly catchUpMilliseconds: number;
   /** Most VMs that are fetched for one pool at a time, where the share below is not more. */
-  readonly maximumArriving: number;
+  readonly maximumIncomingVms: number;
   /** The same as a share of all VMs that take work or may: a burst asks for as large a part of any fleet. */
-  readonly maximumArrivingShare: number;
+  readonly maximumIncomingShare: number;
 }
 
 /** A move costs about as much as a second of a VM in a pool, and the queues' turns last several: the waits are near one move's time. */
 export const DEFAULT_POOL_PLAN: PoolPlanOptions = {
   idleBeforeStandbyMilliseconds: 1_200,
-  idleBeforeGivingMilliseconds: 250,
-  longestWaitMilliseconds: 500,
+  idleBeforeReassignmentMilliseconds: 250,
+  maximumWaitMilliseconds: 500,
   spareVms: 2,
   spareVmsUnderPressure: 1,
   headroom: 1.1,
-  leadMilliseconds: 2_000,
+  leadTimeMilliseconds: 2_000,
   catchUpMilliseconds: 2_000,
-  maximumArriving: 12,
-  maximumArrivingShare: 0.5,
+  maximumIncomingVms: 12,
+  maximumIncomingShare: 0.5,
 };
 
 /** What is done about pools now. */
-export interface PoolStep {
+export interface PoolPlan {
   readonly moves: readonly PlannedMove[];
   /** VMs on which nothing new is to start, so that they can move soon. */
-  readonly empty: readonly string[];
+  readonly cordon: readonly string[];
 }
 
 /**
@@ -97,18 +97,18 @@
 export function planPools(
   pools: readonly PlannedPool[],
   options: PoolPlanOptions = DEFAULT_POOL_PLAN,
-): PoolStep {
-  const givers = giversOf(pools, options);
-  const most = mostArriving(pools, options);
+): PoolPlan {
+  const givers = donorVms(pools, options);
+  const most = maximumIncomingVms(pools, options);
   const needs = pools
-    .map(pool => ({pool, lacking: lackingVms(pool, most, options)}))
-    .filter(need => need.lacking > 0);
-  const moves = shareOut(needs, givers);
-  moves.push(...shareOutSpares(pools, needs, moves, options));
-  const empty = vmsToEmpty(pools, needs, moves, options);
+    .map(pool => ({pool, missingVms: missingVms(pool, most, options)}))
+    .filter(need => need.missingVms > 0);
+  const moves = assignOneByOne(needs, givers);
+  moves.push(...assignSpareVms(pools, needs, moves, options));
+  const empty = vmsToCordon(pools, needs, moves, options);
   const standby = pools.find(pool => pool.standby);
   if (standby) moves.push(...releaseIdle(givers, standby, options));
-  return {moves, empty};
+  return {moves, cordon: empty};
 }
 
 /** VMs that a pool should have. */
@@ -122,7 +122,7 @@
     demandWhenVmsCome(pool, options),
   );
   const vms = (demand * options.headroom) / Math.max(1, pool.vmMillicores);
-  return Math.max(Math.ceil(vms) + options.spareVms, pool.spreadVms);
+  return Math.max(Math.ceil(vms) + options.spareVms, pool.spreadConstraintVms);
 }
 
 /**
@@ -131,8 +131,16 @@
  * the two seconds of work that came before them, and the callers of the first half of a turn are late.
  */
 function demandWhenVmsCome(
-  {arrivingMillicores, chanceMillicores, usable, vmMillicores}: PlannedPool,
-  {leadMilliseconds, catchUpMilliseconds}: PoolPlanOptions,
+  {
+    offeredLoadMillicores: arrivingMillicores,
+    standardErrorMillicores: chanceMillicores,
+    usableVms: usable,
+    vmMillicores,
+  }: PlannedPool,
+  {
+    leadTimeMilliseconds: leadMilliseconds,
+    catchUpMilliseconds,
+  }: PoolPlanOptions,
 ): number {
   // A few jobs that come together by chance are worked off by the VMs that are there.
   const certain = arrivingMillicores - chanceMillicores;
@@ -142,25 +150,25 @@
   );
 }
 
-interface Giver extends PlannedVm {
+interface DonorVm extends PlannedVm {
   readonly from: PlannedPool;
 }
 
-interface Need {
+interface PoolShortage {
   readonly pool: PlannedPool;
-  lacking: number;
+  missingVms: number;
 }
 
 /** VMs that may leave their pool at once, the cheapest to take last. */
-function giversOf(
+function donorVms(
   pools: readonly PlannedPool[],
   options: PoolPlanOptions,
-): Giver[] {
+): DonorVm[] {
   const givers = pools.flatMap(pool =>
     pool.vms
       .filter(vm => pool.standby || isIdleEnough(vm, options))
       .sort((one, other) => idleOf(other) - idleOf(one))
-      .slice(0, pool.standby ? pool.vms.length : surplusOf(pool, options))
+      .slice(0, pool.standby ? pool.vms.length : surplusVms(pool, options))
       .map(vm => ({...vm, from: pool})),
   );
   // A VM that idles in a pool that costs goes before one that is off.
@@ -172,7 +180,8 @@
 function isIdleEnough(vm: PlannedVm, options: PoolPlanOptions): boolean {
   if (vm.idleMilliseconds === undefined) return false;
   return (
-    vm.emptying || vm.idleMilliseconds >= options.idleBeforeGivingMilliseconds
+    vm.isCordoned ||
+    vm.idleMilliseconds >= options.idleBeforeReassignmentMilliseconds
   );
 }
 
@@ -180,52 +189,57 @@
   return vm.idleMilliseconds ?? -1;
 }
 
-function surplusOf(pool: PlannedPool, options: PoolPlanOptions): number {
-  return Math.max(0, pool.usable - wantedVms(pool, options));
+function surplusVms(pool: PlannedPool, options: PoolPlanOptions): number {
+  return Math.max(0, pool.usableVms - wantedVms(pool, options));
 }
 
-function mostArriving(
+function maximumIncomingVms(
   pools: readonly PlannedPool[],
   options: PoolPlanOptions,
 ): number {
   const fleet = pools.reduce(
     (sum, pool) =>
-      sum + pool.arriving + (pool.standby ? pool.vms.length : pool.usable),
+      sum +
+      pool.incomingVms +
+      (pool.standby ? pool.vms.length : pool.usableVms),
     0,
   );
   return Math.max(
-    options.maximumArriving,
-    Math.ceil(options.maximumArrivingShare * fleet),
+    options.maximumIncomingVms,
+    Math.ceil(options.maximumIncomingShare * fleet),
   );
 }
 
-function lackingVms(
+function missingVms(
   pool: PlannedPool,
   mostArrivingVms: number,
   options: PoolPlanOptions,
 ): number {
   if (pool.standby) return 0;
-  const lacking = wantedVms(pool, options) - pool.usable - pool.arriving;
+  const lacking = wantedVms(pool, options) - pool.usableVms - pool.incomingVms;
   // Work can wait beside free room: a bound of tasks on one worker, or memory.
-  const stuck = pool.arriving === 0 && isStuck(pool, options);
+  const stuck = pool.incomingVms === 0 && hasWaitedTooLong(pool, options);
   return Math.min(
     Math.max(lacking, stuck ? 1 : 0),
-    mostArrivingVms - pool.arriving,
+    mostArrivingVms - pool.incomingVms,
   );
 }
 
 /** One VM at a time to the pool that lacks most, so that no pool takes all. */
-function shareOut(needs: readonly Need[], givers: Giver[]): PlannedMove[] {
+function assignOneByOne(
+  needs: readonly PoolShortage[],
+  givers: DonorVm[],
+): PlannedMove[] {
   const moves: PlannedMove[] = [];
   for (;;) {
-    const need = needs.reduce<Need | undefined>(
-      (best, one) => (one.lacking > (best?.lacking ?? 0) ? one : best),
+    const need = needs.reduce<PoolShortage | undefined>(
+      (best, one) => (one.missingVms > (best?.missingVms ?? 0) ? one : best),
       undefined,
     );
     const giver = givers.at(-1);
     if (!need || !giver) return moves;
     givers.pop();
-    need.lacking--;
+    need.missingVms--;
     moves.push({
       vm: giver.name,
       from: giver.from.service,
@@ -238,14 +252,14 @@
  * Spare VMs of pools at rest, to pools whose work waits while no VM is off.
  * Load: a turn that asks for more than the whole fleet. Without it VMs of every other pool idle beside it.
  */
-function shareOutSpares(
+function assignSpareVms(
   pools: readonly PlannedPool[],
-  needs: readonly Need[],
+  needs: readonly PoolShortage[],
   moves: readonly PlannedMove[],
   options: PoolPlanOptions,
 ): PlannedMove[] {
   const pressed = needs.filter(
-    need => need.lacking > 0 && need.pool.waitingMillicores > 0,
+    need => need.missingVms > 0 && need.pool.waitingMillicores > 0,
   );
   if (pressed.length === 0) return [];
   const least = {...options, spareVms: options.spareVmsUnderPressure};
@@ -256,30 +270,30 @@
       const given = pool.vms.filter(vm => taken.has(vm.name)).length;
       return pool.vms
         .filter(vm => !taken.has(vm.name) && isIdleEnough(vm, options))
-        .slice(0, Math.max(0, surplusOf(pool, least) - given))
+        .slice(0, Math.max(0, surplusVms(pool, least) - given))
         .map(vm => ({...vm, from: pool}));
     });
-  return shareOut(pressed, spares);
+  return assignOneByOne(pressed, spares);
 }
 
 /** Busy VMs of pools that have more than their work is worth, the least useful first. */
-function vmsToEmpty(
+function vmsToCordon(
   pools: readonly PlannedPool[],
-  needs: readonly Need[],
+  needs: readonly PoolShortage[],
   moves: readonly PlannedMove[],
   options: PoolPlanOptions,
 ): string[] {
-  let wanted = needs.reduce((sum, need) => sum + need.lacking, 0);
+  let wanted = needs.reduce((sum, need) => sum + need.missingVms, 0);
   const chosen: string[] = [];
   for (const pool of pools) {
     if (pool.standby) continue;
     const given = moves.filter(move => move.from === pool.service).length;
-    const most = Math.min(wanted, surplusOf(pool, options) - given);
+    const most = Math.min(wanted, surplusVms(pool, options) - given);
     const busy = pool.vms
       .filter(vm => vm.idleMilliseconds === undefined)
       .sort(
         (one, other) =>
-          Number(other.emptying) - Number(one.emptying) ||
+          Number(other.isCordoned) - Number(one.isCordoned) ||
           one.usedMillicores - other.usedMillicores,
       )
       .slice(0, Math.max(0, most));
@@ -289,12 +303,15 @@
   return chosen;
 }
 
-function isStuck(pool: PlannedPool, options: PoolPlanOptions): boolean {
-  return pool.waitingMilliseconds >= options.longestWaitMilliseconds;
+function hasWaitedTooLong(
+  pool: PlannedPool,
+  options: PoolPlanOptions,
+): boolean {
+  return pool.waitingMilliseconds >= options.maximumWaitMilliseconds;
 }
 
 function releaseIdle(
-  givers: readonly Giver[],
+  givers: readonly DonorVm[],
   standby: PlannedPool,
   options: PoolPlanOptions,
 ): PlannedMove[] {
--- a/packages/scheduling/src/running-mean.ts
+++ b/packages/scheduling/src/running-mean.ts
@@ -26,7 +26,7 @@
   }
 
   /** Notes a figure; returns the mean with it. */
-  note(figure: number): number {
+  observe(figure: number): number {
     this.count = Math.min(this.count + 1, this.memory);
     this.mean += (figure - this.mean) / this.count;
     return this.mean;
--- a/packages/scheduling/src/peak-hold.ts
+++ b/packages/scheduling/src/sliding-maximum.ts
@@ -1,4 +1,4 @@
-interface Figure {
+interface Sample {
   readonly value: number;
   readonly at: number;
 }
@@ -8,19 +8,19 @@
  * Load: demand that is measured over less than a second and falls for a moment within a turn.
  * Without it VMs leave a pool and are fetched back: two moves, and work that waits in between.
  */
-export class PeakHold {
+export class SlidingMaximum {
   /** Falling values, each with the newest time at which it was reached. */
-  private figures: Figure[] = [];
+  private samples: Sample[] = [];
 
-  constructor(private readonly holdMilliseconds: number) {}
+  constructor(private readonly windowMilliseconds: number) {}
 
   /** Notes the figure of now; returns the highest of the time that is held. */
-  note(value: number, now: number): number {
-    const from = now - this.holdMilliseconds;
-    this.figures = this.figures.filter(
+  observe(value: number, now: number): number {
+    const from = now - this.windowMilliseconds;
+    this.samples = this.samples.filter(
       figure => figure.at > from && figure.value > value,
     );
-    this.figures.push({value, at: now});
-    return this.figures[0].value;
+    this.samples.push({value, at: now});
+    return this.samples[0].value;
   }
 }
--- a/packages/scheduling/src/spread-need.ts
+++ b/packages/scheduling/src/spread-constraint.ts
@@ -1,5 +1,5 @@
 /** Tasks of one step that wait or run, where only so many may share a worker. */
-export interface SpreadStep {
+export interface SpreadConstrainedStep {
   readonly waiting: number;
   readonly running: number;
   /** Most tasks of the step on one worker; 0 for no bound. */
@@ -12,7 +12,9 @@
  * that are there already: the pool is enlarged by one VM each time the last one has come, and the tasks wait
  * for half a minute beside room that they may not use. Steps share VMs with each other, so the widest counts.
  */
-export function vmsForSpread(steps: Iterable<SpreadStep>): number {
+export function vmsForSpreadConstraint(
+  steps: Iterable<SpreadConstrainedStep>,
+): number {
   let most = 0;
   for (const {waiting, running, maximumPerWorker} of steps) {
     if (maximumPerWorker <= 0 || waiting === 0) continue;
--- a/packages/scheduling/src/sibling-spread.ts
+++ b/packages/scheduling/src/straggler-model.ts
@@ -1,13 +1,13 @@
 import {RunningMean, type MeanSnapshot} from './running-mean.js';
 
 /** Number of recent steps in the average. */
-const MEMORY_STEPS = 60;
+const AVERAGED_STEPS = 60;
 /** Minimum number of steps before anything is corrected. */
-const LEAST_STEPS = 4;
+const MINIMUM_STEPS = 4;
 /** Maximum number of unfinished steps that are tracked. */
-const MOST_OPEN_STEPS = 2_000;
+const MAXIMUM_OPEN_STEPS = 2_000;
 /** Minimum number of tasks of a step that is counted. */
-const LEAST_TASKS = 3;
+const MINIMUM_TASKS = 3;
 
 interface OpenStep {
   count: number;
@@ -21,9 +21,9 @@
  * chain of a job, and with it the time that its caller grants, is taken for a third too short: jobs
  * that can still be in time count as late and wait behind all others.
  */
-export class SiblingSpread {
+export class StragglerModel {
   private readonly open = new Map<string, OpenStep>();
-  private readonly excess = new RunningMean(MEMORY_STEPS);
+  private readonly excess = new RunningMean(AVERAGED_STEPS);
   private steps = 0;
 
   get snapshot(): MeanSnapshot {
@@ -37,8 +37,8 @@
   }
 
   /** Notes the run time of one of a step's `taskCount` tasks. */
-  note(stepKey: string, taskCount: number, milliseconds: number): void {
-    if (taskCount < LEAST_TASKS) return;
+  observe(stepKey: string, taskCount: number, milliseconds: number): void {
+    if (taskCount < MINIMUM_TASKS) return;
     const step = this.open.get(stepKey) ?? {count: 0, sum: 0, longest: 0};
     step.count++;
     step.sum += milliseconds;
@@ -48,14 +48,14 @@
   }
 
   /** How many times a usual task's time the slowest of `taskCount` takes. */
-  slowestFactor(taskCount: number): number {
-    if (this.steps < LEAST_STEPS) return 1;
-    return 1 + this.excess.value * growthOf(taskCount);
+  stragglerFactor(taskCount: number): number {
+    if (this.steps < MINIMUM_STEPS) return 1;
+    return 1 + this.excess.value * expectedMaximumDeviation(taskCount);
   }
 
   private keepOpen(stepKey: string, step: OpenStep): void {
     this.open.set(stepKey, step);
-    if (this.open.size <= MOST_OPEN_STEPS) return;
+    if (this.open.size <= MAXIMUM_OPEN_STEPS) return;
     const [oldest] = this.open.keys();
     this.open.delete(oldest);
   }
@@ -65,11 +65,11 @@
     const mean = sum / count;
     if (mean <= 0) return;
     this.steps++;
-    this.excess.note((longest / mean - 1) / growthOf(count));
+    this.excess.observe((longest / mean - 1) / expectedMaximumDeviation(count));
   }
 }
 
 /** The largest of so many equal chances lies about so many standard deviations over their mean. */
-function growthOf(taskCount: number): number {
+function expectedMaximumDeviation(taskCount: number): number {
   return Math.sqrt(2 * Math.log(Math.max(1, taskCount)));
 }
--- a/packages/scheduling/src/occupied-room.ts
+++ b/packages/scheduling/src/vm-capacity.ts
@@ -1,7 +1,7 @@
 import type {StepSpecification} from '@gentiandoor/jobs';
 
 /** Room of a VM or worker. */
-export interface VmRoom {
+export interface VmCapacity {
   readonly processorMillicores: number;
   readonly memoryMegabytes: number;
 }
@@ -12,9 +12,9 @@
  * Load: tasks that need much memory for their processor time. Without it a pool whose memory is used
  * up looks half empty, no VM is fetched for it, and its work waits.
  */
-export function occupiedMillicores(
+export function dominantResourceMillicores(
   step: StepSpecification,
-  room: VmRoom | undefined,
+  room: VmCapacity | undefined,
 ): number {
   if (step.bestEffort) return 0;
   if (!room || room.memoryMegabytes <= 0) return step.processorMillicores;
@@ -27,7 +27,7 @@
  * Load: a VM whose room has shrunk while it runs. Without it a pool that happens to list that VM first
  * counts all its VMs as so small, and far too many are fetched.
  */
-export function largestRoom<Room extends VmRoom>(
+export function largestCapacity<Room extends VmCapacity>(
   rooms: Iterable<Room>,
 ): Room | undefined {
   let largest: Room | undefined;
--- a/packages/scheduling/src/waiting-order.ts
+++ b/packages/scheduling/src/waiting-order.ts
@@ -1,5 +1,5 @@
 import {
-  Chance,
+  DeadlineFeasibility,
   compareWaitingJobs,
   latestStart,
   rankOf,
@@ -9,20 +9,20 @@
 /** A waiting job with what it asks of its pool. */
 export interface WaitingWork extends RankedJob {
   /** Millicores times milliseconds that its open tasks are expected to take. */
-  readonly remainingWork: number;
+  readonly remainingMillicoreMilliseconds: number;
 }
 
 /** Room of a pool, in millicores. */
-export interface PoolRoom {
+export interface PoolMillicores {
   readonly usableMillicores: number;
   /** Of VMs that are on their way into it. */
-  readonly arrivingMillicores: number;
+  readonly incomingMillicores: number;
 }
 
 /** Safety margin for wrong estimates, as a share of a job's critical path. */
 const ESTIMATE_MARGIN = 0.2;
 /** Safety margin when checking whether all jobs can be in time. */
-const FEASIBLE_MARGIN = 0.1;
+const FEASIBILITY_MARGIN = 0.1;
 /** Rank of jobs that are put off: after those that can be in time, before late ones. */
 const POSTPONED_RANK = 1.2;
 
@@ -34,10 +34,10 @@
  */
 export function orderWaiting<Job extends WaitingWork>(
   jobs: readonly Job[],
-  room: PoolRoom,
+  room: PoolMillicores,
   now: number,
 ): Job[] {
-  const inTimeRank = rankOf(Chance.InTime, false);
+  const inTimeRank = rankOf(DeadlineFeasibility.InTime, false);
   const hopeful = jobs.filter(job => job.rank === inTimeRank);
   if (canAllBeInTime(hopeful, room, now))
     return [...jobs].sort(compareWaitingJobs);
@@ -55,15 +55,15 @@
 /** Whether each job starts in time when they get the room one after the other. */
 function canAllBeInTime(
   jobs: readonly WaitingWork[],
-  {usableMillicores, arrivingMillicores}: PoolRoom,
+  {usableMillicores, incomingMillicores: arrivingMillicores}: PoolMillicores,
   now: number,
 ): boolean {
   const millicores = Math.max(1, usableMillicores + arrivingMillicores);
   let work = 0;
   for (const job of [...jobs].sort(compareWaitingJobs)) {
-    const margin = FEASIBLE_MARGIN * job.remainingChain;
+    const margin = FEASIBILITY_MARGIN * job.remainingCriticalPathMilliseconds;
     if (now + work / millicores + margin > latestStart(job)) return false;
-    work += job.remainingWork;
+    work += job.remainingMillicoreMilliseconds;
   }
   return true;
 }
@@ -86,14 +86,14 @@
   );
   for (const job of byEnd) {
     const startsAt = now + work / millicores;
-    const takes = (1 + ESTIMATE_MARGIN) * job.remainingChain;
+    const takes = (1 + ESTIMATE_MARGIN) * job.remainingCriticalPathMilliseconds;
     insertByWork(kept, job);
-    work += job.remainingWork;
+    work += job.remainingMillicoreMilliseconds;
     if (startsAt + takes <= job.dueAt) continue;
     const largest = kept.pop();
     if (!largest) continue;
     postponed.add(largest);
-    work -= largest.remainingWork;
+    work -= largest.remainingMillicoreMilliseconds;
   }
   return postponed;
 }
@@ -104,7 +104,11 @@
   let high = kept.length;
   while (low < high) {
     const middle = (low + high) >> 1;
-    if (kept[middle].remainingWork <= job.remainingWork) low = middle + 1;
+    if (
+      kept[middle].remainingMillicoreMilliseconds <=
+      job.remainingMillicoreMilliseconds
+    )
+      low = middle + 1;
     else high = middle;
   }
   kept.splice(low, 0, job);
--- a/packages/scheduling/src/worker-choice.ts
+++ b/packages/scheduling/src/worker-choice.ts
@@ -1,5 +1,9 @@
 import type {StepSpecification} from '@gentiandoor/jobs';
-import {fits, hasRequiredLabel, type PlacementWorker} from './worker-room.js';
+import {
+  fitsOnWorker,
+  hasRequiredLabel,
+  type PlacementWorker,
+} from './placement-worker.js';
 
 /** A task that is to be placed. */
 export interface PlacementRequest {
@@ -19,7 +23,7 @@
 export interface Avoidance {
   readonly workers: ReadonlySet<string>;
   /** The task rather waits than goes there; else they are its last choice. */
-  readonly isBarred: boolean;
+  readonly isMandatory: boolean;
 }
 
 /** Chooses a worker for a task. */
@@ -36,7 +40,7 @@
 /** Subtracted for a worker on which the task has failed before. */
 const AVOID_PENALTY = 100;
 /** Weight of trust: above fullness, below the rack. */
-const TRUST_WEIGHT = 4;
+const RELIABILITY_WEIGHT = 4;
 /** Subtracted per best-effort task already on the worker. */
 const BEST_EFFORT_PENALTY = 1;
 
@@ -53,7 +57,7 @@
   ): PlacementWorker | undefined {
     let best: PlacementWorker | undefined;
     let bestScore = -Infinity;
-    const barred = barredWorkers(request, workers);
+    const barred = excludedWorkers(request, workers);
     for (const worker of workers) {
       if (barred.has(worker.id) || !this.allowed(request, worker)) continue;
       const score = this.score(request, worker);
@@ -66,12 +70,12 @@
 
   private allowed(request: PlacementRequest, worker: PlacementWorker): boolean {
     const {step, stepKey} = request;
-    if (!fits(worker, step)) return false;
+    if (!fitsOnWorker(worker, step)) return false;
     if (!this.allowedBeside(request, worker)) return false;
     // A suspect shows with one task at a time whether it is well again; more would be lost on it.
-    if (worker.trust <= 0 && worker.tasks > 0) return false;
+    if (worker.reliability <= 0 && worker.tasks > 0) return false;
     if (step.maximumPerWorker === 0) return true;
-    return worker.countOf(stepKey) < step.maximumPerWorker;
+    return worker.taskCountOfStep(stepKey) < step.maximumPerWorker;
   }
 
   private allowedBeside(
@@ -80,7 +84,7 @@
   ): boolean {
     const isolatedJob = worker.isolatedJob(now);
     if (isolatedJob !== undefined) return isolatedJob === job;
-    return !isIsolated || !worker.hasUnprovenOther(job, now);
+    return !isIsolated || !worker.hasCrashRiskFromOtherJob(job, now);
   }
 
   private score(request: PlacementRequest, worker: PlacementWorker): number {
@@ -89,12 +93,12 @@
     let score = step.bestEffort
       ? -fullness -
         BEST_EFFORT_PENALTY * worker.bestEffortTasks -
-        worker.servingTasks
+        worker.latencySensitiveTaskCount
       : fullness;
     if (step.preferredRack && worker.labels.includes(step.preferredRack))
       score += RACK_BONUS;
     if (avoid.workers.has(worker.id)) score -= AVOID_PENALTY;
-    return score - TRUST_WEIGHT * (1 - worker.trust);
+    return score - RELIABILITY_WEIGHT * (1 - worker.reliability);
   }
 }
 
@@ -104,11 +108,11 @@
  * others can be full of tasks that last, and a job with one attempt left waited beside an idle worker for
  * ever. A task that lasts fails now and then on sound workers too and must not run out of them.
  */
-function barredWorkers(
+function excludedWorkers(
   {step, avoid}: PlacementRequest,
   workers: readonly PlacementWorker[],
 ): ReadonlySet<string> {
-  if (!avoid.isBarred || step.longRunning) return NONE;
+  if (!avoid.isMandatory || step.longRunning) return NONE;
   const other = workers.some(
     worker => !avoid.workers.has(worker.id) && hasRequiredLabel(worker, step),
   );
--- a/packages/scheduling/src/worker-trust.ts
+++ b/packages/scheduling/src/worker-reliability.ts
@@ -1,5 +1,5 @@
 /** Failure score at which a worker becomes suspect; each job adds at most one. */
-const BLAME_FOR_SUSPICION = 2.5;
+const SUSPICION_THRESHOLD = 2.5;
 /** Time for which a suspect worker takes one task at a time. */
 const SUSPICION_MILLISECONDS = 4_000;
 /** Half-life of the failure score. */
@@ -10,8 +10,8 @@
 const WORKERS_FOR_BAD_JOB = 2;
 
 interface WorkerRecord {
-  blame: number;
-  blamedAt: number;
+  failureScore: number;
+  failureScoreAt: number;
   suspectUntil: number;
   /** Jobs for which it was blamed. */
   readonly jobs: Set<string>;
@@ -23,36 +23,39 @@
  * that fail wherever they run. Without it jobs use up their attempts on the worker. A job's first
  * failure is blamed on its worker; once the job has failed on a second one, the blame is taken back.
  */
-export class WorkerTrust {
+export class WorkerReliability {
   private readonly workers = new Map<string, WorkerRecord>();
   private readonly failedOn = new Map<string, Set<string>>();
 
-  noteSuccess(worker: string): void {
+  recordSuccess(worker: string): void {
     const record = this.workers.get(worker);
     if (!record) return;
-    record.blame *= KEPT_ON_SUCCESS;
+    record.failureScore *= KEPT_ON_SUCCESS;
     record.suspectUntil = -Infinity;
     record.jobs.clear();
   }
 
   /** Returns true when this makes the worker a suspect. */
-  noteFailure(worker: string, job: string, now: number): boolean {
+  recordFailure(worker: string, job: string, now: number): boolean {
     const workers = this.workersOf(job);
     workers.add(worker);
     if (workers.size >= WORKERS_FOR_BAD_JOB) {
-      for (const other of workers) this.takeBack(other, job);
+      for (const other of workers) this.retractFailure(other, job);
       return false;
     }
     const record = this.recordOf(worker);
     if (record.jobs.has(job)) return false;
     record.jobs.add(job);
-    record.blame = blameAt(record, now) + 1;
-    record.blamedAt = now;
-    return record.blame >= BLAME_FOR_SUSPICION && this.suspect(worker, now);
+    record.failureScore = decayedFailureScore(record, now) + 1;
+    record.failureScoreAt = now;
+    return (
+      record.failureScore >= SUSPICION_THRESHOLD &&
+      this.markSuspect(worker, now)
+    );
   }
 
   /** The worker itself is to blame, whatever the job; returns false when it is a suspect already. */
-  suspect(worker: string, now: number): boolean {
+  markSuspect(worker: string, now: number): boolean {
     const record = this.recordOf(worker);
     const isNew = now >= record.suspectUntil;
     record.suspectUntil = now + SUSPICION_MILLISECONDS;
@@ -60,12 +63,12 @@
   }
 
   /** Share of trust in [0, 1]; 0 for a suspect. */
-  level(worker: string, now: number): number {
+  score(worker: string, now: number): number {
     const record = this.workers.get(worker);
     if (!record) return 1;
     if (now < record.suspectUntil) return 0;
-    const most = 2 * BLAME_FOR_SUSPICION;
-    return 1 - Math.min(blameAt(record, now), most - 1) / most;
+    const most = 2 * SUSPICION_THRESHOLD;
+    return 1 - Math.min(decayedFailureScore(record, now), most - 1) / most;
   }
 
   forgetWorker(worker: string): void {
@@ -76,11 +79,12 @@
     this.failedOn.delete(job);
   }
 
-  private takeBack(worker: string, job: string): void {
+  private retractFailure(worker: string, job: string): void {
     const record = this.workers.get(worker);
     if (!record?.jobs.delete(job)) return;
-    record.blame = Math.max(0, record.blame - 1);
-    if (record.blame < BLAME_FOR_SUSPICION) record.suspectUntil = -Infinity;
+    record.failureScore = Math.max(0, record.failureScore - 1);
+    if (record.failureScore < SUSPICION_THRESHOLD)
+      record.suspectUntil = -Infinity;
   }
 
   private workersOf(job: string): Set<string> {
@@ -93,8 +97,8 @@
     let record = this.workers.get(worker);
     if (!record) {
       record = {
-        blame: 0,
-        blamedAt: -Infinity,
+        failureScore: 0,
+        failureScoreAt: -Infinity,
         suspectUntil: -Infinity,
         jobs: new Set(),
       };
@@ -104,8 +108,8 @@
   }
 }
 
-function blameAt(record: WorkerRecord, now: number): number {
-  if (record.blame === 0) return 0;
-  const halves = (now - record.blamedAt) / HALF_LIFE_MILLISECONDS;
-  return record.blame * 2 ** -halves;
+function decayedFailureScore(record: WorkerRecord, now: number): number {
+  if (record.failureScore === 0) return 0;
+  const halves = (now - record.failureScoreAt) / HALF_LIFE_MILLISECONDS;
+  return record.failureScore * 2 ** -halves;
 }
--- a/packages/shared-state/src/__tests__/bundle-fuzz.test.ts
+++ b/packages/shared-state/src/__tests__/bundle-fuzz.test.ts
@@ -13,9 +13,9 @@
   apply,
   bundleText,
   emptyState,
-  proposalOf,
-  rollOut,
-  signOff,
+  proposalRecord,
+  proposeAndSignOff,
+  signOffRecord,
 } from './fold-harness.js';
 
 const RUNS = {
@@ -119,13 +119,13 @@
   it('signs no bundle off, before or after the first one', () => {
     for (const name of [...INHERITED, '__proto__']) {
       const first = emptyFleetState({});
-      apply(first, proposalOf(VALID));
+      apply(first, proposalRecord(VALID));
       const next = emptyState();
-      rollOut(next, {version: 1, base: 0});
+      proposeAndSignOff(next, {version: 1, base: 0});
       const text = bundleText({version: 2, base: 1});
-      apply(next, proposalOf(text));
-      const forged = {...signOff(text, 2, 'kerry'), operator: name};
-      const early = {...signOff(VALID, 1, 'kerry'), operator: name};
+      apply(next, proposalRecord(text));
+      const forged = {...signOffRecord(text, 2, 'kerry'), operator: name};
+      const early = {...signOffRecord(VALID, 1, 'kerry'), operator: name};
       const unknown = RejectionReason.SignerUnknown;
       assert.equal(apply(next, forged).rejection?.reason, unknown);
       assert.equal(apply(first, early).rejection?.reason, unknown);
--- a/packages/shared-state/src/__tests__/claim-fold.test.ts
+++ b/packages/shared-state/src/__tests__/claim-table.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {ClaimTable} from '../claim-fold.js';
+import {ClaimTable} from '../claim-table.js';
 import {
-  ClaimEnd,
-  claimKey,
+  ClaimOutcome,
+  claimKeyDigest,
   decodeClaimBatch,
   encodeClaimBatch,
   type ClaimBatch,
 } from '../claim-records.js';
 
 function keyOf(key: string): string {
-  return claimKey({
+  return claimKeyDigest({
     service: 'crest-works',
     caller: 'school',
     key,
@@ -42,7 +42,7 @@
   it('gives a key to the first claim in log order', () => {
     const table = new ClaimTable(10);
     table.apply(batchOf('a', 1, {claims: [claimOf('k', 1)]}));
-    const {verdicts} = table.apply(
+    const {appliedClaims: verdicts} = table.apply(
       batchOf('b', 1, {claims: [claimOf('k', 1)]}),
     );
     assert.equal(verdicts[0].entry.holder, 'a');
@@ -64,10 +64,10 @@
     table.apply(batchOf('b', 1, {releases: [held]}));
     table.apply(batchOf('a', 2, {releases: [{...held, attempt: 2}]}));
     table.apply(
-      batchOf('a', 3, {outcomes: [{...held, end: ClaimEnd.Finished}]}),
+      batchOf('a', 3, {outcomes: [{...held, end: ClaimOutcome.Finished}]}),
     );
     table.apply(batchOf('a', 4, {releases: [held]}));
-    assert.equal(table.get(held.key)?.end, ClaimEnd.Finished);
+    assert.equal(table.get(held.key)?.end, ClaimOutcome.Finished);
   });
 
   it('forgets the oldest claims above its bound and says from where it knows', () => {
@@ -77,16 +77,16 @@
     );
     assert.equal(table.size, 2);
     assert.equal(table.get(keyOf('k')), undefined);
-    assert.equal(table.horizon, 1);
+    assert.equal(table.retainedFromOffset, 1);
   });
 
   it('follows a chain of heirs and ends a loop of them', () => {
     const table = new ClaimTable(10);
     table.apply(batchOf('a', 1, {heir: 'b'}));
     table.apply(batchOf('b', 1, {heir: 'c'}));
-    assert.equal(table.keeperOf('a'), 'c');
+    assert.equal(table.answerHolderOf('a'), 'c');
     table.apply(batchOf('c', 1, {heir: 'a'}));
-    assert.ok(['a', 'b', 'c'].includes(table.keeperOf('a')));
+    assert.ok(['a', 'b', 'c'].includes(table.answerHolderOf('a')));
   });
 });
 
@@ -95,7 +95,7 @@
     const batch = batchOf('a', 7, {
       claims: [claimOf('k', 1)],
       releases: [{key: keyOf('l'), attempt: 2}],
-      outcomes: [{key: keyOf('m'), attempt: 3, end: ClaimEnd.Lost}],
+      outcomes: [{key: keyOf('m'), attempt: 3, end: ClaimOutcome.Lost}],
       heir: 'b',
     });
     assert.deepEqual(decodeClaimBatch(encodeClaimBatch(batch)), batch);
--- a/packages/shared-state/src/__tests__/fold-bundles.test.ts
+++ b/packages/shared-state/src/__tests__/fold-bundles.test.ts
@@ -3,7 +3,7 @@
 import {
   RecordKind,
   RejectionReason,
-  digestOf,
+  sha256Hex,
   makeDelta,
   parseBundle,
   parseSections,
@@ -16,25 +16,25 @@
   apply,
   bundleText,
   emptyState,
-  head,
-  proposalOf,
-  rollOut,
-  signOff,
+  nextRecordHead,
+  proposalRecord,
+  proposeAndSignOff,
+  signOffRecord,
 } from './fold-harness.js';
 
 function stateWithFirst(): FleetState {
   const state = emptyState();
-  rollOut(state, {version: 1, base: 0});
+  proposeAndSignOff(state, {version: 1, base: 0});
   return state;
 }
 
 function deltaOf(state: FleetState, text: string): BundleChanged {
   const {parsed, digest} = state.inForce!;
   return {
-    ...head(),
+    ...nextRecordHead(),
     kind: RecordKind.BundleChanged,
     baseDigest: digest,
-    digest: digestOf(text),
+    digest: sha256Hex(text),
     steps: makeDelta(parsed.sections, text),
   };
 }
@@ -43,52 +43,56 @@
   describe('sign-offs', () => {
     it('bring a bundle into force with the last one needed', () => {
       const state = stateWithFirst();
-      rollOut(state, {version: 2, base: 1, signOffs: 2});
+      proposeAndSignOff(state, {version: 2, base: 1, signOffs: 2});
       const text = bundleText({version: 3, base: 2, signOffs: 2});
-      apply(state, proposalOf(text));
-      apply(state, signOff(text, 3, 'kerry'));
+      apply(state, proposalRecord(text));
+      apply(state, signOffRecord(text, 3, 'kerry'));
       assert.equal(state.inForce?.bundle.version, 2);
-      apply(state, signOff(text, 3, 'kerry'));
+      apply(state, signOffRecord(text, 3, 'kerry'));
       assert.equal(state.inForce?.bundle.version, 2);
-      apply(state, signOff(text, 3, 'tui'));
+      apply(state, signOffRecord(text, 3, 'tui'));
       assert.equal(state.inForce?.bundle.version, 3);
     });
 
     const refused: ReadonlyArray<
-      [string, RejectionReason, (text: string) => ReturnType<typeof signOff>]
+      [
+        string,
+        RejectionReason,
+        (text: string) => ReturnType<typeof signOffRecord>,
+      ]
     > = [
       [
         'of the author',
         RejectionReason.SignerIsAuthor,
-        text => signOff(text, 2, 'moana'),
+        text => signOffRecord(text, 2, 'moana'),
       ],
       [
         'of a revoked key',
         RejectionReason.SignerRevoked,
-        text => signOff(text, 2, 'tui'),
+        text => signOffRecord(text, 2, 'tui'),
       ],
       [
         'with the key of another',
         RejectionReason.SignatureWrong,
-        text => signOff(text, 2, 'kerry', 'moana'),
+        text => signOffRecord(text, 2, 'kerry', 'moana'),
       ],
       [
         'of a name from the prototype of objects',
         RejectionReason.SignerUnknown,
-        text => ({...signOff(text, 2, 'kerry'), operator: 'constructor'}),
+        text => ({...signOffRecord(text, 2, 'kerry'), operator: 'constructor'}),
       ],
       [
         'of another version of the digest',
         RejectionReason.BundleDigestDiffers,
-        text => signOff(text, 3, 'kerry'),
+        text => signOffRecord(text, 3, 'kerry'),
       ],
     ];
     for (const [name, reason, make] of refused) {
       it(`${name} do not count`, () => {
         const state = emptyState();
-        rollOut(state, {version: 1, base: 0, revoked: ['tui']});
+        proposeAndSignOff(state, {version: 1, base: 0, revoked: ['tui']});
         const text = bundleText({version: 2, base: 1});
-        apply(state, proposalOf(text));
+        apply(state, proposalRecord(text));
         assert.equal(apply(state, make(text)).rejection?.reason, reason);
         assert.equal(state.inForce?.bundle.version, 1);
       });
@@ -97,9 +101,9 @@
     it('of the first bundle are held against the settings', () => {
       const state = emptyState();
       const text = bundleText({version: 1, base: 0, signOffs: 0});
-      assert.equal(apply(state, proposalOf(text)).rejection, undefined);
+      assert.equal(apply(state, proposalRecord(text)).rejection, undefined);
       assert.equal(state.inForce, undefined);
-      const forged = signOff(text, 1, 'kerry', 'tui');
+      const forged = signOffRecord(text, 1, 'kerry', 'tui');
       const {rejection} = apply(state, forged);
       assert.equal(rejection?.reason, RejectionReason.SignatureWrong);
       assert.equal(state.inForce, undefined);
@@ -111,13 +115,13 @@
       const state = stateWithFirst();
       const left = bundleText({version: 2, base: 1, slots: 4});
       const right = bundleText({version: 2, base: 1, slots: 6});
-      apply(state, proposalOf(left));
-      apply(state, proposalOf(right));
-      apply(state, signOff(left, 2, 'kerry'));
-      const late = apply(state, signOff(right, 2, 'tui'));
+      apply(state, proposalRecord(left));
+      apply(state, proposalRecord(right));
+      apply(state, signOffRecord(left, 2, 'kerry'));
+      const late = apply(state, signOffRecord(right, 2, 'tui'));
       assert.equal(late.rejection?.reason, RejectionReason.BundleUnknown);
-      assert.equal(state.inForce?.digest, digestOf(left));
-      const again = apply(state, proposalOf(right));
+      assert.equal(state.inForce?.digest, sha256Hex(left));
+      const again = apply(state, proposalRecord(right));
       assert.equal(again.rejection?.reason, RejectionReason.BundleConflict);
       assert.match(again.rejection?.detail ?? '', /make it again from 2/);
     });
@@ -127,10 +131,13 @@
     it('never comes back; a rollback is a new version with the old content', () => {
       const state = stateWithFirst();
       const first = bundleText({version: 1, base: 0});
-      rollOut(state, {version: 2, base: 1, slots: 4});
-      const again = apply(state, proposalOf(first));
+      proposeAndSignOff(state, {version: 2, base: 1, slots: 4});
+      const again = apply(state, proposalRecord(first));
       assert.equal(again.rejection?.reason, RejectionReason.BundleConflict);
-      assert.equal(rollOut(state, {version: 3, base: 2}).rejection, undefined);
+      assert.equal(
+        proposeAndSignOff(state, {version: 3, base: 2}).rejection,
+        undefined,
+      );
       assert.equal(
         state.inForce?.bundle.pools['counter-preview'].slots,
         parseBundle(first).pools['counter-preview'].slots,
@@ -141,10 +148,10 @@
   describe('the history', () => {
     it('keeps who brought what into force, without proposals that did not', () => {
       const state = stateWithFirst();
-      apply(state, proposalOf(bundleText({version: 2, base: 1, slots: 4})));
+      apply(state, proposalRecord(bundleText({version: 2, base: 1, slots: 4})));
       const text = bundleText({version: 2, base: 1});
-      apply(state, proposalOf(text));
-      apply(state, signOff(text, 2, 'kerry'));
+      apply(state, proposalRecord(text));
+      apply(state, signOffRecord(text, 2, 'kerry'));
       const past = [...state.history.values()];
       assert.deepEqual(
         past.map(({version, author, signers}) => [version, author, signers]),
@@ -153,14 +160,14 @@
           [2, 'moana', ['kerry']],
         ],
       );
-      assert.equal(past[1].digest, digestOf(text));
+      assert.equal(past[1].digest, sha256Hex(text));
       assert.equal(past[1].offset, state.inForce?.offset);
     });
 
     it('forgets the oldest versions', () => {
       const state = stateWithFirst();
       for (let base = 1; base < 60; base++)
-        rollOut(state, {version: base + 1, base});
+        proposeAndSignOff(state, {version: base + 1, base});
       assert.equal(state.history.size, 50);
       assert.equal(state.history.has('10'), false);
       assert.equal(state.history.has('60'), true);
@@ -180,7 +187,7 @@
       assert.ok(JSON.stringify(delta.steps).length < text.length);
       assert.equal(apply(state, delta).rejection, undefined);
       assert.equal(state.inForce?.bundle.version, 1);
-      apply(state, signOff(text, 2, 'kerry'));
+      apply(state, signOffRecord(text, 2, 'kerry'));
       assert.equal(state.inForce?.text, text);
       assert.equal(state.inForce?.bundle.pools['counter-preview'].slots, 3);
     });
@@ -188,7 +195,7 @@
     it('on another base than the one in force is a conflict', () => {
       const state = stateWithFirst();
       const delta = deltaOf(state, bundleText({version: 2, base: 1, slots: 3}));
-      rollOut(state, {version: 2, base: 1, slots: 4});
+      proposeAndSignOff(state, {version: 2, base: 1, slots: 4});
       assert.equal(
         apply(state, delta).rejection?.reason,
         RejectionReason.BundleConflict,
@@ -198,7 +205,7 @@
     it('that makes another text than its digest names is refused', () => {
       const state = stateWithFirst();
       const text = bundleText({version: 2, base: 1, slots: 3});
-      const delta = {...deltaOf(state, text), digest: digestOf('another')};
+      const delta = {...deltaOf(state, text), digest: sha256Hex('another')};
       assert.equal(
         apply(state, delta).rejection?.reason,
         RejectionReason.BundleDigestDiffers,
--- a/packages/shared-state/src/__tests__/fold-harness.ts
+++ b/packages/shared-state/src/__tests__/fold-harness.ts
@@ -2,7 +2,7 @@
 import {
   RecordKind,
   applyPayload,
-  digestOf,
+  sha256Hex,
   emptyFleetState,
   encodeRecord,
   signBundle,
@@ -15,10 +15,10 @@
 } from '../index.js';
 
 /** PKCS8 head of an Ed25519 private key; the 32 bytes of the key follow. */
-const KEY_HEAD = Buffer.from('302e020100300506032b657004220420', 'hex');
+const PKCS8_PREFIX = Buffer.from('302e020100300506032b657004220420', 'hex');
 
-function fixedKeys(seed: number): OperatorKeys {
-  const der = Buffer.concat([KEY_HEAD, Buffer.alloc(32, seed)]);
+function keysFromSeed(seed: number): OperatorKeys {
+  const der = Buffer.concat([PKCS8_PREFIX, Buffer.alloc(32, seed)]);
   const key = createPrivateKey({key: der, format: 'der', type: 'pkcs8'});
   const publicKey = createPublicKey(key).export({type: 'spki', format: 'der'});
   return {
@@ -29,13 +29,13 @@
 
 /** Operators of the tests by name. */
 export const OPERATORS: Readonly<Record<string, OperatorKeys>> = {
-  moana: fixedKeys(1),
-  kerry: fixedKeys(2),
-  tui: fixedKeys(3),
+  moana: keysFromSeed(1),
+  kerry: keysFromSeed(2),
+  tui: keysFromSeed(3),
 };
 
 /** What a test's bundle says. */
-export interface BundleChoice {
+export interface BundleTextOptions {
   readonly version: number;
   readonly base: number;
   readonly author?: string;
@@ -46,7 +46,7 @@
 }
 
 /** A bundle of one pool with four VMs. */
-export function bundleText(choice: BundleChoice): string {
+export function bundleText(choice: BundleTextOptions): string {
   const pool = choice.pool ?? 'counter-preview';
   const operators = Object.entries(OPERATORS).map(
     ([name, {publicKey}]) => `[operator.${name}]
@@ -73,25 +73,25 @@
 let records = 0;
 
 /** A head of a record that no other has. */
-export function head(writer = 'moana') {
+export function nextRecordHead(writer = 'moana') {
   return {id: `record-${++records}`, writer};
 }
 
-export function proposalOf(text: string): BundleProposed {
-  return {...head(), kind: RecordKind.BundleProposed, text};
+export function proposalRecord(text: string): BundleProposed {
+  return {...nextRecordHead(), kind: RecordKind.BundleProposed, text};
 }
 
 /** A sign-off; `key` is the operator's own unless another is named. */
-export function signOff(
+export function signOffRecord(
   text: string,
   version: number,
   operator: string,
   key = operator,
 ): BundleSigned {
-  const digest = digestOf(text);
+  const digest = sha256Hex(text);
   const {privateKey} = OPERATORS[key];
   return {
-    ...head(operator),
+    ...nextRecordHead(operator),
     kind: RecordKind.BundleSigned,
     version,
     digest,
@@ -113,13 +113,13 @@
 }
 
 /** Proposes and signs off; the outcome of the sign-off. */
-export function rollOut(
+export function proposeAndSignOff(
   state: FleetState,
-  choice: BundleChoice,
+  choice: BundleTextOptions,
   signer = 'kerry',
 ): FoldOutcome {
   const text = bundleText(choice);
-  const proposed = apply(state, proposalOf(text));
+  const proposed = apply(state, proposalRecord(text));
   if (proposed.rejection) return proposed;
-  return apply(state, signOff(text, choice.version, signer));
+  return apply(state, signOffRecord(text, choice.version, signer));
 }
--- a/packages/shared-state/src/__tests__/fold-total.test.ts
+++ b/packages/shared-state/src/__tests__/fold-total.test.ts
@@ -20,10 +20,10 @@
   apply,
   bundleText,
   emptyState,
-  head,
-  proposalOf,
-  rollOut,
-  signOff,
+  nextRecordHead,
+  proposalRecord,
+  proposeAndSignOff,
+  signOffRecord,
 } from './fold-harness.js';
 
 const packr = new Packr({useRecords: false});
@@ -44,14 +44,14 @@
 
 /** Records that often take effect one on another. */
 const likelyRecord: fc.Arbitrary<FleetRecord> = fc.oneof(
-  version.map(number => proposalOf(textOf(number))),
+  version.map(number => proposalRecord(textOf(number))),
   fc
     .tuple(version, operator)
-    .map(([number, signer]) => signOff(textOf(number), number, signer)),
+    .map(([number, signer]) => signOffRecord(textOf(number), number, signer)),
   fc
     .tuple(name, incarnation, fc.integer({min: 1, max: 3}))
     .map(([member, own, readsFormat]): FleetRecord => ({
-      ...head(),
+      ...nextRecordHead(),
       kind: RecordKind.MemberJoined,
       name: member,
       incarnation: own,
@@ -60,23 +60,23 @@
       readsFormat,
     })),
   incarnation.map((own): FleetRecord => ({
-    ...head(),
+    ...nextRecordHead(),
     kind: RecordKind.MemberLeft,
     incarnation: own,
   })),
   vm.map((id): FleetRecord => ({
-    ...head(),
+    ...nextRecordHead(),
     kind: RecordKind.DrainStarted,
     vm: id,
     reason: 'a bad fan',
   })),
   vm.map((id): FleetRecord => ({
-    ...head(),
+    ...nextRecordHead(),
     kind: RecordKind.DrainEnded,
     vm: id,
   })),
   fc.nat({max: 50}).map((offset): FleetRecord => ({
-    ...head(),
+    ...nextRecordHead(),
     kind: RecordKind.SnapshotTaken,
     offset,
     digest: '',
@@ -161,7 +161,7 @@
     fc.assert(
       fc.property(fc.array(likelyPayload, {maxLength: 40}), payloads => {
         for (const [table, entries] of tablesOf(foldAll(payloads)))
-          assert.equal(entries.hash, entries.recomputedHash(), table);
+          assert.equal(entries.hash, entries.recomputeHash(), table);
       }),
       RUNS,
     );
@@ -192,7 +192,11 @@
           const rest = () => Promise.resolve();
           const before = foldAll(payloads.slice(0, cut));
           const snapshot = await encodeSnapshot(before, rest);
-          const state = await decodeSnapshot(snapshot, before.trusted, rest);
+          const state = await decodeSnapshot(
+            snapshot,
+            before.trustedOperators,
+            rest,
+          );
           for (const payload of payloads.slice(cut))
             applyPayload(state, payload);
           assert.equal(stateHash(state), stateHash(foldAll(payloads)));
@@ -205,12 +209,12 @@
 
 describe('records of a format', () => {
   const raise: FleetRecord = {
-    ...head(),
+    ...nextRecordHead(),
     kind: RecordKind.FormatRaised,
     format: 2,
   };
   const joined = (member: string, readsFormat: number): FleetRecord => ({
-    ...head(),
+    ...nextRecordHead(),
     kind: RecordKind.MemberJoined,
     name: member,
     incarnation: `${member}-1`,
@@ -223,11 +227,11 @@
     const state = emptyState();
     apply(state, joined('entry-1', 2));
     apply(state, joined('entry-2', 1));
-    const {rejection} = apply(state, {...raise, ...head()});
+    const {rejection} = apply(state, {...raise, ...nextRecordHead()});
     assert.equal(rejection?.reason, RejectionReason.FormatNotReadByAll);
     assert.match(rejection?.detail ?? '', /entry-2 reads up to format 1/);
     apply(state, joined('entry-2', 2));
-    apply(state, {...raise, ...head()});
+    apply(state, {...raise, ...nextRecordHead()});
     assert.equal(state.formatInUse, 2);
   });
 
@@ -245,7 +249,7 @@
   it('not in use leave the state as a reader that cannot read them leaves it', () => {
     const record = joined('entry-1', 1);
     const early = packr.pack([2, record]);
-    const unknown = packr.pack([1, {...head(), kind: 'pool.merged'}]);
+    const unknown = packr.pack([1, {...nextRecordHead(), kind: 'pool.merged'}]);
     const left = emptyState();
     const right = emptyState();
     applyPayload(left, early);
@@ -263,9 +267,9 @@
 describe('a doubled record', () => {
   it('takes effect once', () => {
     const state = emptyState();
-    rollOut(state, {version: 1, base: 0});
+    proposeAndSignOff(state, {version: 1, base: 0});
     const drain: FleetRecord = {
-      ...head(),
+      ...nextRecordHead(),
       kind: RecordKind.DrainStarted,
       vm: 'hall-a-r1-1',
       reason: 'a bad fan',
@@ -282,12 +286,14 @@
   it('is refused, wherever a byte of it changed', async () => {
     const rest = () => Promise.resolve();
     const state = emptyState();
-    rollOut(state, {version: 1, base: 0});
+    proposeAndSignOff(state, {version: 1, base: 0});
     const snapshot = await encodeSnapshot(state, rest);
     for (let place = 0; place < snapshot.length; place += 7) {
       const damaged = Uint8Array.from(snapshot);
       damaged[place] ^= 0x55;
-      await assert.rejects(decodeSnapshot(damaged, state.trusted, rest));
+      await assert.rejects(
+        decodeSnapshot(damaged, state.trustedOperators, rest),
+      );
     }
   });
 });
--- a/packages/shared-state/src/__tests__/log-client.test.ts
+++ b/packages/shared-state/src/__tests__/log-client.test.ts
@@ -2,7 +2,7 @@
 import {setMaxListeners} from 'node:events';
 import {describe, it} from 'node:test';
 import {
-  LogFailure,
+  PlatformLogFailure,
   MemoryMetrics,
   PlatformLogError,
   SeededRandom,
@@ -10,7 +10,7 @@
   VirtualClock,
 } from '@gentiandoor/kernel';
 import {
-  AppendBudget,
+  AppendRateLimiter,
   AppendRefusedError,
   DEFAULT_APPENDER_OPTIONS,
   LogAppender,
@@ -42,11 +42,15 @@
 }
 
 function refuse(): Promise<never> {
-  return Promise.reject(new PlatformLogError(LogFailure.Refused, 'out'));
+  return Promise.reject(
+    new PlatformLogError(PlatformLogFailure.Refused, 'out'),
+  );
 }
 
 function lose(): Promise<never> {
-  return Promise.reject(new PlatformLogError(LogFailure.NoAnswer, 'lost'));
+  return Promise.reject(
+    new PlatformLogError(PlatformLogFailure.NoResponse, 'lost'),
+  );
 }
 
 function setUp(options: Partial<AppenderOptions> = {}) {
@@ -70,12 +74,12 @@
 describe('AppendBudget', () => {
   it('gives a burst at once and then the budgeted pace', () => {
     const clock = new VirtualClock();
-    const budget = new AppendBudget(clock, 10, 2);
-    budget.take();
-    budget.take();
-    assert.equal(budget.waitMilliseconds(), 100);
+    const budget = new AppendRateLimiter(clock, 10, 2);
+    budget.consumeToken();
+    budget.consumeToken();
+    assert.equal(budget.millisecondsUntilToken(), 100);
     clock.advance(100);
-    assert.equal(budget.waitMilliseconds(), 0);
+    assert.equal(budget.millisecondsUntilToken(), 0);
   });
 });
 
@@ -112,7 +116,7 @@
     });
 
     it('says when to come again once too much waits', async () => {
-      const {clock, platformLog, appender} = setUp({queuedRecords: 2});
+      const {clock, platformLog, appender} = setUp({maximumQueuedRecords: 2});
       platformLog.onAppend = () => new Promise(() => undefined);
       void appender.append(payload(0));
       await clock.advanceAsync(1);
@@ -127,7 +131,7 @@
     });
 
     it('bounds the bytes of one append', async () => {
-      const {clock, platformLog, appender} = setUp({batchBytes: 100});
+      const {clock, platformLog, appender} = setUp({maximumBatchBytes: 100});
       const sent = [60, 60, 30].map(bytes =>
         appender.append(payload(1, bytes)),
       );
@@ -200,7 +204,7 @@
     });
     await setting.clock.advanceAsync(500);
     assert.equal(fate, 'open');
-    publisher.settle('r1', 'in force');
+    publisher.resolveOutcome('r1', 'in force');
     await published;
     assert.equal(fate, 'in force');
   });
@@ -214,7 +218,7 @@
     assert.equal(setting.platformLog.appends.length, 1);
     await setting.clock.advanceAsync(200);
     assert.equal(setting.platformLog.appends.length, 2);
-    publisher.settle('r1', 'in force');
+    publisher.resolveOutcome('r1', 'in force');
     assert.equal(await published, 'in force');
   });
 
@@ -223,7 +227,9 @@
     const publisher = publisherOf(setting, () => false);
     setting.platformLog.onAppend = lose;
     const published = publisher.publish('r1', payload(1));
-    const rejected = assert.rejects(published, {failure: LogFailure.NoAnswer});
+    const rejected = assert.rejects(published, {
+      failure: PlatformLogFailure.NoResponse,
+    });
     await setting.clock.advanceAsync(20_000);
     await rejected;
     assert.equal(setting.platformLog.appends.length, 1);
@@ -234,7 +240,9 @@
     const publisher = publisherOf(setting);
     setting.platformLog.onAppend = refuse;
     const published = publisher.publish('r1', payload(1));
-    const rejected = assert.rejects(published, {failure: LogFailure.Refused});
+    const rejected = assert.rejects(published, {
+      failure: PlatformLogFailure.Refused,
+    });
     await setting.clock.advanceAsync(20_000);
     await rejected;
     await setting.clock.advanceAsync(20_000);
@@ -273,8 +281,8 @@
         },
         {
           nextOffset: () => 0,
-          take: async () => undefined,
-          crossGap: async () => undefined,
+          applyBatch: async () => undefined,
+          recoverFromGap: async () => undefined,
         },
         {limit: 1, waitMilliseconds: 1000},
       );
@@ -308,8 +316,8 @@
       dependencies,
       {
         nextOffset: () => 0,
-        take: async () => undefined,
-        crossGap: async () => undefined,
+        applyBatch: async () => undefined,
+        recoverFromGap: async () => undefined,
       },
       {limit: 1, waitMilliseconds: 1000},
     );
@@ -329,8 +337,8 @@
       dependencies,
       {
         nextOffset: () => 0,
-        take: async () => undefined,
-        crossGap: () => {
+        applyBatch: async () => undefined,
+        recoverFromGap: () => {
           tries++;
           return Promise.reject(new Error('no snapshot'));
         },
--- a/packages/shared-state/src/append-budget.ts
+++ b/packages/shared-state/src/append-rate-limiter.ts
@@ -7,30 +7,30 @@
  * the platform takes some hundred appends a second from everyone, and one busy stream would
  * use up what the others need. The burst is what a quiet daemon may send at once.
  */
-export class AppendBudget {
+export class AppendRateLimiter {
   private tokens: number;
-  private countedAt: number;
+  private refilledAt: number;
 
   constructor(
     private readonly clock: Clock,
-    private readonly perSecond: number,
+    private readonly tokensPerSecond: number,
     private readonly burst: number,
   ) {
     this.tokens = burst;
-    this.countedAt = clock.monotonicMilliseconds();
+    this.refilledAt = clock.monotonicMilliseconds();
   }
 
   /** Milliseconds until an append may be sent; 0 for now. */
-  waitMilliseconds(): number {
+  millisecondsUntilToken(): number {
     this.refill();
     if (this.tokens >= 1) return 0;
     return Math.ceil(
-      ((1 - this.tokens) * MILLISECONDS_PER_SECOND) / this.perSecond,
+      ((1 - this.tokens) * MILLISECONDS_PER_SECOND) / this.tokensPerSecond,
     );
   }
 
   /** Uses one append. */
-  take(): void {
+  consumeToken(): void {
     this.refill();
     this.tokens -= 1;
   }
@@ -38,8 +38,9 @@
   private refill(): void {
     const now = this.clock.monotonicMilliseconds();
     const grown =
-      ((now - this.countedAt) * this.perSecond) / MILLISECONDS_PER_SECOND;
+      ((now - this.refilledAt) * this.tokensPerSecond) /
+      MILLISECONDS_PER_SECOND;
     this.tokens = Math.min(this.burst, this.tokens + grown);
-    this.countedAt = now;
+    this.refilledAt = now;
   }
 }
--- a/packages/shared-state/src/budget-check.ts
+++ b/packages/shared-state/src/budget-check.ts
@@ -1,5 +1,9 @@
 import type {FailureDomain} from './bundle.js';
-import {capacityOf, largestLoss, type CapacityIndex} from './capacity-index.js';
+import {
+  capacityIndexOf,
+  largestFailureDomainLoss,
+  type CapacityIndex,
+} from './capacity-index.js';
 import {
   RejectionReason,
   type FleetState,
@@ -7,7 +11,7 @@
 } from './fleet-state.js';
 
 /** How a service stands against its budget. */
-export interface BudgetStanding {
+export interface ServiceBudgetStatus {
   readonly service: string;
   readonly pool: string;
   /** VMs that must stay available. */
@@ -27,23 +31,26 @@
 }
 
 /** Standing of each service, in the bundle's order. */
-export function budgetStandings(state: FleetState): BudgetStanding[] {
-  const index = capacityOf(state);
+export function serviceBudgetStatuses(
+  state: FleetState,
+): ServiceBudgetStatus[] {
+  const index = capacityIndexOf(state);
   return Object.keys(state.inForce?.bundle.services ?? {}).flatMap(
-    name => standingOf(index, name) ?? [],
+    name => serviceBudgetStatusOf(index, name) ?? [],
   );
 }
 
 /** Standing of one service; undefined when the bundle has none of that name. */
-export function standingOf(
+export function serviceBudgetStatusOf(
   index: CapacityIndex,
   name: string,
-): BudgetStanding | undefined {
+): ServiceBudgetStatus | undefined {
   const service = index.service(name);
   if (!service) return undefined;
   const pool = index.pool(service.pool);
   const {availableVms, survive, leavingAtOnce} = service.budget;
-  const availableAfterLoss = pool.available - largestLoss(pool, survive);
+  const availableAfterLoss =
+    pool.available - largestFailureDomainLoss(pool, survive);
   const spare = Math.min(
     availableAfterLoss - availableVms,
     leavingAtOnce - pool.planned,
@@ -74,38 +81,38 @@
   vm: string,
   relieves?: string,
 ): Rejection | undefined {
-  const index = capacityOf(state);
+  const index = capacityIndexOf(state);
   if (!index.isAvailable(vm)) return undefined;
-  const broken = findBroken(index, relieves);
+  const broken = checkBrokenBudgets(index, relieves);
   if (broken) return broken;
   const pool = state.vms.get(vm)?.pool ?? '';
   for (const name of index.services(pool)) {
-    const refusal = checkService(index, name, vm);
+    const refusal = checkServiceBudget(index, name, vm);
     if (refusal) return refusal;
   }
   return undefined;
 }
 
-function findBroken(
+function checkBrokenBudgets(
   index: CapacityIndex,
   relieves: string | undefined,
 ): Rejection | undefined {
-  if (index.broken.size === 0) return undefined;
-  for (const name of index.broken) {
-    const standing = standingOf(index, name);
+  if (index.brokenServices.size === 0) return undefined;
+  for (const name of index.brokenServices) {
+    const standing = serviceBudgetStatusOf(index, name);
     if (!standing) continue;
     if (relieves === standing.pool) return undefined;
   }
-  const [first] = index.broken;
-  const standing = standingOf(index, first);
-  const others = index.broken.size - 1;
+  const [first] = index.brokenServices;
+  const standing = serviceBudgetStatusOf(index, first);
+  const others = index.brokenServices.size - 1;
   return {
     reason: RejectionReason.BudgetBroken,
     detail: `planned work is stopped: service ${first} has ${standing?.available} of ${standing?.needed} VMs available in pool ${standing?.pool}${others > 0 ? ` and ${others} more services are short` : ''}; return drained VMs of that pool or repair those that are down`,
   };
 }
 
-function checkService(
+function checkServiceBudget(
   index: CapacityIndex,
   name: string,
   vm: string,
@@ -120,7 +127,7 @@
       detail: `service ${name} lets ${leavingAtOnce} VMs leave at one time and ${pool.planned} of pool ${service.pool} are out by plan; wait for one to return`,
     };
   }
-  const lost = largestLoss(pool, survive, index.place(vm));
+  const lost = largestFailureDomainLoss(pool, survive, index.locationOf(vm));
   const left = pool.available - 1 - lost;
   if (left >= availableVms) return undefined;
   return {
--- a/packages/shared-state/src/bundle-records.ts
+++ b/packages/shared-state/src/bundle-records.ts
@@ -1,51 +1,55 @@
 import {z} from 'zod';
-import {recordCount, recordHead, recordText} from './record-head.js';
+import {
+  nonNegativeInteger,
+  recordHeadFields,
+  boundedText,
+} from './record-head.js';
 import {RecordKind} from './record-kind.js';
 
 /** Longest text of a bundle, in characters: 31,000 VMs named one by one take about 2 million. */
-export const LONGEST_BUNDLE_TEXT = 8_000_000;
-const LONGEST_DELTA = 20_000;
+export const MAXIMUM_BUNDLE_CHARACTERS = 8_000_000;
+const MAXIMUM_DELTA_STEPS = 20_000;
 
 const digest = z.string().regex(/^[0-9a-f]{64}$/);
 
 /** Shape of a `BundleProposed` record. */
 export const bundleProposedSchema = z
   .object({
-    ...recordHead,
+    ...recordHeadFields,
     kind: z.literal(RecordKind.BundleProposed),
-    text: z.string().max(LONGEST_BUNDLE_TEXT),
+    text: z.string().max(MAXIMUM_BUNDLE_CHARACTERS),
   })
   .readonly();
 
 /** Shape of one step that makes a bundle's text from its base. */
 export const deltaStepSchema = z.union([
-  z.object({copy: recordCount, count: recordCount}).readonly(),
-  z.object({text: z.string().max(LONGEST_BUNDLE_TEXT)}).readonly(),
+  z.object({copy: nonNegativeInteger, count: nonNegativeInteger}).readonly(),
+  z.object({text: z.string().max(MAXIMUM_BUNDLE_CHARACTERS)}).readonly(),
 ]);
 
 /** Shape of a `BundleChanged` record. */
 export const bundleChangedSchema = z
   .object({
-    ...recordHead,
+    ...recordHeadFields,
     kind: z.literal(RecordKind.BundleChanged),
     /** Digest of the text in force that the steps start from. */
     baseDigest: digest,
     /** Digest of the whole text that they make. */
     digest,
-    steps: z.array(deltaStepSchema).max(LONGEST_DELTA).readonly(),
+    steps: z.array(deltaStepSchema).max(MAXIMUM_DELTA_STEPS).readonly(),
   })
   .readonly();
 
 /** Shape of a `BundleSigned` record. */
 export const bundleSignedSchema = z
   .object({
-    ...recordHead,
+    ...recordHeadFields,
     kind: z.literal(RecordKind.BundleSigned),
-    version: recordCount,
+    version: nonNegativeInteger,
     digest,
-    operator: recordText,
+    operator: boundedText,
     /** Ed25519 in base64. */
-    signature: recordText,
+    signature: boundedText,
   })
   .readonly();
 
--- a/packages/shared-state/src/bundle-sections.ts
+++ b/packages/shared-state/src/bundle-sections.ts
@@ -16,29 +16,29 @@
 const MAXIMUM_MILLISECONDS = 86_400_000;
 const MAXIMUM_COUNT = 1_000_000;
 /** Names of sections and VMs. */
-export const NAME = /^[a-z0-9][a-z0-9_-]{0,62}$/;
+export const NAME_PATTERN = /^[a-z0-9][a-z0-9_-]{0,62}$/;
 /** VMs of one list: three times the fleet to come; a few bytes of ranges cannot name more. */
-const MOST_VMS = 100_000;
+const MAXIMUM_VMS_PER_LIST = 100_000;
 /** A range with its numbers; each name that it gives is shorter. */
-const LONGEST_RANGE = 100;
+const MAXIMUM_RANGE_CHARACTERS = 100;
 
 const yesNo = z
   .union([z.boolean(), z.enum(['yes', 'no'])], {error: 'expected yes or no'})
   .transform(value => value === true || value === 'yes');
 const vmNames = listSetting().transform((names, context) => {
-  const expanded = expandAll(names);
+  const expanded = expandRanges(names);
   if (expanded === undefined) {
     context.addIssue({
       code: 'custom',
-      message: `expected up to ${MOST_VMS} VM names`,
+      message: `expected up to ${MAXIMUM_VMS_PER_LIST} VM names`,
     });
     return [];
   }
-  const bad = expanded.find(name => !NAME.test(name));
+  const bad = expanded.find(name => !NAME_PATTERN.test(name));
   if (bad !== undefined) {
     context.addIssue({
       code: 'custom',
-      message: `expected VM names, found "${bad.slice(0, LONGEST_RANGE)}"`,
+      message: `expected VM names, found "${bad.slice(0, MAXIMUM_RANGE_CHARACTERS)}"`,
     });
   }
   return expanded;
@@ -94,13 +94,13 @@
 });
 
 /** Kinds of sections of a bundle that stand once. */
-export enum SingleSection {
+export enum SingleSectionKind {
   Bundle = 'bundle',
   Weights = 'weights',
 }
 
 /** Kinds of sections of a bundle that carry a name, as in `[pool.counter-preview]`. */
-export enum NamedSection {
+export enum NamedSectionKind {
   Operator = 'operator',
   Rack = 'rack',
   Pool = 'pool',
@@ -110,7 +110,7 @@
 }
 
 /** The section `[bundle]`. */
-export interface BundleHead {
+export interface BundleHeader {
   readonly version: number;
   readonly base: number;
   readonly author: string;
@@ -118,48 +118,50 @@
 }
 
 /** Shapes of the sections that stand once. */
-export const SINGLE_SECTIONS = {
-  [SingleSection.Bundle]: bundleSection.transform((entry): BundleHead => {
+export const SINGLE_SECTION_SCHEMAS = {
+  [SingleSectionKind.Bundle]: bundleSection.transform((entry): BundleHeader => {
     const {sign_offs: signOffs, ...head} = entry;
     return {...head, signOffs};
   }),
-  [SingleSection.Weights]: weightsSection.transform(
+  [SingleSectionKind.Weights]: weightsSection.transform(
     (entry): CostWeights => entry,
   ),
 };
 
 /** Shapes of the sections that carry a name. */
-export const NAMED_SECTIONS = {
-  [NamedSection.Operator]: operatorSection.transform(
+export const NAMED_SECTION_SCHEMAS = {
+  [NamedSectionKind.Operator]: operatorSection.transform(
     (entry): OperatorEntry => ({
       publicKey: entry.public_key,
       revoked: entry.revoked,
     }),
   ),
-  [NamedSection.Rack]: rackSection.transform((entry): RackEntry => ({
+  [NamedSectionKind.Rack]: rackSection.transform((entry): RackEntry => ({
     dataCentre: entry.data_centre,
     vms: entry.vms,
   })),
-  [NamedSection.Pool]: poolSection.transform((entry): PoolEntry => {
+  [NamedSectionKind.Pool]: poolSection.transform((entry): PoolEntry => {
     const {memory_gigabytes: memoryGigabytes, ...shape} = entry;
     return {...shape, memoryGigabytes};
   }),
-  [NamedSection.Service]: serviceSection.transform((entry): ServiceEntry => ({
-    pool: entry.pool,
-    workClass: entry.class,
-    deadlineMilliseconds: entry.deadline_milliseconds,
-    waitMilliseconds: entry.wait_milliseconds,
-    queueLimit: entry.queue_limit,
-    keyRule: entry.idempotency_key,
-    callersOnly: entry.callers_only,
-    budget: {
-      availableVms: entry.available_vms,
-      survive: entry.survive,
-      leavingAtOnce: entry.leaving_at_once,
-    },
-  })),
-  [NamedSection.Team]: teamSection.transform((entry): TeamEntry => entry),
-  [NamedSection.Caller]: callerSection.transform((entry): CallerEntry => ({
+  [NamedSectionKind.Service]: serviceSection.transform(
+    (entry): ServiceEntry => ({
+      pool: entry.pool,
+      workClass: entry.class,
+      deadlineMilliseconds: entry.deadline_milliseconds,
+      waitMilliseconds: entry.wait_milliseconds,
+      queueLimit: entry.queue_limit,
+      keyRule: entry.idempotency_key,
+      callersOnly: entry.callers_only,
+      budget: {
+        availableVms: entry.available_vms,
+        survive: entry.survive,
+        leavingAtOnce: entry.leaving_at_once,
+      },
+    }),
+  ),
+  [NamedSectionKind.Team]: teamSection.transform((entry): TeamEntry => entry),
+  [NamedSectionKind.Caller]: callerSection.transform((entry): CallerEntry => ({
     team: entry.team,
     keyDigest: entry.key_digest,
   })),
@@ -167,12 +169,12 @@
 
 /** Expands `hall-a-r1-[1-4]` into four names; another name stands for itself. */
 export function expandRange(name: string): string[] {
-  if (name.length > LONGEST_RANGE) return [name];
+  if (name.length > MAXIMUM_RANGE_CHARACTERS) return [name];
   const range = /^(.*)\[(\d+)-(\d+)\](.*)$/.exec(name);
   if (!range) return [name];
   const [, before, from, to, after] = range;
   const count = Number(to) - Number(from) + 1;
-  if (count < 1 || count > MOST_VMS) return [name];
+  if (count < 1 || count > MAXIMUM_VMS_PER_LIST) return [name];
   return Array.from({length: count}, (_, index) => {
     const digits = String(Number(from) + index).padStart(from.length, '0');
     return `${before}${digits}${after}`;
@@ -180,11 +182,11 @@
 }
 
 /** All names of a list, or undefined when there are too many: at most one range beyond the bound is made. */
-function expandAll(names: readonly string[]): string[] | undefined {
+function expandRanges(names: readonly string[]): string[] | undefined {
   const expanded: string[] = [];
   for (const name of names) {
     for (const one of expandRange(name)) expanded.push(one);
-    if (expanded.length > MOST_VMS) return undefined;
+    if (expanded.length > MAXIMUM_VMS_PER_LIST) return undefined;
   }
   return expanded;
 }
--- a/packages/shared-state/src/bundle-text.ts
+++ b/packages/shared-state/src/bundle-text.ts
@@ -1,7 +1,7 @@
 import {BundleError} from '@gentiandoor/kernel';
 import type {Bundle} from './bundle.js';
-import {LONGEST_BUNDLE_TEXT, type DeltaStep} from './bundle-records.js';
-import type {NamedSection, SingleSection} from './bundle-sections.js';
+import {MAXIMUM_BUNDLE_CHARACTERS, type DeltaStep} from './bundle-records.js';
+import type {NamedSectionKind, SingleSectionKind} from './bundle-sections.js';
 
 /** A stretch of a bundle's text that starts with its `[header]`. */
 export interface TextSection {
@@ -13,7 +13,7 @@
 /** A section with what it says. */
 export interface ParsedSection extends TextSection {
   /** Undefined for the lines before the first header. */
-  readonly kind: SingleSection | NamedSection | undefined;
+  readonly kind: SingleSectionKind | NamedSectionKind | undefined;
   readonly name: string;
   readonly value: unknown;
 }
@@ -83,7 +83,7 @@
   const add = (text: string) => {
     length += text.length;
     // Copies can be repeated: a record of some kilobytes could otherwise grow to gigabytes.
-    if (length > LONGEST_BUNDLE_TEXT)
+    if (length > MAXIMUM_BUNDLE_CHARACTERS)
       throw new BundleError('the delta makes a text that is too long');
     parts.push(text);
   };
--- a/packages/shared-state/src/bundle-checks.ts
+++ b/packages/shared-state/src/bundle-validation.ts
@@ -4,7 +4,7 @@
  * Problems that make a bundle unacceptable; empty when there are none. What stands in `before`,
  * a bundle that has passed, is not checked again: a changed quota does not walk 31,000 VMs.
  */
-export function checkBundle(bundle: Bundle, before?: Bundle): string[] {
+export function validateBundle(bundle: Bundle, before?: Bundle): string[] {
   const sameRacks = bundle.racks === before?.racks;
   const samePools = sameRacks && bundle.pools === before?.pools;
   return [
@@ -39,7 +39,7 @@
 }
 
 function checkPools(bundle: Bundle): string[] {
-  const racks = rackOfVms(bundle);
+  const racks = rackByVm(bundle);
   const owner = new Map<string, string>();
   const problems: string[] = [];
   for (const [pool, entry] of Object.entries(bundle.pools)) {
@@ -77,7 +77,8 @@
   const {survive} = service.budget;
   // Once for a pool: thousands of services that each walked its VMs would hold the event loop.
   const key = `${survive} ${service.pool}`;
-  const lost = losses.get(key) ?? largestDomain(bundle, vms, survive);
+  const lost =
+    losses.get(key) ?? largestFailureDomainSize(bundle, vms, survive);
   losses.set(key, lost);
   const left = vms.length - lost;
   if (left >= service.budget.availableVms) return [];
@@ -116,7 +117,7 @@
  * Rack of each VM of the bundle. Kept for as long as the bundle is: 239 services that each
  * walked 31,000 VMs would hold the event loop for seconds.
  */
-export function rackOfVms(bundle: Bundle): ReadonlyMap<string, string> {
+export function rackByVm(bundle: Bundle): ReadonlyMap<string, string> {
   const known = racksByBundle.get(bundle.racks);
   if (known) return known;
   const racks = new Map<string, string>();
@@ -128,14 +129,14 @@
 }
 
 /** The most of `vms` that one failure of the given domain takes. */
-export function largestDomain(
+export function largestFailureDomainSize(
   bundle: Bundle,
   vms: readonly string[],
   domain: FailureDomain,
 ): number {
   if (domain === FailureDomain.None || vms.length === 0) return 0;
   if (domain === FailureDomain.Vm) return 1;
-  const racks = rackOfVms(bundle);
+  const racks = rackByVm(bundle);
   const counts = new Map<string, number>();
   for (const vm of vms) {
     const rack = racks.get(vm) ?? '';
--- a/packages/shared-state/src/capacity-index.ts
+++ b/packages/shared-state/src/capacity-index.ts
@@ -1,5 +1,5 @@
 import {FailureDomain, type Bundle, type ServiceEntry} from './bundle.js';
-import {WorkKind, isOutOfService} from './fleet-domain.js';
+import {PlannedWorkKind, isOutOfService} from './planning-state.js';
 import type {FleetState} from './fleet-state.js';
 
 /** Counts of one pool, kept as its VMs change. */
@@ -16,12 +16,12 @@
 }
 
 /** Where a VM stands. */
-export interface VmPlace {
+export interface VmLocation {
   readonly rack: string;
   readonly dataCentre: string;
 }
 
-const NOWHERE: VmPlace = {rack: '', dataCentre: ''};
+const UNKNOWN_LOCATION: VmLocation = {rack: '', dataCentre: ''};
 
 /**
  * Counters behind every budget check. Without them a check would walk a pool, and a
@@ -31,23 +31,24 @@
 export class CapacityIndex {
   readonly pools = new Map<string, PoolCapacity>();
   /** Services whose `availableVms` is not met now. */
-  readonly broken = new Set<string>();
-  private readonly places = new Map<string, VmPlace>();
+  readonly brokenServices = new Set<string>();
+  private readonly locations = new Map<string, VmLocation>();
   private readonly dataCentreSizes = new Map<string, number>();
-  private readonly servicesOfPool = new Map<string, string[]>();
+  private readonly serviceNamesByPool = new Map<string, string[]>();
   private readonly bundle: Bundle | undefined;
-  private seen: readonly unknown[];
+  private indexedFingerprint: readonly unknown[];
 
   constructor(private readonly state: FleetState) {
     this.bundle = state.inForce?.bundle;
     this.indexBundle();
-    for (const vm of state.vms.keys()) this.count(vm, 1);
-    for (const pool of this.servicesOfPool.keys()) this.judge(pool);
-    this.seen = fingerprint(state);
+    for (const vm of state.vms.keys()) this.countVm(vm, 1);
+    for (const pool of this.serviceNamesByPool.keys())
+      this.updateBrokenServices(pool);
+    this.indexedFingerprint = stateFingerprint(state);
   }
 
-  place(vm: string): VmPlace {
-    return this.places.get(vm) ?? NOWHERE;
+  locationOf(vm: string): VmLocation {
+    return this.locations.get(vm) ?? UNKNOWN_LOCATION;
   }
 
   /** VMs that the bundle places in a data centre. */
@@ -56,11 +57,11 @@
   }
 
   /** Domains of a kind that the bundle has. */
-  domainsOf(domain: FailureDomain): number {
+  failureDomainCount(domain: FailureDomain): number {
     if (domain === FailureDomain.DataCentre) return this.dataCentreSizes.size;
     if (domain === FailureDomain.Rack)
       return Object.keys(this.bundle?.racks ?? {}).length;
-    return this.places.size;
+    return this.locations.size;
   }
 
   pool(name: string): PoolCapacity {
@@ -80,7 +81,7 @@
 
   /** Services that a pool carries. */
   services(pool: string): readonly string[] {
-    return this.servicesOfPool.get(pool) ?? [];
+    return this.serviceNamesByPool.get(pool) ?? [];
   }
 
   service(name: string): ServiceEntry | undefined {
@@ -96,36 +97,39 @@
   /** Runs `change` on one VM and keeps the counters right. */
   update(vm: string, change: () => void): void {
     const before = this.state.vms.get(vm)?.pool;
-    this.count(vm, -1);
+    this.countVm(vm, -1);
     change();
-    this.count(vm, 1);
+    this.countVm(vm, 1);
     const after = this.state.vms.get(vm)?.pool;
-    if (before !== undefined) this.judge(before);
-    if (after !== undefined && after !== before) this.judge(after);
-    this.seen = fingerprint(this.state);
+    if (before !== undefined) this.updateBrokenServices(before);
+    if (after !== undefined && after !== before)
+      this.updateBrokenServices(after);
+    this.indexedFingerprint = stateFingerprint(this.state);
   }
 
   /** Whether the counters belong to what the state holds now. */
   isCurrent(): boolean {
-    const seen = fingerprint(this.state);
-    return seen.every((part, position) => part === this.seen[position]);
+    const seen = stateFingerprint(this.state);
+    return seen.every(
+      (part, position) => part === this.indexedFingerprint[position],
+    );
   }
 
   private indexBundle(): void {
     if (!this.bundle) return;
     for (const [rack, entry] of Object.entries(this.bundle.racks)) {
       const place = {rack, dataCentre: entry.dataCentre};
-      for (const vm of entry.vms) this.places.set(vm, place);
-      add(this.dataCentreSizes, entry.dataCentre, entry.vms.length);
+      for (const vm of entry.vms) this.locations.set(vm, place);
+      addToCount(this.dataCentreSizes, entry.dataCentre, entry.vms.length);
     }
     for (const [name, service] of Object.entries(this.bundle.services)) {
-      const names = this.servicesOfPool.get(service.pool) ?? [];
+      const names = this.serviceNamesByPool.get(service.pool) ?? [];
       names.push(name);
-      this.servicesOfPool.set(service.pool, names);
+      this.serviceNamesByPool.set(service.pool, names);
     }
   }
 
-  private count(vm: string, by: number): void {
+  private countVm(vm: string, by: number): void {
     const record = this.state.vms.get(vm);
     if (!record) return;
     const pool = this.pool(record.pool);
@@ -133,30 +137,30 @@
     pool.owned += by;
     if (by > 0) pool.vms.add(vm);
     else pool.vms.delete(vm);
-    if (isOutOfService(work) && work?.kind !== WorkKind.Repair)
+    if (isOutOfService(work) && work?.kind !== PlannedWorkKind.Repair)
       pool.planned += by;
     if (!this.isAvailable(vm)) return;
-    const {rack, dataCentre} = this.place(vm);
+    const {rack, dataCentre} = this.locationOf(vm);
     pool.available += by;
-    add(pool.availableByRack, rack, by);
-    add(pool.availableByDataCentre, dataCentre, by);
+    addToCount(pool.availableByRack, rack, by);
+    addToCount(pool.availableByDataCentre, dataCentre, by);
   }
 
-  private judge(pool: string): void {
+  private updateBrokenServices(pool: string): void {
     const {available} = this.pool(pool);
     for (const name of this.services(pool)) {
       const needed = this.service(name)?.budget.availableVms ?? 0;
-      if (available < needed) this.broken.add(name);
-      else this.broken.delete(name);
+      if (available < needed) this.brokenServices.add(name);
+      else this.brokenServices.delete(name);
     }
   }
 }
 
 /** VMs that the largest failure of a domain takes, where `without` is already gone. */
-export function largestLoss(
+export function largestFailureDomainLoss(
   pool: PoolCapacity,
   domain: FailureDomain,
-  without?: VmPlace,
+  without?: VmLocation,
 ): number {
   switch (domain) {
     case FailureDomain.None:
@@ -177,7 +181,11 @@
   return most;
 }
 
-function add(counts: Map<string, number>, name: string, by: number): void {
+function addToCount(
+  counts: Map<string, number>,
+  name: string,
+  by: number,
+): void {
   const next = (counts.get(name) ?? 0) + by;
   if (next === 0) counts.delete(name);
   else counts.set(name, next);
@@ -187,7 +195,7 @@
  * What the counters rest on: a bundle in force, or a snapshot read into the state, changes
  * it behind their back, and they are worked out anew.
  */
-function fingerprint(state: FleetState): readonly unknown[] {
+function stateFingerprint(state: FleetState): readonly unknown[] {
   const {vms, work, conditions, inForce} = state;
   return [inForce, vms.hash, work.hash, conditions.hash];
 }
@@ -195,7 +203,7 @@
 const INDEXES = new WeakMap<FleetState, CapacityIndex>();
 
 /** The counters of a state. */
-export function capacityOf(state: FleetState): CapacityIndex {
+export function capacityIndexOf(state: FleetState): CapacityIndex {
   const cached = INDEXES.get(state);
   if (cached?.isCurrent()) return cached;
   const index = new CapacityIndex(state);
--- a/packages/shared-state/src/claim-records.ts
+++ b/packages/shared-state/src/claim-records.ts
@@ -1,6 +1,6 @@
 import {createHash} from 'node:crypto';
 import {Packr} from 'msgpackr';
-import type {KeyedRequest} from './once-only.js';
+import type {KeyedRequest} from './idempotency.js';
 
 /** Version of the encoding of claim batches; a reader keeps out what is newer. */
 export const CLAIM_FORMAT = 1;
@@ -12,7 +12,7 @@
 const packr = new Packr({useRecords: false});
 
 /** How a claimed request ended, as far as the log knows. */
-export enum ClaimEnd {
+export enum ClaimOutcome {
   /** A target ran it. */
   Finished = 'finished',
   /** It may have been run. */
@@ -28,14 +28,14 @@
 }
 
 /** The wish to run a key. */
-export interface ClaimItem extends ClaimReference {
+export interface ClaimRequest extends ClaimReference {
   /** Digest of the request, as `claimFingerprint` gives it. */
   readonly fingerprint: string;
 }
 
 /** How a claimed request ended. */
-export interface OutcomeItem extends ClaimReference {
-  readonly end: ClaimEnd;
+export interface ClaimOutcomeReport extends ClaimReference {
+  readonly end: ClaimOutcome;
 }
 
 /**
@@ -47,26 +47,26 @@
   /** Incarnation of the daemon that wrote it. */
   readonly holder: string;
   readonly sequence: number;
-  readonly claims: readonly ClaimItem[];
+  readonly claims: readonly ClaimRequest[];
   readonly releases: readonly ClaimReference[];
-  readonly outcomes: readonly OutcomeItem[];
+  readonly outcomes: readonly ClaimOutcomeReport[];
   /** Incarnation that took over the held answers; empty where none did. */
   readonly heir: string;
 }
 
 /** A payload that this version cannot read. */
-export interface UnreadableBatch {
+export interface UnreadableClaimBatch {
   readonly unreadable: string;
 }
 
 /** The digest under which a key is claimed: 16 bytes, one character each. */
-export function claimKey(request: KeyedRequest): string {
+export function claimKeyDigest(request: KeyedRequest): string {
   const {caller, service, key} = request;
   return digest(JSON.stringify([caller, service, key]), KEY_BYTES);
 }
 
 /** The digest by which a key's reuse for another request is seen: 8 bytes. */
-export function claimFingerprint(request: KeyedRequest): string {
+export function claimFingerprintDigest(request: KeyedRequest): string {
   return digest(request.fingerprint, FINGERPRINT_BYTES);
 }
 
@@ -93,7 +93,7 @@
     batch.outcomes.map(item => [
       toBytes(item.key),
       item.attempt,
-      item.end === ClaimEnd.Finished,
+      item.end === ClaimOutcome.Finished,
     ]),
     batch.heir,
   ]);
@@ -102,7 +102,7 @@
 /** Decodes a payload of the claims stream; never throws. */
 export function decodeClaimBatch(
   payload: Uint8Array,
-): ClaimBatch | UnreadableBatch {
+): ClaimBatch | UnreadableClaimBatch {
   try {
     return readBatch(packr.unpack(payload));
   } catch (error) {
@@ -119,24 +119,24 @@
     throw new Error(`${fields.length} fields in a batch of claims`);
   const [, holder, sequence, claims, releases, outcomes, heir] = fields;
   return {
-    holder: text(holder),
-    sequence: whole(sequence),
-    claims: list(claims).map(([key, attempt, fingerprint]) => ({
+    holder: requireString(holder),
+    sequence: requireInteger(sequence),
+    claims: requireRows(claims).map(([key, attempt, fingerprint]) => ({
       key: fromBytes(key, KEY_BYTES),
-      attempt: whole(attempt),
+      attempt: requireInteger(attempt),
       fingerprint: fromBytes(fingerprint, FINGERPRINT_BYTES),
     })),
-    releases: list(releases).map(readReference),
-    outcomes: list(outcomes).map(item => ({
+    releases: requireRows(releases).map(readReference),
+    outcomes: requireRows(outcomes).map(item => ({
       ...readReference(item),
-      end: item[2] === true ? ClaimEnd.Finished : ClaimEnd.Lost,
+      end: item[2] === true ? ClaimOutcome.Finished : ClaimOutcome.Lost,
     })),
-    heir: text(heir),
+    heir: requireString(heir),
   };
 }
 
 function readReference([key, attempt]: readonly unknown[]): ClaimReference {
-  return {key: fromBytes(key, KEY_BYTES), attempt: whole(attempt)};
+  return {key: fromBytes(key, KEY_BYTES), attempt: requireInteger(attempt)};
 }
 
 function toBytes(characters: string): Buffer {
@@ -149,17 +149,17 @@
   return Buffer.from(value.buffer, value.byteOffset, length).toString('latin1');
 }
 
-function text(value: unknown): string {
+function requireString(value: unknown): string {
   if (typeof value !== 'string') throw new Error('expected a string');
   return value;
 }
 
-function whole(value: unknown): number {
+function requireInteger(value: unknown): number {
   if (!Number.isSafeInteger(value)) throw new Error('expected a whole number');
   return value as number;
 }
 
-function list(value: unknown): ReadonlyArray<readonly unknown[]> {
+function requireRows(value: unknown): ReadonlyArray<readonly unknown[]> {
   if (!Array.isArray(value) || !value.every(item => Array.isArray(item)))
     throw new Error('expected a list of lists');
   return value as unknown[][];
--- a/packages/shared-state/src/claim-fold.ts
+++ b/packages/shared-state/src/claim-table.ts
@@ -1,7 +1,7 @@
 import {
-  ClaimEnd,
+  ClaimOutcome,
   type ClaimBatch,
-  type ClaimItem,
+  type ClaimRequest,
   type ClaimReference,
 } from './claim-records.js';
 
@@ -9,13 +9,13 @@
  * Writers whose sequence is remembered. A batch of a forgotten writer that lands late can
  * only block a key, never let one run, so the bound is one of memory, not of safety.
  */
-const WRITERS_KEPT = 2000;
+const MAXIMUM_REMEMBERED_WRITERS = 2000;
 
 /** Hand-overs remembered: as many as daemons that stopped within the claims' window. */
-const HEIRS_KEPT = 2000;
+const MAXIMUM_REMEMBERED_HANDOVERS = 2000;
 
 /** Bound on a chain of hand-overs; more is a loop made by a faulty writer. */
-const HEIR_CHAIN = 64;
+const MAXIMUM_HANDOVER_CHAIN = 64;
 
 /** A key that is taken. */
 export interface ClaimEntry {
@@ -27,23 +27,23 @@
   /** Offset of the batch that claimed it. */
   readonly offset: number;
   /** Undefined while nothing is known of its end. */
-  readonly end?: ClaimEnd;
+  readonly end?: ClaimOutcome;
 }
 
 /** What the fold made of one claim. */
-export interface ClaimVerdict {
-  readonly item: ClaimItem;
+export interface AppliedClaim {
+  readonly item: ClaimRequest;
   /** Who holds the key after this batch. */
   readonly entry: ClaimEntry;
 }
 
 /** What the fold made of one batch. */
-export interface BatchVerdict {
+export interface AppliedClaimBatch {
   readonly offset: number;
   readonly holder: string;
   /** True for a batch that landed late or twice; it had no effect. */
   readonly stale: boolean;
-  readonly verdicts: readonly ClaimVerdict[];
+  readonly appliedClaims: readonly AppliedClaim[];
   readonly released: readonly ClaimReference[];
 }
 
@@ -55,12 +55,12 @@
   /** Offset of the next batch to apply. */
   nextOffset = 0;
   /** Claims made below this offset may be forgotten. */
-  horizon = 0;
+  retainedFromOffset = 0;
   private readonly entries = new Map<string, ClaimEntry>();
-  private readonly sequences = new Map<string, number>();
-  private readonly heirs = new Map<string, string>();
+  private readonly lastSequenceByHolder = new Map<string, number>();
+  private readonly successorByHolder = new Map<string, string>();
 
-  constructor(private readonly claimsKept: number) {}
+  constructor(private readonly maximumClaims: number) {}
 
   /** Claims held. */
   get size(): number {
@@ -72,10 +72,10 @@
   }
 
   /** Who has the held answers of an incarnation now: itself, or the end of its chain of heirs. */
-  keeperOf(holder: string): string {
+  answerHolderOf(holder: string): string {
     let keeper = holder;
-    for (let step = 0; step < HEIR_CHAIN; step++) {
-      const heir = this.heirs.get(keeper);
+    for (let step = 0; step < MAXIMUM_HANDOVER_CHAIN; step++) {
+      const heir = this.successorByHolder.get(keeper);
       if (heir === undefined) return keeper;
       keeper = heir;
     }
@@ -83,9 +83,9 @@
   }
 
   /** Goes on at `offset` after batches before it were lost to retention. */
-  skipTo(offset: number): void {
+  skipToOffset(offset: number): void {
     this.nextOffset = Math.max(this.nextOffset, offset);
-    this.horizon = Math.max(this.horizon, offset);
+    this.retainedFromOffset = Math.max(this.retainedFromOffset, offset);
   }
 
   /** Steps over a payload that this version cannot read. */
@@ -94,34 +94,49 @@
   }
 
   /** Applies the batch at `nextOffset`; never throws. */
-  apply(batch: ClaimBatch): BatchVerdict {
+  apply(batch: ClaimBatch): AppliedClaimBatch {
     const offset = this.nextOffset++;
     const {holder} = batch;
-    if (!this.isNext(batch))
-      return {offset, holder, stale: true, verdicts: [], released: []};
+    if (!this.acceptSequence(batch))
+      return {offset, holder, stale: true, appliedClaims: [], released: []};
     const released = batch.releases.filter(item => this.release(holder, item));
-    for (const item of batch.outcomes) this.end(holder, item, item.end);
-    const verdicts = batch.claims.map(item => ({
+    for (const item of batch.outcomes)
+      this.recordOutcome(holder, item, item.end);
+    const appliedClaims = batch.claims.map(item => ({
       item,
       entry: this.claim(holder, item, offset),
     }));
     if (batch.heir !== '' && batch.heir !== holder)
-      remember(this.heirs, holder, batch.heir, HEIRS_KEPT);
-    this.forgetOldest();
-    return {offset, holder, stale: false, verdicts, released};
+      setBounded(
+        this.successorByHolder,
+        holder,
+        batch.heir,
+        MAXIMUM_REMEMBERED_HANDOVERS,
+      );
+    this.evictOldest();
+    return {offset, holder, stale: false, appliedClaims, released};
   }
 
   // An append whose answer was lost may land after its writer has moved on, or twice: the
   // symptom would be a released key claimed again by nobody. The writer counts every batch
   // that it sends, so what lands behind a later one is told by its number alone.
-  private isNext({holder, sequence}: ClaimBatch): boolean {
-    const last = this.sequences.get(holder);
+  private acceptSequence({holder, sequence}: ClaimBatch): boolean {
+    const last = this.lastSequenceByHolder.get(holder);
     if (last !== undefined && sequence <= last) return false;
-    remember(this.sequences, holder, sequence, WRITERS_KEPT);
+    setBounded(
+      this.lastSequenceByHolder,
+      holder,
+      sequence,
+      MAXIMUM_REMEMBERED_WRITERS,
+    );
     return true;
   }
 
-  private claim(holder: string, item: ClaimItem, offset: number): ClaimEntry {
+  private claim(
+    holder: string,
+    item: ClaimRequest,
+    offset: number,
+  ): ClaimEntry {
     const standing = this.entries.get(item.key);
     if (standing) return standing;
     const {key, attempt, fingerprint} = item;
@@ -131,37 +146,47 @@
   }
 
   private release(holder: string, item: ClaimReference): boolean {
-    const entry = this.held(holder, item);
+    const entry = this.findHeldEntry(holder, item);
     if (!entry || entry.end !== undefined) return false;
     this.entries.delete(item.key);
     return true;
   }
 
-  private end(holder: string, item: ClaimReference, end: ClaimEnd): void {
-    const entry = this.held(holder, item);
+  private recordOutcome(
+    holder: string,
+    item: ClaimReference,
+    end: ClaimOutcome,
+  ): void {
+    const entry = this.findHeldEntry(holder, item);
     // Setting a key anew keeps its place, so entries stay in the order of their claims.
     if (entry) this.entries.set(item.key, {...entry, end});
   }
 
-  private held(holder: string, item: ClaimReference): ClaimEntry | undefined {
+  private findHeldEntry(
+    holder: string,
+    item: ClaimReference,
+  ): ClaimEntry | undefined {
     const entry = this.entries.get(item.key);
     if (entry?.holder !== holder || entry.attempt !== item.attempt)
       return undefined;
     return entry;
   }
 
-  private forgetOldest(): void {
-    let excess = this.entries.size - this.claimsKept;
+  private evictOldest(): void {
+    let excess = this.entries.size - this.maximumClaims;
     if (excess <= 0) return;
     for (const [key, entry] of this.entries) {
       if (excess-- <= 0) return;
       this.entries.delete(key);
-      this.horizon = Math.max(this.horizon, entry.offset + 1);
+      this.retainedFromOffset = Math.max(
+        this.retainedFromOffset,
+        entry.offset + 1,
+      );
     }
   }
 }
 
-function remember<Value>(
+function setBounded<Value>(
   map: Map<string, Value>,
   key: string,
   value: Value,
--- a/packages/shared-state/src/drain-records.ts
+++ b/packages/shared-state/src/drain-records.ts
@@ -1,24 +1,24 @@
 import {z} from 'zod';
-import {operatorOrPlannerHead} from './fleet-record-head.js';
-import {recordText} from './record-head.js';
+import {operatorOrPlannerHeadFields} from './planning-record-head.js';
+import {boundedText} from './record-head.js';
 import {RecordKind} from './record-kind.js';
 
 /** Shape of a `DrainStarted` record. */
 export const drainStartedSchema = z
   .object({
-    ...operatorOrPlannerHead,
+    ...operatorOrPlannerHeadFields,
     kind: z.literal(RecordKind.DrainStarted),
-    vm: recordText,
-    reason: recordText,
+    vm: boundedText,
+    reason: boundedText,
   })
   .readonly();
 
 /** Shape of a `DrainEnded` record. */
 export const drainEndedSchema = z
   .object({
-    ...operatorOrPlannerHead,
+    ...operatorOrPlannerHeadFields,
     kind: z.literal(RecordKind.DrainEnded),
-    vm: recordText,
+    vm: boundedText,
     /** Offset at which the drain began that shall end; any drain where it is missing. */
     startedAt: z.number().int().min(0).optional(),
   })
--- a/packages/shared-state/src/fleet-state.ts
+++ b/packages/shared-state/src/fleet-state.ts
@@ -1,8 +1,8 @@
-import {emptyFleetDomain, type FleetDomain} from './fleet-domain.js';
+import {emptyPlanningState, type PlanningState} from './planning-state.js';
 import type {Bundle} from './bundle.js';
 import type {ParsedBundle} from './bundle-text.js';
 import {HashedTable} from './hashed-table.js';
-import {ParseMemo} from './parse-memo.js';
+import {ParsedBundleCache} from './parsed-bundle-cache.js';
 
 /** Why a record had no effect. */
 export enum RejectionReason {
@@ -85,7 +85,7 @@
 }
 
 /** A VM as the log says. */
-export interface VmRecord {
+export interface VmOwnership {
   readonly id: string;
   /** The one pool that owns it. */
   readonly pool: string;
@@ -96,7 +96,7 @@
 }
 
 /** A snapshot that stands whole in the log. */
-export interface TakenSnapshot {
+export interface SnapshotReference {
   /** Offset of the fleet stream that it was folded to. */
   readonly offset: number;
   /** SHA-256 of it, in hexadecimal. */
@@ -107,10 +107,10 @@
 }
 
 /** Key of the newest entry of `FleetState.snapshots`. */
-export const NEWEST_SNAPSHOT = 'newest';
+export const NEWEST_SNAPSHOT_KEY = 'newest';
 
 /** A bundle that came into force, as the history keeps it. */
-export interface PastBundle {
+export interface BundleHistoryEntry {
   readonly version: number;
   readonly author: string;
   readonly digest: string;
@@ -126,7 +126,7 @@
  * Everything agreed, as of one offset of the fleet stream. What is agreed stands in
  * `HashedTable`s of plain values: hash and snapshots take in each such field by itself.
  */
-export interface FleetState extends FleetDomain {
+export interface FleetState extends PlanningState {
   /** Offset of the next record to apply. */
   nextOffset: number;
   /** Records of a higher format have no effect yet; rises by a record when all members read it. */
@@ -134,20 +134,22 @@
   inForce: BundleInForce | undefined;
   readonly proposals: HashedTable<ProposedBundle>;
   /** Bundles that came into force lately, by version, oldest first; the one in force included. */
-  readonly history: HashedTable<PastBundle>;
+  readonly history: HashedTable<BundleHistoryEntry>;
   readonly members: HashedTable<Member>;
-  readonly vms: HashedTable<VmRecord>;
+  readonly vms: HashedTable<VmOwnership>;
   /** The newest snapshot, under `NEWEST_SNAPSHOT`. */
-  readonly snapshots: HashedTable<TakenSnapshot>;
+  readonly snapshots: HashedTable<SnapshotReference>;
   /** Ids of recent records with their offsets, oldest first. */
   readonly recentIds: HashedTable<number>;
-  readonly trusted: TrustedOperators;
+  readonly trustedOperators: TrustedOperators;
   /** No part of what is agreed. */
-  readonly parseMemo: ParseMemo;
+  readonly parsedBundleCache: ParsedBundleCache;
 }
 
 /** The state before the first record. */
-export function emptyFleetState(trusted: TrustedOperators): FleetState {
+export function emptyFleetState(
+  trustedOperators: TrustedOperators,
+): FleetState {
   return {
     nextOffset: 0,
     formatInUse: 1,
@@ -158,8 +160,8 @@
     vms: new HashedTable(),
     snapshots: new HashedTable(),
     recentIds: new HashedTable(),
-    ...emptyFleetDomain(),
-    trusted,
-    parseMemo: new ParseMemo(),
+    ...emptyPlanningState(),
+    trustedOperators: trustedOperators,
+    parsedBundleCache: new ParsedBundleCache(),
   };
 }
--- a/packages/shared-state/src/fold-bundles.ts
+++ b/packages/shared-state/src/fold-bundles.ts
@@ -9,21 +9,21 @@
   type Rejection,
 } from './fleet-state.js';
 import type {BundleChanged, BundleProposed, BundleSigned} from './records.js';
-import {digestOf, verifyBundle} from './signatures.js';
+import {sha256Hex, verifyBundle} from './signatures.js';
 
 /** Bundles kept in the history: several days of an ordinary deployment. */
-const HISTORY_KEPT = 50;
+const MAXIMUM_HISTORY_ENTRIES = 50;
 
 /** Proposals kept at one time; the oldest goes first. */
-const PROPOSALS_KEPT = 64;
-const LONGEST_DETAIL = 5000;
+const MAXIMUM_PROPOSALS = 64;
+const MAXIMUM_DETAIL_CHARACTERS = 5000;
 
 /** Puts a bundle up for sign-off if it builds on the version in force. */
 export function applyBundleProposed(
   state: FleetState,
   record: BundleProposed,
 ): Rejection | undefined {
-  return propose(state, record.text, digestOf(record.text));
+  return addProposal(state, record.text, sha256Hex(record.text));
 }
 
 /** Puts up for sign-off the bundle that a delta makes from the one in force. */
@@ -42,18 +42,18 @@
   try {
     text = applyDelta(inForce.parsed.sections, record.steps);
   } catch (error) {
-    return invalid(error);
+    return invalidBundleRejection(error);
   }
-  if (digestOf(text) !== record.digest) {
+  if (sha256Hex(text) !== record.digest) {
     return {
       reason: RejectionReason.BundleDigestDiffers,
       detail: 'the delta does not make the text that its digest names',
     };
   }
-  return propose(state, text, record.digest);
+  return addProposal(state, text, record.digest);
 }
 
-function propose(
+function addProposal(
   state: FleetState,
   text: string,
   digest: string,
@@ -61,27 +61,28 @@
   let parsed: ParsedBundle;
   try {
     parsed =
-      state.parseMemo.get(digest) ?? parseSections(text, state.inForce?.parsed);
+      state.parsedBundleCache.get(digest) ??
+      parseSections(text, state.inForce?.parsed);
   } catch (error) {
-    return invalid(error);
+    return invalidBundleRejection(error);
   }
   const {bundle} = parsed;
-  const conflict = conflictWithForce(state, bundle);
+  const conflict = checkBaseVersion(state, bundle);
   if (conflict) return conflict;
   if (state.proposals.has(digest)) return undefined;
   state.proposals.set(digest, {bundle, text, digest, signers: [], parsed});
-  if (state.proposals.size > PROPOSALS_KEPT) {
+  if (state.proposals.size > MAXIMUM_PROPOSALS) {
     const [oldest] = state.proposals.keys();
     state.proposals.delete(oldest);
   }
-  return takeEffectIfSigned(state, digest, state.nextOffset - 1);
+  return activateIfSigned(state, digest, state.nextOffset - 1);
 }
 
-function invalid(error: unknown): Rejection {
+function invalidBundleRejection(error: unknown): Rejection {
   const {message} = toError(error);
   return {
     reason: RejectionReason.BundleInvalid,
-    detail: message.slice(0, LONGEST_DETAIL),
+    detail: message.slice(0, MAXIMUM_DETAIL_CHARACTERS),
   };
 }
 
@@ -104,10 +105,10 @@
     const signers = [...proposal.signers, record.operator];
     state.proposals.set(record.digest, {...proposal, signers});
   }
-  return takeEffectIfSigned(state, record.digest, offset);
+  return activateIfSigned(state, record.digest, offset);
 }
 
-function conflictWithForce(
+function checkBaseVersion(
   state: FleetState,
   bundle: Bundle,
 ): Rejection | undefined {
@@ -130,7 +131,7 @@
       detail: `the digest belongs to version ${proposal.bundle.version}`,
     };
   }
-  const operator = operatorKey(state, record.operator);
+  const operator = findOperator(state, record.operator);
   if (!operator) {
     return {
       reason: RejectionReason.SignerUnknown,
@@ -165,12 +166,12 @@
   return undefined;
 }
 
-function operatorKey(state: FleetState, name: string) {
+function findOperator(state: FleetState, name: string) {
   const {operators} = state.inForce?.bundle ?? {};
   if (operators)
     return Object.hasOwn(operators, name) ? operators[name] : undefined;
-  if (!Object.hasOwn(state.trusted, name)) return undefined;
-  return {publicKey: state.trusted[name], revoked: false};
+  if (!Object.hasOwn(state.trustedOperators, name)) return undefined;
+  return {publicKey: state.trustedOperators[name], revoked: false};
 }
 
 function signOffsNeeded(state: FleetState, bundle: Bundle): number {
@@ -179,7 +180,7 @@
     : Math.max(1, bundle.signOffs);
 }
 
-function takeEffectIfSigned(
+function activateIfSigned(
   state: FleetState,
   digest: string,
   offset: number,
@@ -190,26 +191,26 @@
     return undefined;
   const {bundle, text, parsed} = proposal;
   state.inForce = {bundle, text, digest, offset, parsed};
-  remember(state, proposal, offset);
+  addToHistory(state, proposal, offset);
   state.proposals.clear();
-  takeNewVms(state, bundle);
+  assignUnownedVms(state, bundle);
   return undefined;
 }
 
-function remember(
+function addToHistory(
   {history}: FleetState,
   {bundle, digest, signers}: ProposedBundle,
   offset: number,
 ): void {
   const {version, author} = bundle;
   history.set(String(version), {version, author, digest, signers, offset});
-  if (history.size <= HISTORY_KEPT) return;
+  if (history.size <= MAXIMUM_HISTORY_ENTRIES) return;
   const oldest = Math.min(...[...history.values()].map(past => past.version));
   history.delete(String(oldest));
 }
 
 /** A VM that no pool owns yet goes to the pool that names it; owned ones change by moves only. */
-function takeNewVms(state: FleetState, bundle: Bundle): void {
+function assignUnownedVms(state: FleetState, bundle: Bundle): void {
   for (const [pool, entry] of Object.entries(bundle.pools)) {
     for (const id of entry.vms) {
       if (!state.vms.has(id)) state.vms.set(id, {id, pool, epoch: 1});
--- a/packages/shared-state/src/fold-drains.ts
+++ b/packages/shared-state/src/fold-drains.ts
@@ -1,12 +1,21 @@
-import {WorkKind, WorkStep, type PlannedWork} from './fleet-domain.js';
-import type {DrainAcknowledged} from './fleet-records.js';
+import {
+  PlannedWorkKind,
+  PlannedWorkStep,
+  type PlannedWork,
+} from './planning-state.js';
+import type {DrainAcknowledged} from './planning-records.js';
 import {
   RejectionReason,
   type FleetState,
   type Rejection,
 } from './fleet-state.js';
-import {checkTerm} from './fold-planner.js';
-import {findVm, isRejection, setWork, startWork} from './planned-work.js';
+import {fenceOrRenewPlanner} from './fold-planner.js';
+import {
+  findVm,
+  isRejection,
+  setPlannedWork,
+  startPlannedWork,
+} from './planned-work.js';
 import type {DrainEnded, DrainStarted} from './records.js';
 
 /** Takes a VM out of routing, if its pool's budgets allow it. */
@@ -15,14 +24,14 @@
   record: DrainStarted,
   offset: number,
 ): Rejection | undefined {
-  const fenced = checkTerm(state, record, offset);
+  const fenced = fenceOrRenewPlanner(state, record, offset);
   if (fenced) return fenced;
   const vm = findVm(state, record.vm);
   if (isRejection(vm)) return vm;
-  return startWork(state, {
+  return startPlannedWork(state, {
     vm: record.vm,
-    kind: WorkKind.Drain,
-    step: WorkStep.Draining,
+    kind: PlannedWorkKind.Drain,
+    step: PlannedWorkStep.Draining,
     reason: record.reason,
     writer: record.writer,
     startedAt: offset,
@@ -35,14 +44,14 @@
   record: DrainEnded,
   offset: number,
 ): Rejection | undefined {
-  const fenced = checkTerm(state, record, offset);
+  const fenced = fenceOrRenewPlanner(state, record, offset);
   if (fenced) return fenced;
   const vm = findVm(state, record.vm);
   if (isRejection(vm)) return vm;
   const work = state.work.get(record.vm);
-  if (work && work.kind !== WorkKind.Drain)
-    return otherWork(record.vm, work.kind);
-  if (isOfAnotherDrain(record, work)) {
+  if (work && work.kind !== PlannedWorkKind.Drain)
+    return otherWorkRejection(record.vm, work.kind);
+  if (namesAnotherDrain(record, work)) {
     return {
       reason: RejectionReason.NotDraining,
       detail: `the drain of VM ${record.vm} that was to end is over; look at it again`,
@@ -50,7 +59,7 @@
   }
   const wasHandedOver = state.handedOver.delete(record.vm);
   state.failedAttempts.delete(record.vm);
-  if (work) setWork(state, record.vm, undefined);
+  if (work) setPlannedWork(state, record.vm, undefined);
   if (work || wasHandedOver) return undefined;
   return {
     reason: RejectionReason.NotDraining,
@@ -62,7 +71,7 @@
  * Two operators end one drain, or a late record comes in after the next drain began: without the
  * offset the second record would end a drain that nobody meant, and a VM under repair would get work.
  */
-function isOfAnotherDrain(
+function namesAnotherDrain(
   record: DrainEnded,
   work: PlannedWork | undefined,
 ): boolean {
@@ -91,9 +100,9 @@
   return undefined;
 }
 
-function otherWork(vm: string, kind: WorkKind): Rejection {
+function otherWorkRejection(vm: string, kind: PlannedWorkKind): Rejection {
   const advice =
-    kind === WorkKind.Move
+    kind === PlannedWorkKind.Move
       ? 'abort the move'
       : 'hold or abort its wave, or wait for the repair';
   return {
--- a/packages/shared-state/src/fold-jobs.ts
+++ b/packages/shared-state/src/fold-jobs.ts
@@ -1,4 +1,4 @@
-import {JobState, type Job} from './fleet-domain.js';
+import {JobState, type Job} from './planning-state.js';
 import {
   JobOutcome,
   type JobPlaced,
@@ -7,22 +7,22 @@
   type JobSubmitted,
   type JobsCancelled,
   type JobsReported,
-} from './fleet-records.js';
+} from './planning-records.js';
 import {
   RejectionReason,
   type FleetState,
   type Rejection,
 } from './fleet-state.js';
-import {checkTerm} from './fold-planner.js';
-import {checkPlacement, checkSubmission, sameJob} from './job-checks.js';
-import {jobsOf} from './job-index.js';
-import {digestOf} from './signatures.js';
+import {fenceOrRenewPlanner} from './fold-planner.js';
+import {checkPlacement, checkSubmission, checkSameJob} from './job-checks.js';
+import {jobIndexOf} from './job-index.js';
+import {sha256Hex} from './signatures.js';
 
 /** Distinct VMs on which a job may fail before it is set aside: its fault, not theirs. */
-export const FAILURES_BEFORE_SET_ASIDE = 3;
+export const FAILED_VMS_BEFORE_SET_ASIDE = 3;
 
 /** Ended jobs kept; the same key again is the same job for that long. */
-export const ENDED_JOBS_KEPT = 50_000;
+export const MAXIMUM_ENDED_JOBS = 50_000;
 
 /** Takes a job in. The same key again changes nothing: the job stands as it is. */
 export function applyJobSubmitted(
@@ -30,11 +30,11 @@
   record: JobSubmitted,
 ): Rejection | undefined {
   const known = state.jobs.get(record.key);
-  if (known) return sameJob(known, record);
+  if (known) return checkSameJob(known, record);
   const refusal = checkSubmission(state, record);
   if (refusal) return refusal;
   const {key, team, pool, jobClass, idempotent, size, payload} = record;
-  jobsOf(state).put({
+  jobIndexOf(state).put({
     key,
     team,
     pool,
@@ -42,7 +42,7 @@
     idempotent,
     size,
     payload,
-    payloadDigest: digestOf(payload),
+    payloadDigest: sha256Hex(payload),
     state: JobState.Queued,
     attempt: 0,
     failedOn: [],
@@ -64,7 +64,7 @@
       endJob(state, {...job, state: JobState.Cancelled, reason: 'not run'});
       changed++;
     } else if (job.state === JobState.Placed && !job.cancelRequested) {
-      jobsOf(state).put({...job, cancelRequested: true});
+      jobIndexOf(state).put({...job, cancelRequested: true});
       changed++;
     }
   }
@@ -81,7 +81,7 @@
   record: JobPlaced,
   offset: number,
 ): Rejection | undefined {
-  const fenced = checkTerm(state, record, offset);
+  const fenced = fenceOrRenewPlanner(state, record, offset);
   if (fenced) return fenced;
   const job = state.jobs.get(record.key);
   if (job?.state !== JobState.Queued || record.attempt !== job.attempt + 1) {
@@ -93,7 +93,7 @@
   const refusal = checkPlacement(state, job, record.vm);
   if (refusal) return refusal;
   const {attempt, vm} = record;
-  jobsOf(state).put({...job, state: JobState.Placed, attempt, vm});
+  jobIndexOf(state).put({...job, state: JobState.Placed, attempt, vm});
   return undefined;
 }
 
@@ -103,13 +103,13 @@
   record: JobsReported,
   offset: number,
 ): Rejection | undefined {
-  const fenced = checkTerm(state, record, offset);
+  const fenced = fenceOrRenewPlanner(state, record, offset);
   if (fenced) return fenced;
   for (const report of record.reports) {
     const job = state.jobs.get(report.key);
     if (job?.state !== JobState.Placed || job.attempt !== report.attempt)
       continue;
-    settle(state, job, report);
+    applyAttemptOutcome(state, job, report);
   }
   return undefined;
 }
@@ -120,7 +120,7 @@
   record: JobSetAside,
   offset: number,
 ): Rejection | undefined {
-  const fenced = checkTerm(state, record, offset);
+  const fenced = fenceOrRenewPlanner(state, record, offset);
   if (fenced) return fenced;
   const job = state.jobs.get(record.key);
   if (job?.state !== JobState.Queued) {
@@ -137,12 +137,16 @@
  * What follows from the end of an attempt. A non-idempotent job whose attempt lapsed or was
  * stopped may have run: it is never queued again. Only "never started" frees it.
  */
-function settle(state: FleetState, job: Job, report: JobReport): void {
+function applyAttemptOutcome(
+  state: FleetState,
+  job: Job,
+  report: JobReport,
+): void {
   switch (report.outcome) {
     case JobOutcome.Finished:
       return endJob(state, {...job, state: JobState.Finished});
     case JobOutcome.Failed:
-      return settleFailure(state, job);
+      return applyAttemptFailure(state, job);
     case JobOutcome.NeverStarted:
       return requeue(state, job);
     case JobOutcome.Stopped:
@@ -156,14 +160,14 @@
   }
 }
 
-function settleFailure(state: FleetState, job: Job): void {
+function applyAttemptFailure(state: FleetState, job: Job): void {
   const failedOn = [...new Set([...job.failedOn, job.vm ?? ''])];
   const failed = {...job, failedOn};
   if (!job.idempotent) {
     const reason = `failed on VM ${job.vm}`;
     return endJob(state, {...failed, state: JobState.Failed, reason});
   }
-  if (failedOn.length < FAILURES_BEFORE_SET_ASIDE)
+  if (failedOn.length < FAILED_VMS_BEFORE_SET_ASIDE)
     return requeue(state, failed);
   endJob(state, {
     ...failed,
@@ -177,16 +181,16 @@
     const reason = 'stopped on request';
     return endJob(state, {...job, state: JobState.Cancelled, reason});
   }
-  jobsOf(state).put({...job, state: JobState.Queued, vm: undefined});
+  jobIndexOf(state).put({...job, state: JobState.Queued, vm: undefined});
 }
 
 function endJob(state: FleetState, job: Job): void {
   const {endedJobs} = state;
   // 50,000 payloads of ended jobs would take most of a node's memory.
-  jobsOf(state).put({...job, payload: ''});
+  jobIndexOf(state).put({...job, payload: ''});
   endedJobs.set(job.key, state.nextOffset);
-  if (endedJobs.size <= ENDED_JOBS_KEPT) return;
+  if (endedJobs.size <= MAXIMUM_ENDED_JOBS) return;
   const [oldest] = endedJobs.keys();
   endedJobs.delete(oldest);
-  jobsOf(state).forget(oldest);
+  jobIndexOf(state).deleteEnded(oldest);
 }
--- a/packages/shared-state/src/fold-maintenance.ts
+++ b/packages/shared-state/src/fold-maintenance.ts
@@ -1,11 +1,11 @@
 import {
   WaveState,
   WaveVmStep,
-  WorkKind,
-  WorkStep,
+  PlannedWorkKind,
+  PlannedWorkStep,
   type PlannedWork,
   type Wave,
-} from './fleet-domain.js';
+} from './planning-state.js';
 import {
   MaintenanceOutcome,
   VmCondition,
@@ -13,20 +13,20 @@
   type MaintenanceEnded,
   type MaintenanceReturned,
   type MaintenanceStarted,
-} from './fleet-records.js';
+} from './planning-records.js';
 import {
   RejectionReason,
   type FleetState,
   type Rejection,
 } from './fleet-state.js';
-import {checkTerm} from './fold-planner.js';
+import {fenceOrRenewPlanner} from './fold-planner.js';
 import {
   checkDrained,
   findVm,
-  findWork,
+  findPlannedWork,
   isRejection,
-  setWork,
-  startWork,
+  setPlannedWork,
+  startPlannedWork,
 } from './planned-work.js';
 
 /** Takes a VM out for its wave, or begins the repair of one that is down. */
@@ -35,26 +35,29 @@
   record: MaintenanceStarted,
   offset: number,
 ): Rejection | undefined {
-  const fenced = checkTerm(state, record, offset);
+  const fenced = fenceOrRenewPlanner(state, record, offset);
   if (fenced) return fenced;
   const vm = findVm(state, record.vm);
   if (isRejection(vm)) return vm;
   const refusal =
     record.wave === undefined
       ? checkRepair(state, record.vm)
-      : checkWave(state, record.wave, record.vm);
+      : checkWaveVm(state, record.wave, record.vm);
   if (refusal) return refusal;
-  const rejection = startWork(state, {
+  const rejection = startPlannedWork(state, {
     vm: record.vm,
-    kind: record.wave === undefined ? WorkKind.Repair : WorkKind.Maintenance,
-    step: WorkStep.Draining,
+    kind:
+      record.wave === undefined
+        ? PlannedWorkKind.Repair
+        : PlannedWorkKind.Maintenance,
+    step: PlannedWorkStep.Draining,
     reason: record.reason,
     writer: record.writer,
     startedAt: offset,
     wave: record.wave,
   });
   if (rejection) return rejection;
-  changeWave(state, record.wave, record.vm, WaveVmStep.Active, wave => ({
+  updateWave(state, record.wave, record.vm, WaveVmStep.Active, wave => ({
     remaining: wave.remaining - 1,
     active: wave.active + 1,
   }));
@@ -69,11 +72,11 @@
 ): Rejection | undefined {
   const work = findMaintenance(state, record, offset);
   if (isRejection(work)) return work;
-  const refusal = checkAsk(state, work, record);
+  const refusal = checkPlatformRequest(state, work, record);
   if (refusal) return refusal;
-  setWork(state, record.vm, {
+  setPlannedWork(state, record.vm, {
     ...work,
-    step: WorkStep.Asked,
+    step: PlannedWorkStep.Asked,
     attempts: record.attempt,
     lastAction: record.action,
   });
@@ -88,9 +91,9 @@
 ): Rejection | undefined {
   const work = findMaintenance(state, record, offset);
   if (isRejection(work)) return work;
-  if (work.step === WorkStep.Trial)
-    return workState(work, 'is on trial already');
-  setWork(state, record.vm, {...work, step: WorkStep.Trial});
+  if (work.step === PlannedWorkStep.Trial)
+    return workStateRejection(work, 'is on trial already');
+  setPlannedWork(state, record.vm, {...work, step: PlannedWorkStep.Trial});
   return undefined;
 }
 
@@ -103,8 +106,8 @@
   const work = findMaintenance(state, record, offset);
   if (isRejection(work)) return work;
   if (record.outcome === MaintenanceOutcome.Done) {
-    if (work.step !== WorkStep.Trial)
-      return workState(work, 'is not back in service');
+    if (work.step !== PlannedWorkStep.Trial)
+      return workStateRejection(work, 'is not back in service');
     state.maintainedAt.set(record.vm, record.at);
   }
   if (record.outcome === MaintenanceOutcome.HandedOver)
@@ -112,7 +115,7 @@
   if (record.outcome === MaintenanceOutcome.Failed)
     state.failedAttempts.set(record.vm, work.attempts);
   else state.failedAttempts.delete(record.vm);
-  setWork(state, record.vm, undefined);
+  setPlannedWork(state, record.vm, undefined);
   countInWave(state, work, record.outcome);
   return undefined;
 }
@@ -122,8 +125,8 @@
   work: PlannedWork,
   outcome: MaintenanceOutcome,
 ): void {
-  const step = STEP_AFTER[outcome];
-  changeWave(state, work.wave, work.vm, step, wave => ({
+  const step = WAVE_STEP_BY_OUTCOME[outcome];
+  updateWave(state, work.wave, work.vm, step, wave => ({
     active: wave.active - 1,
     done: wave.done + (step === WaveVmStep.Done ? 1 : 0),
     failed: wave.failed + (step === WaveVmStep.Failed ? 1 : 0),
@@ -132,7 +135,7 @@
   }));
 }
 
-const STEP_AFTER: Readonly<Record<MaintenanceOutcome, WaveVmStep>> = {
+const WAVE_STEP_BY_OUTCOME: Readonly<Record<MaintenanceOutcome, WaveVmStep>> = {
   [MaintenanceOutcome.Done]: WaveVmStep.Done,
   [MaintenanceOutcome.Failed]: WaveVmStep.Failed,
   [MaintenanceOutcome.HandedOver]: WaveVmStep.HandedOver,
@@ -140,7 +143,7 @@
 };
 
 /** Counts one VM of a wave; the VM's own entry is gone where the wave has ended. */
-function changeWave(
+function updateWave(
   state: FleetState,
   id: string | undefined,
   vm: string,
@@ -164,7 +167,7 @@
   };
 }
 
-function checkWave(
+function checkWaveVm(
   state: FleetState,
   id: string,
   vm: string,
@@ -192,31 +195,36 @@
   record: {vm: string; startedAt: number; term: number; writer: string},
   offset: number,
 ): PlannedWork | Rejection {
-  const fenced = checkTerm(state, record, offset);
+  const fenced = fenceOrRenewPlanner(state, record, offset);
   if (fenced) return fenced;
-  const work = findWork(state, record.vm, record.startedAt);
+  const work = findPlannedWork(state, record.vm, record.startedAt);
   if (isRejection(work)) return work;
   const {kind} = work;
-  if (kind === WorkKind.Maintenance || kind === WorkKind.Repair) return work;
-  return workState(work, `is a ${kind}`);
+  if (kind === PlannedWorkKind.Maintenance || kind === PlannedWorkKind.Repair)
+    return work;
+  return workStateRejection(work, `is a ${kind}`);
 }
 
-function checkAsk(
+function checkPlatformRequest(
   state: FleetState,
   work: PlannedWork,
   record: MaintenanceAsked,
 ): Rejection | undefined {
   if (record.attempt !== work.attempts + 1)
-    return workState(work, `has had ${work.attempts} attempts`);
-  if (work.step === WorkStep.Trial) return workState(work, 'is on trial');
+    return workStateRejection(work, `has had ${work.attempts} attempts`);
+  if (work.step === PlannedWorkStep.Trial)
+    return workStateRejection(work, 'is on trial');
   const wave = state.waves.get(work.wave ?? '');
   const aborted = wave?.state === WaveState.Aborted;
-  if (aborted && work.step === WorkStep.Draining)
-    return workState(work, `belongs to wave ${wave.id}, which was aborted`);
+  if (aborted && work.step === PlannedWorkStep.Draining)
+    return workStateRejection(
+      work,
+      `belongs to wave ${wave.id}, which was aborted`,
+    );
   return checkDrained(state, work);
 }
 
-function workState(work: PlannedWork, what: string): Rejection {
+function workStateRejection(work: PlannedWork, what: string): Rejection {
   return {
     reason: RejectionReason.WorkState,
     detail: `the ${work.kind} of VM ${work.vm} ${what}`,
--- a/packages/shared-state/src/fold-moves.ts
+++ b/packages/shared-state/src/fold-moves.ts
@@ -1,20 +1,28 @@
-import {capacityOf} from './capacity-index.js';
-import {WorkKind, WorkStep, type PlannedWork} from './fleet-domain.js';
-import type {MoveAborted, MoveAssigned, MoveStarted} from './fleet-records.js';
+import {capacityIndexOf} from './capacity-index.js';
+import {
+  PlannedWorkKind,
+  PlannedWorkStep,
+  type PlannedWork,
+} from './planning-state.js';
+import type {
+  MoveAborted,
+  MoveAssigned,
+  MoveStarted,
+} from './planning-records.js';
 import {
   RejectionReason,
   type FleetState,
   type Rejection,
-  type VmRecord,
+  type VmOwnership,
 } from './fleet-state.js';
-import {checkTerm} from './fold-planner.js';
+import {fenceOrRenewPlanner} from './fold-planner.js';
 import {
   checkDrained,
   findVm,
-  findWork,
+  findPlannedWork,
   isRejection,
-  setWork,
-  startWork,
+  setPlannedWork,
+  startPlannedWork,
 } from './planned-work.js';
 
 /** The owner releases a VM: it drains, and still belongs to its old pool. */
@@ -23,16 +31,16 @@
   record: MoveStarted,
   offset: number,
 ): Rejection | undefined {
-  const fenced = checkTerm(state, record, offset);
+  const fenced = fenceOrRenewPlanner(state, record, offset);
   if (fenced) return fenced;
   const vm = findVm(state, record.vm);
   if (isRejection(vm)) return vm;
   const refusal = checkMove(state, record, vm);
   if (refusal) return refusal;
-  return startWork(state, {
+  return startPlannedWork(state, {
     vm: record.vm,
-    kind: WorkKind.Move,
-    step: WorkStep.Draining,
+    kind: PlannedWorkKind.Move,
+    step: PlannedWorkStep.Draining,
     reason: record.reason,
     writer: record.writer,
     startedAt: offset,
@@ -50,21 +58,22 @@
   record: MoveAssigned,
   offset: number,
 ): Rejection | undefined {
-  const fenced = checkTerm(state, record, offset);
+  const fenced = fenceOrRenewPlanner(state, record, offset);
   if (fenced) return fenced;
   const work = findMove(state, record.vm, record.startedAt);
   if (isRejection(work)) return work;
   const vm = state.vms.get(record.vm);
   if (!vm || vm.epoch !== record.epoch)
-    return epochMoved(record.vm, record.epoch, vm);
-  const refusal = checkDrained(state, work) ?? checkTarget(state, work);
+    return epochMismatchRejection(record.vm, record.epoch, vm);
+  const refusal =
+    checkDrained(state, work) ?? checkDestinationPool(state, work);
   if (refusal) return refusal;
   const pool = work.toPool ?? vm.pool;
-  setWork(state, vm.id, undefined);
-  capacityOf(state).update(vm.id, () => {
+  setPlannedWork(state, vm.id, undefined);
+  capacityIndexOf(state).update(vm.id, () => {
     state.vms.set(vm.id, {id: vm.id, pool, epoch: vm.epoch + 1});
   });
-  noteDeviation(state, work, pool, offset);
+  recordDeviation(state, work, pool, offset);
   return undefined;
 }
 
@@ -74,11 +83,11 @@
   record: MoveAborted,
   offset: number,
 ): Rejection | undefined {
-  const fenced = checkTerm(state, record, offset);
+  const fenced = fenceOrRenewPlanner(state, record, offset);
   if (fenced) return fenced;
   const work = findMove(state, record.vm, record.startedAt);
   if (isRejection(work)) return work;
-  setWork(state, record.vm, undefined);
+  setPlannedWork(state, record.vm, undefined);
   return undefined;
 }
 
@@ -87,8 +96,8 @@
   vm: string,
   startedAt: number,
 ): PlannedWork | Rejection {
-  const work = findWork(state, vm, startedAt);
-  if (isRejection(work) || work.kind === WorkKind.Move) return work;
+  const work = findPlannedWork(state, vm, startedAt);
+  if (isRejection(work) || work.kind === PlannedWorkKind.Move) return work;
   return {
     reason: RejectionReason.WorkUnknown,
     detail: `VM ${vm} is under ${work.kind}, not in a move`,
@@ -98,9 +107,10 @@
 function checkMove(
   state: FleetState,
   record: MoveStarted,
-  vm: VmRecord,
+  vm: VmOwnership,
 ): Rejection | undefined {
-  if (vm.epoch !== record.epoch) return epochMoved(vm.id, record.epoch, vm);
+  if (vm.epoch !== record.epoch)
+    return epochMismatchRejection(vm.id, record.epoch, vm);
   if (vm.pool === record.toPool) {
     return {
       reason: RejectionReason.EpochMoved,
@@ -116,7 +126,7 @@
 }
 
 /** The pool may have gone with a bundle that came into force during the move. */
-function checkTarget(
+function checkDestinationPool(
   state: FleetState,
   work: PlannedWork,
 ): Rejection | undefined {
@@ -128,7 +138,7 @@
   };
 }
 
-function noteDeviation(
+function recordDeviation(
   state: FleetState,
   work: PlannedWork,
   pool: string,
@@ -140,10 +150,10 @@
   else state.deviations.set(work.vm, {cause: work.cause, offset});
 }
 
-function epochMoved(
+function epochMismatchRejection(
   vm: string,
   expected: number,
-  found: VmRecord | undefined,
+  found: VmOwnership | undefined,
 ): Rejection {
   return {
     reason: RejectionReason.EpochMoved,
--- a/packages/shared-state/src/fold-planner.ts
+++ b/packages/shared-state/src/fold-planner.ts
@@ -1,11 +1,11 @@
-import {capacityOf} from './capacity-index.js';
-import {PLANNER_KEY, plannerOf} from './fleet-domain.js';
+import {capacityIndexOf} from './capacity-index.js';
+import {PLANNER_KEY, plannerOf} from './planning-state.js';
 import {
   VmCondition,
   type PlannerRenewed,
   type PlannerTaken,
   type VmReported,
-} from './fleet-records.js';
+} from './planning-records.js';
 import {
   RejectionReason,
   type FleetState,
@@ -48,7 +48,7 @@
   record: PlannerRenewed,
   offset: number,
 ): Rejection | undefined {
-  return checkTerm(state, record, offset);
+  return fenceOrRenewPlanner(state, record, offset);
 }
 
 /** Takes over what the planner saw of VMs. */
@@ -57,9 +57,9 @@
   record: VmReported,
   offset: number,
 ): Rejection | undefined {
-  const fenced = checkTerm(state, record, offset);
+  const fenced = fenceOrRenewPlanner(state, record, offset);
   if (fenced) return fenced;
-  const index = capacityOf(state);
+  const index = capacityIndexOf(state);
   const {conditions} = state;
   for (const {vm, condition} of record.reports) {
     if (!state.vms.has(vm)) continue;
@@ -75,7 +75,7 @@
  * Fences a planner whose term is over: one that was paused and wakes writes with its old
  * term, and whatever it decided on is out of date. An operator's record carries no term.
  */
-export function checkTerm(
+export function fenceOrRenewPlanner(
   state: FleetState,
   record: {readonly term?: number; readonly writer: string},
   offset: number,
--- a/packages/shared-state/src/fold-snapshots.ts
+++ b/packages/shared-state/src/fold-snapshots.ts
@@ -1,5 +1,5 @@
 import {
-  NEWEST_SNAPSHOT,
+  NEWEST_SNAPSHOT_KEY,
   RejectionReason,
   type FleetState,
   type Rejection,
@@ -11,7 +11,7 @@
   state: FleetState,
   record: SnapshotTaken,
 ): Rejection | undefined {
-  const newest = state.snapshots.get(NEWEST_SNAPSHOT);
+  const newest = state.snapshots.get(NEWEST_SNAPSHOT_KEY);
   const {offset, digest, bytes, at} = record;
   if (newest && newest.offset >= offset) {
     return {
@@ -19,6 +19,6 @@
       detail: `a snapshot at offset ${newest.offset} stands; this one is at ${offset}`,
     };
   }
-  state.snapshots.set(NEWEST_SNAPSHOT, {offset, digest, bytes, at});
+  state.snapshots.set(NEWEST_SNAPSHOT_KEY, {offset, digest, bytes, at});
   return undefined;
 }
--- a/packages/shared-state/src/fold-waves.ts
+++ b/packages/shared-state/src/fold-waves.ts
@@ -1,20 +1,20 @@
-import {capacityOf} from './capacity-index.js';
-import {WaveState, WaveVmStep, type Wave} from './fleet-domain.js';
+import {capacityIndexOf} from './capacity-index.js';
+import {WaveState, WaveVmStep, type Wave} from './planning-state.js';
 import {
   WaveChange,
   type WaveChanged,
   type WaveScope,
   type WaveStarted,
-} from './fleet-records.js';
+} from './planning-records.js';
 import {
   RejectionReason,
   type FleetState,
   type Rejection,
 } from './fleet-state.js';
-import {checkTerm} from './fold-planner.js';
+import {fenceOrRenewPlanner} from './fold-planner.js';
 
 /** Ended waves kept for operators to look at; the oldest goes first. */
-const ENDED_WAVES_KEPT = 32;
+const MAXIMUM_ENDED_WAVES = 32;
 
 /** Starts a wave over the VMs that its scope covers now. */
 export function applyWaveStarted(
@@ -22,14 +22,17 @@
   record: WaveStarted,
   offset: number,
 ): Rejection | undefined {
-  const fenced = checkTerm(state, record, offset);
+  const fenced = fenceOrRenewPlanner(state, record, offset);
   if (fenced) return fenced;
   if (state.waves.has(record.wave))
-    return waveState(record.wave, 'exists already; choose another name');
-  const covered = coveredVms(state, record.scope);
+    return waveStateRejection(
+      record.wave,
+      'exists already; choose another name',
+    );
+  const covered = vmsInScope(state, record.scope);
   if (covered.length === 0)
-    return waveState(record.wave, 'covers no VM; widen its scope');
-  const overlap = waveOverlap(state, covered);
+    return waveStateRejection(record.wave, 'covers no VM; widen its scope');
+  const overlap = checkWaveOverlap(state, covered);
   if (overlap) return overlap;
   state.waves.set(record.wave, {
     id: record.wave,
@@ -51,7 +54,7 @@
   for (const vm of covered) {
     state.waveVms.set(vm, {wave: record.wave, step: WaveVmStep.Remaining});
   }
-  forgetEndedWaves(state);
+  pruneEndedWaves(state);
   return undefined;
 }
 
@@ -61,7 +64,7 @@
   record: WaveChanged,
   offset: number,
 ): Rejection | undefined {
-  const fenced = checkTerm(state, record, offset);
+  const fenced = fenceOrRenewPlanner(state, record, offset);
   if (fenced) return fenced;
   const wave = state.waves.get(record.wave);
   if (!wave) {
@@ -70,9 +73,9 @@
       detail: `no wave ${record.wave}; see GET /fleet/waves`,
     };
   }
-  const next = nextState(state, wave, record.change);
+  const next = nextWaveState(state, wave, record.change);
   if (next === undefined)
-    return waveState(wave.id, `is ${wave.state}: ${wave.stateReason}`);
+    return waveStateRejection(wave.id, `is ${wave.state}: ${wave.stateReason}`);
   const changed: Wave = {
     ...wave,
     resumedAt:
@@ -84,16 +87,16 @@
     heldByPlanner: next === WaveState.Held && record.term !== undefined,
   };
   state.waves.set(wave.id, changed);
-  if (isEnded(changed)) forgetWaveVms(state, wave.id);
+  if (isWaveEnded(changed)) removeWaveVms(state, wave.id);
   return undefined;
 }
 
 /** Whether a wave takes no more VMs for good. */
-export function isEnded(wave: Wave): boolean {
+export function isWaveEnded(wave: Wave): boolean {
   return wave.state === WaveState.Aborted || wave.state === WaveState.Finished;
 }
 
-function nextState(
+function nextWaveState(
   state: FleetState,
   wave: Wave,
   change: WaveChange,
@@ -104,17 +107,17 @@
     case WaveChange.Resume:
       return wave.state === WaveState.Held ? WaveState.Running : undefined;
     case WaveChange.Abort:
-      return isEnded(wave) ? undefined : WaveState.Aborted;
+      return isWaveEnded(wave) ? undefined : WaveState.Aborted;
     case WaveChange.Finish:
-      return isDone(state, wave) ? WaveState.Finished : undefined;
+      return canFinishWave(state, wave) ? WaveState.Finished : undefined;
     default:
       return undefined;
   }
 }
 
 /** Done when nothing is left but VMs that operators have, or that no pool owns any more. */
-function isDone(state: FleetState, wave: Wave): boolean {
-  if (isEnded(wave) || wave.active > 0) return false;
+function canFinishWave(state: FleetState, wave: Wave): boolean {
+  if (isWaveEnded(wave) || wave.active > 0) return false;
   if (wave.remaining === 0) return true;
   for (const [vm, entry] of state.waveVms) {
     if (entry.wave !== wave.id || entry.step !== WaveVmStep.Remaining) continue;
@@ -124,15 +127,16 @@
 }
 
 /** VMs that a scope covers now. */
-export function coveredVms(state: FleetState, scope: WaveScope): string[] {
-  const index = capacityOf(state);
+export function vmsInScope(state: FleetState, scope: WaveScope): string[] {
+  const index = capacityIndexOf(state);
   const pools = scope.pools && new Set(scope.pools);
   const dataCentres = scope.dataCentres && new Set(scope.dataCentres);
   const since = scope.notMaintainedSince;
   const covered: string[] = [];
   for (const {id, pool} of state.vms.values()) {
     if (pools && !pools.has(pool)) continue;
-    if (dataCentres && !dataCentres.has(index.place(id).dataCentre)) continue;
+    if (dataCentres && !dataCentres.has(index.locationOf(id).dataCentre))
+      continue;
     const last = state.maintainedAt.get(id) ?? 0;
     if (since !== undefined && last >= since) continue;
     covered.push(id);
@@ -141,7 +145,7 @@
 }
 
 /** One VM is in one wave: two operators with the same idea would reboot it twice. */
-export function waveOverlap(
+export function checkWaveOverlap(
   state: FleetState,
   covered: readonly string[],
 ): Rejection | undefined {
@@ -154,20 +158,20 @@
   };
 }
 
-function forgetWaveVms(state: FleetState, wave: string): void {
+function removeWaveVms(state: FleetState, wave: string): void {
   for (const [vm, entry] of state.waveVms) {
     if (entry.wave === wave) state.waveVms.delete(vm);
   }
 }
 
-function forgetEndedWaves(state: FleetState): void {
-  const ended = [...state.waves.values()].filter(isEnded);
-  for (const wave of ended.slice(0, -ENDED_WAVES_KEPT)) {
+function pruneEndedWaves(state: FleetState): void {
+  const ended = [...state.waves.values()].filter(isWaveEnded);
+  for (const wave of ended.slice(0, -MAXIMUM_ENDED_WAVES)) {
     if (wave.active === 0) state.waves.delete(wave.id);
   }
 }
 
-function waveState(wave: string, what: string): Rejection {
+function waveStateRejection(wave: string, what: string): Rejection {
   return {
     reason: RejectionReason.WaveState,
     detail: `wave ${wave} ${what}`,
--- a/packages/shared-state/src/fold.ts
+++ b/packages/shared-state/src/fold.ts
@@ -1,5 +1,5 @@
 import {toError} from '@gentiandoor/kernel';
-import {decodePayload, type UnreadableRecord} from './codec.js';
+import {decodePayload, type UnreadableRecord} from './record-codec.js';
 import {
   RejectionReason,
   type FleetState,
@@ -9,7 +9,7 @@
 import type {FleetRecord} from './records.js';
 
 /** Ids kept to drop doubled appends; a lost answer is settled within far fewer records. */
-const RECENT_IDS = 10_000;
+const MAXIMUM_REMEMBERED_IDS = 10_000;
 
 /** What the fold made of one payload. */
 export interface FoldOutcome {
@@ -31,7 +31,7 @@
   state.nextOffset = offset + 1;
   const decoded = decodePayload(payload);
   if ('unreadable' in decoded)
-    return rejected(
+    return rejectedOutcome(
       offset,
       decoded,
       RejectionReason.Unreadable,
@@ -41,14 +41,14 @@
   // An older daemon cannot read this record and leaves its id out too: all must do alike,
   // or daemons of two versions would fold two states.
   if (format > state.formatInUse)
-    return rejected(
+    return rejectedOutcome(
       offset,
       record,
       RejectionReason.FormatNotInUse,
       `format ${format} is not in use yet; ${state.formatInUse} is`,
     );
   if (state.recentIds.has(record.id))
-    return rejected(
+    return rejectedOutcome(
       offset,
       record,
       RejectionReason.Duplicate,
@@ -58,7 +58,7 @@
   return {offset, record, rejection: applyRecord(state, record, offset)};
 }
 
-function rejected(
+function rejectedOutcome(
   offset: number,
   record: FleetRecord | UnreadableRecord,
   reason: RejectionReason,
@@ -69,7 +69,7 @@
 
 function rememberId(state: FleetState, id: string, offset: number): void {
   state.recentIds.set(id, offset);
-  if (state.recentIds.size <= RECENT_IDS) return;
+  if (state.recentIds.size <= MAXIMUM_REMEMBERED_IDS) return;
   const [oldest] = state.recentIds.keys();
   state.recentIds.delete(oldest);
 }
--- a/packages/shared-state/src/hashed-table.ts
+++ b/packages/shared-state/src/hashed-table.ts
@@ -14,50 +14,50 @@
  * up with each change. Without it a record would cost a walk over 31,000 VMs.
  */
 export class HashedTable<Value> extends Map<string, Value> {
-  private sum = 0n;
+  private hashSum = 0n;
 
   /** `project` gives the plain data that stands for a value in the hash. */
   constructor(
-    private readonly project: (value: Value) => unknown = value => value,
+    private readonly canonicalForm: (value: Value) => unknown = value => value,
   ) {
     super();
   }
 
   /** Sum of the hashes of all entries: independent of their order. */
   get hash(): bigint {
-    return this.sum;
+    return this.hashSum;
   }
 
   override set(key: string, value: Value): this {
     const before = this.get(key);
-    if (before !== undefined) this.add(-this.entryHash(key, before));
-    this.add(this.entryHash(key, value));
+    if (before !== undefined) this.addToHash(-this.entryHash(key, before));
+    this.addToHash(this.entryHash(key, value));
     return super.set(key, value);
   }
 
   override delete(key: string): boolean {
     const before = this.get(key);
-    if (before !== undefined) this.add(-this.entryHash(key, before));
+    if (before !== undefined) this.addToHash(-this.entryHash(key, before));
     return super.delete(key);
   }
 
   override clear(): void {
-    this.sum = 0n;
+    this.hashSum = 0n;
     super.clear();
   }
 
   /** The hash computed afresh: for tests, and to verify what was read from a snapshot. */
-  recomputedHash(): bigint {
+  recomputeHash(): bigint {
     let sum = 0n;
     for (const [key, value] of this) sum += this.entryHash(key, value);
     return BigInt.asUintN(HASH_BITS, sum);
   }
 
-  private add(hash: bigint): void {
-    this.sum = BigInt.asUintN(HASH_BITS, this.sum + hash);
+  private addToHash(hash: bigint): void {
+    this.hashSum = BigInt.asUintN(HASH_BITS, this.hashSum + hash);
   }
 
   private entryHash(key: string, value: Value): bigint {
-    return hashText(`${key}\n${canonicalText(this.project(value))}`);
+    return hashText(`${key}\n${canonicalText(this.canonicalForm(value))}`);
   }
 }
--- a/packages/shared-state/src/once-only.ts
+++ b/packages/shared-state/src/idempotency.ts
@@ -17,7 +17,7 @@
 }
 
 /** The right to run a keyed request. Exactly one of its methods is called, once. */
-export interface HeldClaim {
+export interface ClaimHandle {
   /** A target ran it; `answer` is undefined where it is too large to hold. */
   finish(answer: HeldAnswer | undefined): void;
   /** No byte of it went to a target: the key may be claimed again. */
@@ -27,17 +27,20 @@
 }
 
 /** What to do with a keyed request. */
-export type KeyDecision =
-  | {readonly run: true; readonly claim: HeldClaim}
+export type KeyedRequestDecision =
+  | {readonly run: true; readonly claim: ClaimHandle}
   | {readonly run: false; readonly answer: HeldAnswer};
 
 /** Recognises keyed requests, so that each runs at most once. */
-export interface OnceOnly {
+export interface IdempotencyGuard {
   /**
    * Claims the key or finds its answer. Throws `RequestError` of one of the key kinds
    * when the request must not run now.
    */
-  begin(request: KeyedRequest, signal?: AbortSignal): Promise<KeyDecision>;
+  begin(
+    request: KeyedRequest,
+    signal?: AbortSignal,
+  ): Promise<KeyedRequestDecision>;
 }
 
 /** Issues keys that tell their age, so that a forgotten one is refused and never run again. */
--- a/packages/shared-state/src/job-checks.ts
+++ b/packages/shared-state/src/job-checks.ts
@@ -1,29 +1,29 @@
-import {capacityOf} from './capacity-index.js';
-import type {Job} from './fleet-domain.js';
+import {capacityIndexOf} from './capacity-index.js';
+import type {Job} from './planning-state.js';
 import {
   RejectionReason,
   type FleetState,
   type Rejection,
 } from './fleet-state.js';
-import {jobsOf} from './job-index.js';
+import {jobIndexOf} from './job-index.js';
 import type {JobSubmitted} from './job-records.js';
-import {digestOf} from './signatures.js';
+import {sha256Hex} from './signatures.js';
 
 /** Jobs that may wait or run at one time: about 50 MB of the state with short payloads. */
-export const MOST_ACTIVE_JOBS = 50_000;
+export const MAXIMUM_ACTIVE_JOBS = 50_000;
 
 /** Jobs of one team that may wait, so that one cannot fill the queue of all. */
-export const MOST_QUEUED_OF_TEAM = 12_500;
+export const MAXIMUM_QUEUED_JOBS_PER_TEAM = 12_500;
 
 /** Whether a key that is taken names the same job. */
-export function sameJob(
+export function checkSameJob(
   known: Job,
   record: JobSubmitted,
 ): Rejection | undefined {
   const same =
     known.team === record.team &&
     known.pool === record.pool &&
-    known.payloadDigest === digestOf(record.payload);
+    known.payloadDigest === sha256Hex(record.payload);
   if (same) return undefined;
   return {
     reason: RejectionReason.JobDuplicate,
@@ -51,7 +51,7 @@
       detail: `team ${record.team} is not in the bundle in force`,
     };
   }
-  const full = checkRoom(state, record.team);
+  const full = checkQueueLimits(state, record.team);
   if (full) return full;
   const {size} = record;
   const fits =
@@ -66,14 +66,17 @@
   };
 }
 
-function checkRoom(state: FleetState, team: string): Rejection | undefined {
+function checkQueueLimits(
+  state: FleetState,
+  team: string,
+): Rejection | undefined {
   const active = state.jobs.size - state.endedJobs.size;
-  const queued = jobsOf(state).queuedOfTeam(team);
-  if (active < MOST_ACTIVE_JOBS && queued < MOST_QUEUED_OF_TEAM)
+  const queued = jobIndexOf(state).queuedCountOfTeam(team);
+  if (active < MAXIMUM_ACTIVE_JOBS && queued < MAXIMUM_QUEUED_JOBS_PER_TEAM)
     return undefined;
   return {
     reason: RejectionReason.QuotaExceeded,
-    detail: `${queued} jobs of team ${team} wait (at most ${MOST_QUEUED_OF_TEAM}) and ${active} jobs in all are not done (at most ${MOST_ACTIVE_JOBS}); submit again when some have ended`,
+    detail: `${queued} jobs of team ${team} wait (at most ${MAXIMUM_QUEUED_JOBS_PER_TEAM}) and ${active} jobs in all are not done (at most ${MAXIMUM_ACTIVE_JOBS}); submit again when some have ended`,
   };
 }
 
@@ -85,13 +88,13 @@
 ): Rejection | undefined {
   const bundle = state.inForce?.bundle;
   const owner = state.vms.get(vm);
-  if (owner?.pool !== job.pool || !capacityOf(state).isAvailable(vm)) {
+  if (owner?.pool !== job.pool || !capacityIndexOf(state).isAvailable(vm)) {
     return {
       reason: RejectionReason.VmUnknown,
       detail: `VM ${vm} is not an available VM of pool ${job.pool}`,
     };
   }
-  const index = jobsOf(state);
+  const index = jobIndexOf(state);
   const slots = bundle?.pools[job.pool]?.slots ?? 0;
   const quota = bundle?.teams[job.team]?.slots ?? 0;
   if (index.vmSlots(vm) + job.size.slots > slots) {
--- a/packages/shared-state/src/job-index.ts
+++ b/packages/shared-state/src/job-index.ts
@@ -1,4 +1,4 @@
-import {JobState, type Job} from './fleet-domain.js';
+import {JobState, type Job} from './planning-state.js';
 import type {FleetState} from './fleet-state.js';
 
 /** Teams of one pool with their queued keys, in order of submission. */
@@ -13,37 +13,37 @@
   /** Queued keys by pool and team. */
   readonly queues = new Map<string, PoolQueue>();
   /** Placed keys by VM. */
-  readonly placedOn = new Map<string, Set<string>>();
-  private readonly queuedTeams = new Map<string, number>();
-  private readonly slotsOfTeam = new Map<string, number>();
-  private readonly slotsOfVm = new Map<string, number>();
+  readonly placedKeysByVm = new Map<string, Set<string>>();
+  private readonly queuedCountByTeam = new Map<string, number>();
+  private readonly slotsByTeam = new Map<string, number>();
+  private readonly slotsByVm = new Map<string, number>();
   /** Placed jobs that somebody cancelled. */
-  readonly toStop = new Set<string>();
+  readonly cancelledPlacedKeys = new Set<string>();
   /** Rises with each job that enters a queue: tells a planner that there is something to place. */
-  enqueued = 0;
-  private seen: bigint;
+  enqueueCount = 0;
+  private indexedJobsHash: bigint;
 
   constructor(private readonly state: FleetState) {
     for (const job of state.jobs.values()) this.add(job);
-    this.seen = state.jobs.hash;
+    this.indexedJobsHash = state.jobs.hash;
   }
 
   /** Slots that a team's placed jobs hold. */
   teamSlots(team: string): number {
-    return this.slotsOfTeam.get(team) ?? 0;
+    return this.slotsByTeam.get(team) ?? 0;
   }
 
   /** Slots that placed jobs hold on a VM. */
   vmSlots(vm: string): number {
-    return this.slotsOfVm.get(vm) ?? 0;
+    return this.slotsByVm.get(vm) ?? 0;
   }
 
   /** Jobs of a team that wait, in all pools. */
-  queuedOfTeam(team: string): number {
-    return this.queuedTeams.get(team) ?? 0;
+  queuedCountOfTeam(team: string): number {
+    return this.queuedCountByTeam.get(team) ?? 0;
   }
 
-  queued(pool: string): number {
+  queuedCountOfPool(pool: string): number {
     let count = 0;
     for (const keys of this.queues.get(pool)?.values() ?? [])
       count += keys.size;
@@ -59,60 +59,63 @@
     if (before && job.state === JobState.Queued) jobs.delete(job.key);
     jobs.set(job.key, job);
     this.add(job);
-    this.seen = jobs.hash;
+    this.indexedJobsHash = jobs.hash;
   }
 
   /** Takes out an ended job. */
-  forget(key: string): void {
+  deleteEnded(key: string): void {
     this.state.jobs.delete(key);
-    this.seen = this.state.jobs.hash;
+    this.indexedJobsHash = this.state.jobs.hash;
   }
 
   /** Whether the index belongs to what the state holds now. */
   isCurrent(): boolean {
-    return this.seen === this.state.jobs.hash;
+    return this.indexedJobsHash === this.state.jobs.hash;
   }
 
   private add(job: Job): void {
     if (job.state === JobState.Queued) this.enqueue(job);
     if (job.state !== JobState.Placed || job.vm === undefined) return;
-    const keys = this.placedOn.get(job.vm) ?? new Set();
-    this.placedOn.set(job.vm, keys.add(job.key));
-    this.hold(job, job.vm, job.size.slots);
-    if (job.cancelRequested) this.toStop.add(job.key);
+    const keys = this.placedKeysByVm.get(job.vm) ?? new Set();
+    this.placedKeysByVm.set(job.vm, keys.add(job.key));
+    this.addHeldSlots(job, job.vm, job.size.slots);
+    if (job.cancelRequested) this.cancelledPlacedKeys.add(job.key);
   }
 
   private remove(job: Job): void {
     if (job.state === JobState.Queued) {
       this.queues.get(job.pool)?.get(job.team)?.delete(job.key);
-      this.queuedTeams.set(job.team, this.queuedOfTeam(job.team) - 1);
+      this.queuedCountByTeam.set(
+        job.team,
+        this.queuedCountOfTeam(job.team) - 1,
+      );
     }
     if (job.state !== JobState.Placed || job.vm === undefined) return;
-    const keys = this.placedOn.get(job.vm);
+    const keys = this.placedKeysByVm.get(job.vm);
     keys?.delete(job.key);
-    if (keys?.size === 0) this.placedOn.delete(job.vm);
-    this.hold(job, job.vm, -job.size.slots);
-    this.toStop.delete(job.key);
+    if (keys?.size === 0) this.placedKeysByVm.delete(job.vm);
+    this.addHeldSlots(job, job.vm, -job.size.slots);
+    this.cancelledPlacedKeys.delete(job.key);
   }
 
   private enqueue(job: Job): void {
     const teams = this.queues.get(job.pool) ?? new Map<string, Set<string>>();
     const keys = teams.get(job.team) ?? new Set();
     this.queues.set(job.pool, teams.set(job.team, keys.add(job.key)));
-    this.queuedTeams.set(job.team, this.queuedOfTeam(job.team) + 1);
-    this.enqueued++;
+    this.queuedCountByTeam.set(job.team, this.queuedCountOfTeam(job.team) + 1);
+    this.enqueueCount++;
   }
 
-  private hold(job: Job, vm: string, slots: number): void {
-    this.slotsOfTeam.set(job.team, this.teamSlots(job.team) + slots);
-    this.slotsOfVm.set(vm, this.vmSlots(vm) + slots);
+  private addHeldSlots(job: Job, vm: string, slots: number): void {
+    this.slotsByTeam.set(job.team, this.teamSlots(job.team) + slots);
+    this.slotsByVm.set(vm, this.vmSlots(vm) + slots);
   }
 }
 
 const INDEXES = new WeakMap<FleetState, JobIndex>();
 
 /** The queues and counts of a state. */
-export function jobsOf(state: FleetState): JobIndex {
+export function jobIndexOf(state: FleetState): JobIndex {
   const cached = INDEXES.get(state);
   if (cached?.isCurrent()) return cached;
   const index = new JobIndex(state);
--- a/packages/shared-state/src/job-records.ts
+++ b/packages/shared-state/src/job-records.ts
@@ -1,11 +1,15 @@
 import {z} from 'zod';
-import {batched, plannerHead} from './fleet-record-head.js';
-import {JobOutcome} from './fleet-terms.js';
-import {recordCount, recordHead, recordText} from './record-head.js';
+import {boundedBatch, plannerHeadFields} from './planning-record-head.js';
+import {JobOutcome} from './record-enums.js';
+import {
+  nonNegativeInteger,
+  recordHeadFields,
+  boundedText,
+} from './record-head.js';
 import {RecordKind} from './record-kind.js';
 
 /** Longest payload of a job; a larger input is kept elsewhere and named. */
-export const LONGEST_JOB_PAYLOAD = 4096;
+export const MAXIMUM_JOB_PAYLOAD_CHARACTERS = 4096;
 
 /** What one attempt of a job takes on a VM. */
 export const jobSizeSchema = z
@@ -19,21 +23,21 @@
 
 /** What an operator or caller says of a job. */
 export const jobFields = {
-  key: recordText.min(1),
-  team: recordText,
-  pool: recordText,
+  key: boundedText.min(1),
+  team: boundedText,
+  pool: boundedText,
   /** Jobs of one class are alike in size; their usage teaches the next ones' sizes. */
-  jobClass: recordText,
+  jobClass: boundedText,
   /** Whether it may be run again. */
   idempotent: z.boolean(),
   size: jobSizeSchema,
-  payload: z.string().max(LONGEST_JOB_PAYLOAD),
+  payload: z.string().max(MAXIMUM_JOB_PAYLOAD_CHARACTERS),
 };
 
 /** Shape of a `JobSubmitted` record. */
 export const jobSubmittedSchema = z
   .object({
-    ...recordHead,
+    ...recordHeadFields,
     ...jobFields,
     kind: z.literal(RecordKind.JobSubmitted),
   })
@@ -42,34 +46,34 @@
 /** Shape of a `JobsCancelled` record. */
 export const jobsCancelledSchema = z
   .object({
-    ...recordHead,
+    ...recordHeadFields,
     kind: z.literal(RecordKind.JobsCancelled),
-    keys: batched(recordText),
+    keys: boundedBatch(boundedText),
   })
   .readonly();
 
 /** Shape of a `JobPlaced` record. */
 export const jobPlacedSchema = z
   .object({
-    ...plannerHead,
+    ...plannerHeadFields,
     kind: z.literal(RecordKind.JobPlaced),
-    key: recordText,
+    key: boundedText,
     /** Counts from 1; must be one above the attempts before. */
-    attempt: recordCount,
-    vm: recordText,
+    attempt: nonNegativeInteger,
+    vm: boundedText,
   })
   .readonly();
 
 /** Shape of a `JobsReported` record. */
 export const jobsReportedSchema = z
   .object({
-    ...plannerHead,
+    ...plannerHeadFields,
     kind: z.literal(RecordKind.JobsReported),
-    reports: batched(
+    reports: boundedBatch(
       z
         .object({
-          key: recordText,
-          attempt: recordCount,
+          key: boundedText,
+          attempt: nonNegativeInteger,
           outcome: z.enum(JobOutcome),
         })
         .readonly(),
@@ -80,10 +84,10 @@
 /** Shape of a `JobSetAside` record. */
 export const jobSetAsideSchema = z
   .object({
-    ...plannerHead,
+    ...plannerHeadFields,
     kind: z.literal(RecordKind.JobSetAside),
-    key: recordText,
-    reason: recordText,
+    key: boundedText,
+    reason: boundedText,
   })
   .readonly();
 
