--- a/packages/shared-state/src/log-appender.ts
+++ b/packages/shared-state/src/log-appender.ts
@@ -1,5 +1,5 @@
 import {
-  LogFailure,
+  PlatformLogFailure,
   MetricName,
   PlatformLogError,
   backoff,
@@ -9,7 +9,7 @@
   type Metrics,
   type RandomSource,
 } from '@gentiandoor/kernel';
-import {AppendBudget} from './append-budget.js';
+import {AppendRateLimiter} from './append-rate-limiter.js';
 import {
   AppendRefusedError,
   type PlatformLog,
@@ -25,24 +25,24 @@
   readonly appendsPerSecond: number;
   readonly burst: number;
   /** Records and bytes of one append. */
-  readonly batchRecords: number;
-  readonly batchBytes: number;
+  readonly maximumBatchRecords: number;
+  readonly maximumBatchBytes: number;
   /** Records and bytes that may wait; more are refused. */
-  readonly queuedRecords: number;
-  readonly queuedBytes: number;
+  readonly maximumQueuedRecords: number;
+  readonly maximumQueuedBytes: number;
   /** A further append may start when the one before has been out for so long. */
-  readonly overlapMilliseconds: number;
+  readonly overlapAfterMilliseconds: number;
 }
 
 /** Bounds that fit the fleet stream of one daemon. */
 export const DEFAULT_APPENDER_OPTIONS: AppenderOptions = {
   appendsPerSecond: 20,
   burst: 20,
-  batchRecords: 500,
-  batchBytes: 1_000_000,
-  queuedRecords: 5000,
-  queuedBytes: 32_000_000,
-  overlapMilliseconds: 250,
+  maximumBatchRecords: 500,
+  maximumBatchBytes: 1_000_000,
+  maximumQueuedRecords: 5000,
+  maximumQueuedBytes: 32_000_000,
+  overlapAfterMilliseconds: 250,
 };
 
 /** What an appender needs. */
@@ -67,20 +67,20 @@
  * when the daemon is quiet.
  */
 export class LogAppender {
-  private readonly budget: AppendBudget;
+  private readonly rateLimiter: AppendRateLimiter;
   private readonly stopping = new AbortController();
-  private readonly tasks = new Set<Promise<void>>();
+  private readonly appendsInFlight = new Set<Promise<void>>();
   private queue: QueuedRecord[] = [];
   private queuedBytes = 0;
-  private refusals = 0;
-  private pump: Promise<void> | undefined;
+  private consecutiveRefusals = 0;
+  private sendLoop: Promise<void> | undefined;
 
   constructor(
     private readonly stream: StreamName,
     private readonly dependencies: AppenderDependencies,
     private readonly options: AppenderOptions = DEFAULT_APPENDER_OPTIONS,
   ) {
-    this.budget = new AppendBudget(
+    this.rateLimiter = new AppendRateLimiter(
       dependencies.clock,
       options.appendsPerSecond,
       options.burst,
@@ -93,28 +93,35 @@
    * `PlatformLogError` of `NoAnswer` when it may have been: only reading on tells.
    */
   append(payload: Uint8Array, signal?: AbortSignal): Promise<void> {
-    const refusal = this.refusalOf(payload);
+    const refusal = this.checkQueueLimits(payload);
     if (refusal) return Promise.reject(refusal);
     return new Promise((resolve, reject) => {
       this.queue.push({payload, signal, resolve, reject});
       this.queuedBytes += payload.length;
-      signal?.addEventListener('abort', () => this.dropAborted(), {once: true});
-      this.wakePump();
+      signal?.addEventListener('abort', () => this.rejectAborted(), {
+        once: true,
+      });
+      this.startSendLoop();
     });
   }
 
   /** Refuses what waits; resolves when no append is out. */
   async stop(): Promise<void> {
     this.stopping.abort();
-    for (const record of this.takeAll())
+    for (const record of this.dequeueAll())
       record.reject(new AppendRefusedError('the daemon stops', 0));
-    await this.pump;
-    await Promise.all(this.tasks);
+    await this.sendLoop;
+    await Promise.all(this.appendsInFlight);
   }
 
-  private refusalOf(payload: Uint8Array): AppendRefusedError | undefined {
+  private checkQueueLimits(
+    payload: Uint8Array,
+  ): AppendRefusedError | undefined {
     const {metrics} = this.dependencies;
-    const {queuedRecords, queuedBytes} = this.options;
+    const {
+      maximumQueuedRecords: queuedRecords,
+      maximumQueuedBytes: queuedBytes,
+    } = this.options;
     if (this.stopping.signal.aborted)
       return new AppendRefusedError('the daemon stops', 0);
     if (
@@ -125,13 +132,17 @@
     metrics.increment(MetricName.LogAppendRefusals, {stream: this.stream});
     return new AppendRefusedError(
       `${this.queue.length} records wait for the stream ${this.stream}`,
-      this.clearingMilliseconds(),
+      this.estimatedQueueMilliseconds(),
     );
   }
 
   /** When the queue will have gone out at the budgeted speed: the time to come again. */
-  private clearingMilliseconds(): number {
-    const {batchRecords, batchBytes, appendsPerSecond} = this.options;
+  private estimatedQueueMilliseconds(): number {
+    const {
+      maximumBatchRecords: batchRecords,
+      maximumBatchBytes: batchBytes,
+      appendsPerSecond,
+    } = this.options;
     const batches = Math.max(
       this.queue.length / batchRecords,
       this.queuedBytes / batchBytes,
@@ -139,27 +150,27 @@
     return Math.ceil((batches * 1000) / appendsPerSecond) + 100;
   }
 
-  private wakePump(): void {
-    if (this.pump || this.queue.length === 0) return;
-    this.pump = this.run().finally(() => {
-      this.pump = undefined;
-      if (!this.stopping.signal.aborted) this.wakePump();
+  private startSendLoop(): void {
+    if (this.sendLoop || this.queue.length === 0) return;
+    this.sendLoop = this.runSendLoop().finally(() => {
+      this.sendLoop = undefined;
+      if (!this.stopping.signal.aborted) this.startSendLoop();
     });
   }
 
   /** The one task that sends: runs while records wait. */
-  private async run(): Promise<void> {
+  private async runSendLoop(): Promise<void> {
     const {clock} = this.dependencies;
     const {signal} = this.stopping;
     // The records of one turn of the event loop share an append.
     await Promise.resolve();
     while (this.queue.length > 0 && !signal.aborted) {
-      const wait = this.budget.waitMilliseconds();
+      const wait = this.rateLimiter.millisecondsUntilToken();
       if (wait > 0) {
         await sleep(clock, wait, signal);
         continue;
       }
-      const batch = this.takeBatch();
+      const batch = this.dequeueBatch();
       if (batch.length > 0) await this.sendOverlapping(batch);
     }
   }
@@ -169,25 +180,25 @@
     const {clock} = this.dependencies;
     const done = new AbortController();
     const sending = this.send(batch).finally(() => {
-      this.tasks.delete(sending);
+      this.appendsInFlight.delete(sending);
       done.abort();
     });
-    this.tasks.add(sending);
-    await sleep(clock, this.options.overlapMilliseconds, done.signal);
-    if (this.refusals > 0) await sending;
+    this.appendsInFlight.add(sending);
+    await sleep(clock, this.options.overlapAfterMilliseconds, done.signal);
+    if (this.consecutiveRefusals > 0) await sending;
   }
 
   private async send(batch: QueuedRecord[]): Promise<void> {
     const {metrics, platformLog} = this.dependencies;
     const tags = {stream: this.stream};
-    this.budget.take();
+    this.rateLimiter.consumeToken();
     metrics.increment(MetricName.LogAppends, tags);
     try {
       await platformLog.append(
         this.stream,
         batch.map(record => record.payload),
       );
-      this.refusals = 0;
+      this.consecutiveRefusals = 0;
       for (const record of batch) record.resolve();
     } catch (error) {
       metrics.increment(MetricName.LogAppendFailures, tags);
@@ -200,7 +211,8 @@
     error: Error,
   ): Promise<void> {
     const isRefused =
-      error instanceof PlatformLogError && error.failure === LogFailure.Refused;
+      error instanceof PlatformLogError &&
+      error.failure === PlatformLogFailure.Refused;
     if (!isRefused) {
       for (const record of batch) record.reject(error);
       return;
@@ -209,19 +221,20 @@
     const {clock, random} = this.dependencies;
     const pause = backoff(
       random,
-      this.refusals++,
+      this.consecutiveRefusals++,
       BACKOFF_BASE_MILLISECONDS,
       BACKOFF_MAXIMUM_MILLISECONDS,
     );
     this.queue.unshift(...batch);
     for (const {payload} of batch) this.queuedBytes += payload.length;
-    this.dropAborted();
+    this.rejectAborted();
     await sleep(clock, pause, this.stopping.signal);
-    this.wakePump();
+    this.startSendLoop();
   }
 
-  private takeBatch(): QueuedRecord[] {
-    const {batchRecords, batchBytes} = this.options;
+  private dequeueBatch(): QueuedRecord[] {
+    const {maximumBatchRecords: batchRecords, maximumBatchBytes: batchBytes} =
+      this.options;
     let bytes = 0;
     let count = 0;
     for (const {payload} of this.queue) {
@@ -234,13 +247,13 @@
     return this.queue.splice(0, count);
   }
 
-  private takeAll(): QueuedRecord[] {
+  private dequeueAll(): QueuedRecord[] {
     this.queuedBytes = 0;
     return this.queue.splice(0);
   }
 
   /** A writer that gave up before its record was sent: the record never goes out. */
-  private dropAborted(): void {
+  private rejectAborted(): void {
     const isGone = (record: QueuedRecord) => record.signal?.aborted === true;
     for (const record of this.queue.filter(isGone)) {
       this.queuedBytes -= record.payload.length;
--- a/packages/shared-state/src/log-reader.ts
+++ b/packages/shared-state/src/log-reader.ts
@@ -21,18 +21,18 @@
 const BACKOFF_BASE_MILLISECONDS = 100;
 const BACKOFF_MAXIMUM_MILLISECONDS = 5000;
 /** Age of a read, in milliseconds, from which on it may have hung. */
-const REFRESH_AFTER = 2000;
+const REFRESH_AFTER_MILLISECONDS = 2000;
 /** Milliseconds of a read that brought nothing, at the least. */
-const SHORTEST_ROUND = 200;
+const MINIMUM_POLL_MILLISECONDS = 200;
 
 /** Where the records of a stream go. */
 export interface RecordSink {
   /** Offset to read next. */
   nextOffset(): number;
   /** Takes records in order; the next read waits for it. */
-  take(batch: LogBatch): Promise<void>;
+  applyBatch(batch: LogBatch): Promise<void>;
   /** The next offset is no longer kept: must move `nextOffset` on, or throw to try again later. */
-  crossGap(oldest: number): Promise<void>;
+  recoverFromGap(oldest: number): Promise<void>;
 }
 
 /** What a reader needs. */
@@ -50,9 +50,9 @@
  */
 export class LogReader {
   private reachable = false;
-  private failures = 0;
-  private askedAt = 0;
-  private reading = new AbortController();
+  private consecutiveFailures = 0;
+  private readStartedAt = 0;
+  private readAbort = new AbortController();
 
   constructor(
     private readonly stream: StreamName,
@@ -73,7 +73,8 @@
    */
   refresh(): void {
     const now = this.dependencies.clock.monotonicMilliseconds();
-    if (now - this.askedAt >= REFRESH_AFTER) this.reading.abort();
+    if (now - this.readStartedAt >= REFRESH_AFTER_MILLISECONDS)
+      this.readAbort.abort();
   }
 
   /** Reads until `stop` aborts. */
@@ -83,8 +84,8 @@
         await this.readOnce(stop);
       } catch (error) {
         if (stop.aborted) return;
-        if (!this.reading.signal.aborted)
-          await this.noteFailure(toError(error), stop);
+        if (!this.readAbort.signal.aborted)
+          await this.markUnreachable(toError(error), stop);
       }
     }
   }
@@ -92,26 +93,26 @@
   private async readOnce(stop: AbortSignal): Promise<void> {
     const {platformLog, metrics} = this.dependencies;
     metrics.increment(MetricName.LogReads, {stream: this.stream});
-    this.reading = new AbortController();
-    const signal = AbortSignal.any([stop, this.reading.signal]);
+    this.readAbort = new AbortController();
+    const signal = AbortSignal.any([stop, this.readAbort.signal]);
     const from = this.sink.nextOffset();
     const asked = this.dependencies.clock.monotonicMilliseconds();
-    this.askedAt = asked;
+    this.readStartedAt = asked;
     // The first read after a failure does not wait: its answer says that the log is back.
     const waitMilliseconds = this.reachable ? this.options.waitMilliseconds : 0;
     try {
       const options = {...this.options, waitMilliseconds};
       const batch = await platformLog.read(this.stream, from, options, signal);
       if (stop.aborted) return;
-      this.noteAnswer();
-      this.failures = 0;
-      await this.sink.take(batch);
+      this.markReachable();
+      this.consecutiveFailures = 0;
+      await this.sink.applyBatch(batch);
       if (waitMilliseconds > 0)
         await this.pauseWithoutProgress(from, asked, signal);
     } catch (error) {
       if (!(error instanceof LogGapError)) throw error;
-      this.noteAnswer();
-      await this.crossGap(from, error.oldest, stop);
+      this.markReachable();
+      await this.recoverFromGap(from, error.oldest, stop);
     }
   }
 
@@ -126,12 +127,13 @@
   ): Promise<void> {
     const {clock, random} = this.dependencies;
     const took = clock.monotonicMilliseconds() - asked;
-    if (this.sink.nextOffset() !== from || took >= SHORTEST_ROUND) return;
-    await sleep(clock, jitter(random, SHORTEST_ROUND), signal);
+    if (this.sink.nextOffset() !== from || took >= MINIMUM_POLL_MILLISECONDS)
+      return;
+    await sleep(clock, jitter(random, MINIMUM_POLL_MILLISECONDS), signal);
   }
 
   /** A gap that cannot be crossed yet is tried again with the pauses of a failure. */
-  private async crossGap(
+  private async recoverFromGap(
     from: number,
     oldest: number,
     stop: AbortSignal,
@@ -139,41 +141,44 @@
     const {logger} = this.dependencies;
     const {stream} = this;
     try {
-      await this.sink.crossGap(oldest);
-      this.failures = 0;
+      await this.sink.recoverFromGap(oldest);
+      this.consecutiveFailures = 0;
       logger.warn(LogEvent.LogGap, {stream, from, oldest});
     } catch (thrown) {
       if (stop.aborted) return;
       const error = toError(thrown).message;
       logger.error(LogEvent.LogGapOpen, {stream, from, oldest, error});
-      await this.pause(stop);
+      await this.backOff(stop);
     }
   }
 
-  private noteAnswer(): void {
+  private markReachable(): void {
     const {logger} = this.dependencies;
     if (!this.reachable)
       logger.info(LogEvent.LogReturned, {stream: this.stream});
     this.reachable = true;
   }
 
-  private async noteFailure(error: Error, stop: AbortSignal): Promise<void> {
+  private async markUnreachable(
+    error: Error,
+    stop: AbortSignal,
+  ): Promise<void> {
     const {logger, metrics} = this.dependencies;
     metrics.increment(MetricName.LogReadFailures, {stream: this.stream});
-    if (this.reachable || this.failures === 0)
+    if (this.reachable || this.consecutiveFailures === 0)
       logger.warn(LogEvent.LogUnavailable, {
         stream: this.stream,
         error: error.message,
       });
     this.reachable = false;
-    await this.pause(stop);
+    await this.backOff(stop);
   }
 
-  private async pause(stop: AbortSignal): Promise<void> {
+  private async backOff(stop: AbortSignal): Promise<void> {
     const {clock, random} = this.dependencies;
     const delay = backoff(
       random,
-      this.failures++,
+      this.consecutiveFailures++,
       BACKOFF_BASE_MILLISECONDS,
       BACKOFF_MAXIMUM_MILLISECONDS,
     );
--- a/packages/shared-state/src/member-records.ts
+++ b/packages/shared-state/src/member-records.ts
@@ -1,39 +1,43 @@
 import {z} from 'zod';
-import {recordCount, recordHead, recordText} from './record-head.js';
+import {
+  nonNegativeInteger,
+  recordHeadFields,
+  boundedText,
+} from './record-head.js';
 import {RecordKind} from './record-kind.js';
 
 /** Shape of a `MemberJoined` record. */
 export const memberJoinedSchema = z
   .object({
-    ...recordHead,
+    ...recordHeadFields,
     kind: z.literal(RecordKind.MemberJoined),
-    name: recordText.min(1),
-    incarnation: recordText.min(1),
-    dataCentre: recordText,
+    name: boundedText.min(1),
+    incarnation: boundedText.min(1),
+    dataCentre: boundedText,
     /** IP number and port of its peer link. */
-    peerAddress: recordText,
+    peerAddress: boundedText,
     /** Highest record format that it reads; 1 where missing. */
-    readsFormat: recordCount.optional(),
+    readsFormat: nonNegativeInteger.optional(),
   })
   .readonly();
 
 /** Shape of a `MemberLeft` record. */
 export const memberLeftSchema = z
   .object({
-    ...recordHead,
+    ...recordHeadFields,
     kind: z.literal(RecordKind.MemberLeft),
-    incarnation: recordText,
+    incarnation: boundedText,
     /** Why an operator took it out; missing where the daemon left by itself. */
-    reason: recordText.optional(),
+    reason: boundedText.optional(),
   })
   .readonly();
 
 /** Shape of a `FormatRaised` record. */
 export const formatRaisedSchema = z
   .object({
-    ...recordHead,
+    ...recordHeadFields,
     kind: z.literal(RecordKind.FormatRaised),
-    format: recordCount,
+    format: nonNegativeInteger,
   })
   .readonly();
 
--- a/packages/shared-state/src/move-records.ts
+++ b/packages/shared-state/src/move-records.ts
@@ -1,55 +1,59 @@
 import {z} from 'zod';
 import {
-  batched,
-  operatorOrPlannerHead,
-  plannerHead,
-  workName,
-} from './fleet-record-head.js';
-import {MoveCause} from './fleet-terms.js';
-import {recordCount, recordHead, recordText} from './record-head.js';
+  boundedBatch,
+  operatorOrPlannerHeadFields,
+  plannerHeadFields,
+  plannedWorkKeyFields,
+} from './planning-record-head.js';
+import {MoveCause} from './record-enums.js';
+import {
+  nonNegativeInteger,
+  recordHeadFields,
+  boundedText,
+} from './record-head.js';
 import {RecordKind} from './record-kind.js';
 
 /** Shape of a `DrainAcknowledged` record. */
 export const drainAcknowledgedSchema = z
   .object({
-    ...recordHead,
+    ...recordHeadFields,
     kind: z.literal(RecordKind.DrainAcknowledged),
-    incarnation: recordText,
-    acknowledgements: batched(z.object(workName).readonly()),
+    incarnation: boundedText,
+    acknowledgements: boundedBatch(z.object(plannedWorkKeyFields).readonly()),
   })
   .readonly();
 
 /** Shape of a `MoveStarted` record. */
 export const moveStartedSchema = z
   .object({
-    ...operatorOrPlannerHead,
+    ...operatorOrPlannerHeadFields,
     kind: z.literal(RecordKind.MoveStarted),
-    vm: recordText,
+    vm: boundedText,
     /** Epoch of the ownership that it ends. */
-    epoch: recordCount,
-    toPool: recordText,
+    epoch: nonNegativeInteger,
+    toPool: boundedText,
     cause: z.enum(MoveCause),
-    reason: recordText,
+    reason: boundedText,
   })
   .readonly();
 
 /** Shape of a `MoveAssigned` record. */
 export const moveAssignedSchema = z
   .object({
-    ...plannerHead,
-    ...workName,
+    ...plannerHeadFields,
+    ...plannedWorkKeyFields,
     kind: z.literal(RecordKind.MoveAssigned),
-    epoch: recordCount,
+    epoch: nonNegativeInteger,
   })
   .readonly();
 
 /** Shape of a `MoveAborted` record. */
 export const moveAbortedSchema = z
   .object({
-    ...operatorOrPlannerHead,
-    ...workName,
+    ...operatorOrPlannerHeadFields,
+    ...plannedWorkKeyFields,
     kind: z.literal(RecordKind.MoveAborted),
-    reason: recordText,
+    reason: boundedText,
   })
   .readonly();
 
--- a/packages/shared-state/src/peer-links.ts
+++ b/packages/shared-state/src/peer-links.ts
@@ -34,7 +34,7 @@
     timeoutMilliseconds: number,
   ): Promise<unknown>;
   /** One handler a topic. */
-  handle(topic: PeerTopic, handler: PeerHandler): void;
+  setHandler(topic: PeerTopic, handler: PeerHandler): void;
 }
 
 /** Links of a daemon that has no peers. */
@@ -49,5 +49,5 @@
     return Promise.reject(new Error(`no link to ${incarnation}`));
   }
 
-  handle(): void {}
+  setHandler(): void {}
 }
--- a/packages/shared-state/src/planned-work.ts
+++ b/packages/shared-state/src/planned-work.ts
@@ -1,19 +1,23 @@
 import {checkPlannedStop} from './budget-check.js';
-import {capacityOf} from './capacity-index.js';
-import {WorkKind, isOutOfService, type PlannedWork} from './fleet-domain.js';
-import {jobsOf} from './job-index.js';
+import {capacityIndexOf} from './capacity-index.js';
+import {
+  PlannedWorkKind,
+  isOutOfService,
+  type PlannedWork,
+} from './planning-state.js';
+import {jobIndexOf} from './job-index.js';
 import {
   RejectionReason,
   type FleetState,
   type Rejection,
-  type VmRecord,
+  type VmOwnership,
 } from './fleet-state.js';
 
 /** What starts planned work on a VM. */
-export type NewWork = Omit<PlannedWork, 'awaiting' | 'attempts'>;
+export type NewPlannedWork = Omit<PlannedWork, 'awaiting' | 'attempts'>;
 
 /** Finds the VM or says that there is none. */
-export function findVm(state: FleetState, id: string): VmRecord | Rejection {
+export function findVm(state: FleetState, id: string): VmOwnership | Rejection {
   return (
     state.vms.get(id) ?? {
       reason: RejectionReason.VmUnknown,
@@ -28,30 +32,30 @@
 }
 
 /** Starts planned work if the VM is free for it and every budget allows it. */
-export function startWork(
+export function startPlannedWork(
   state: FleetState,
-  work: NewWork,
+  work: NewPlannedWork,
 ): Rejection | undefined {
   const present = state.work.get(work.vm);
-  if (present) return alreadyAtWork(present);
+  if (present) return workInProgressRejection(present);
   const refusal = checkPlannedStop(state, work.vm, work.toPool);
   if (refusal) return refusal;
   const awaiting = [...state.members.keys()];
   const attempts =
-    work.kind === WorkKind.Repair
+    work.kind === PlannedWorkKind.Repair
       ? (state.failedAttempts.get(work.vm) ?? 0)
       : 0;
-  setWork(state, work.vm, {...work, awaiting, attempts});
+  setPlannedWork(state, work.vm, {...work, awaiting, attempts});
   return undefined;
 }
 
 /** Writes or removes planned work; keeps the routing mark and the counters in step with it. */
-export function setWork(
+export function setPlannedWork(
   state: FleetState,
   vm: string,
   work: PlannedWork | undefined,
 ): void {
-  capacityOf(state).update(vm, () => {
+  capacityIndexOf(state).update(vm, () => {
     if (work) state.work.set(vm, work);
     else state.work.delete(vm);
     const record = state.vms.get(vm);
@@ -63,7 +67,7 @@
 }
 
 /** The work that a record names by VM and start, or why it is not there any more. */
-export function findWork(
+export function findPlannedWork(
   state: FleetState,
   vm: string,
   startedAt: number,
@@ -96,7 +100,7 @@
   const names = outstandingDaemons(state, work).map(
     incarnation => state.members.get(incarnation)?.name ?? incarnation,
   );
-  if (names.length === 0) return checkJobs(state, work);
+  if (names.length === 0) return checkOutstandingJobs(state, work);
   return {
     reason: RejectionReason.DrainOutstanding,
     detail: `VM ${work.vm} waits for ${names.join(', ')} to finish exchanges; look at those daemons if it stays so`,
@@ -108,8 +112,8 @@
   state: FleetState,
   work: PlannedWork,
 ): ReadonlySet<string> {
-  if (work.kind === WorkKind.Repair) return NO_JOBS;
-  return jobsOf(state).placedOn.get(work.vm) ?? NO_JOBS;
+  if (work.kind === PlannedWorkKind.Repair) return NO_JOBS;
+  return jobIndexOf(state).placedKeysByVm.get(work.vm) ?? NO_JOBS;
 }
 
 /** Whether neither a daemon nor a job holds the planned work up. */
@@ -119,7 +123,7 @@
 
 const NO_JOBS: ReadonlySet<string> = new Set();
 
-function checkJobs(
+function checkOutstandingJobs(
   state: FleetState,
   work: PlannedWork,
 ): Rejection | undefined {
@@ -132,7 +136,7 @@
   };
 }
 
-function alreadyAtWork(work: PlannedWork): Rejection {
+function workInProgressRejection(work: PlannedWork): Rejection {
   return {
     reason: RejectionReason.AlreadyDraining,
     detail: `VM ${work.vm} is under ${work.kind} by ${work.writer}: ${work.reason}`,
--- a/packages/shared-state/src/planner-records.ts
+++ b/packages/shared-state/src/planner-records.ts
@@ -1,32 +1,36 @@
 import {z} from 'zod';
-import {batched, plannerHead} from './fleet-record-head.js';
-import {VmCondition} from './fleet-terms.js';
-import {recordCount, recordHead, recordText} from './record-head.js';
+import {boundedBatch, plannerHeadFields} from './planning-record-head.js';
+import {VmCondition} from './record-enums.js';
+import {
+  nonNegativeInteger,
+  recordHeadFields,
+  boundedText,
+} from './record-head.js';
 import {RecordKind} from './record-kind.js';
 
 /** Shape of a `PlannerTaken` record. */
 export const plannerTakenSchema = z
   .object({
-    ...recordHead,
+    ...recordHeadFields,
     kind: z.literal(RecordKind.PlannerTaken),
-    expectedTerm: recordCount,
+    expectedTerm: nonNegativeInteger,
     /** Incarnation of the daemon that plans from here on. */
-    holder: recordText,
+    holder: boundedText,
   })
   .readonly();
 
 /** Shape of a `PlannerRenewed` record. */
 export const plannerRenewedSchema = z
-  .object({...plannerHead, kind: z.literal(RecordKind.PlannerRenewed)})
+  .object({...plannerHeadFields, kind: z.literal(RecordKind.PlannerRenewed)})
   .readonly();
 
 /** Shape of a `VmReported` record. */
 export const vmReportedSchema = z
   .object({
-    ...plannerHead,
+    ...plannerHeadFields,
     kind: z.literal(RecordKind.VmReported),
-    reports: batched(
-      z.object({vm: recordText, condition: z.enum(VmCondition)}).readonly(),
+    reports: boundedBatch(
+      z.object({vm: boundedText, condition: z.enum(VmCondition)}).readonly(),
     ),
   })
   .readonly();
--- a/packages/shared-state/src/fleet-record-handlers.ts
+++ b/packages/shared-state/src/planning-record-handlers.ts
@@ -1,5 +1,5 @@
-import type {FleetDomainRecord} from './fleet-records.js';
-import * as schemas from './fleet-records.js';
+import type {PlanningRecord} from './planning-records.js';
+import * as schemas from './planning-records.js';
 import {applyDrainAcknowledged} from './fold-drains.js';
 import {
   applyJobPlaced,
@@ -29,16 +29,16 @@
 import {RecordKind} from './record-kind.js';
 
 /** Kinds of planning, moves, waves, repair and jobs. */
-export type FleetDomainKind = FleetDomainRecord['kind'];
+export type PlanningRecordKind = PlanningRecord['kind'];
 
-type FleetHandlerTable = {
-  readonly [Kind in FleetDomainKind]: RecordHandler<
-    Extract<FleetDomainRecord, {readonly kind: Kind}>
+type PlanningHandlerTable = {
+  readonly [Kind in PlanningRecordKind]: RecordHandler<
+    Extract<PlanningRecord, {readonly kind: Kind}>
   >;
 };
 
 /** The fleet's part of the table from kind to handler. */
-export const FLEET_RECORD_HANDLERS: FleetHandlerTable = {
+export const PLANNING_RECORD_HANDLERS: PlanningHandlerTable = {
   [RecordKind.PlannerTaken]: {
     sinceFormat: 1,
     schema: schemas.plannerTakenSchema,
--- a/packages/shared-state/src/fleet-records.ts
+++ b/packages/shared-state/src/planning-records.ts
@@ -25,14 +25,14 @@
   WaveStarted,
 } from './wave-records.js';
 
-export * from './fleet-terms.js';
+export * from './record-enums.js';
 export * from './job-records.js';
 export * from './move-records.js';
 export * from './planner-records.js';
 export * from './wave-records.js';
 
 /** Any record of planning, moves, waves, repair and jobs. */
-export type FleetDomainRecord =
+export type PlanningRecord =
   | PlannerTaken
   | PlannerRenewed
   | VmReported
--- a/packages/shared-state/src/fleet-domain.ts
+++ b/packages/shared-state/src/planning-state.ts
@@ -4,11 +4,11 @@
   VmAction,
   VmCondition,
   WaveScope,
-} from './fleet-records.js';
+} from './planning-records.js';
 import {HashedTable} from './hashed-table.js';
 
 /** Why a VM is out of service by plan. */
-export enum WorkKind {
+export enum PlannedWorkKind {
   Drain = 'drain',
   Move = 'move',
   Maintenance = 'maintenance',
@@ -17,7 +17,7 @@
 }
 
 /** How far the planned work on a VM has come. */
-export enum WorkStep {
+export enum PlannedWorkStep {
   /** Daemons let their exchanges finish and acknowledge. */
   Draining = 'draining',
   /** The platform was asked to reboot or replace it. */
@@ -29,8 +29,8 @@
 /** Planned work on one VM; at most one at a time. */
 export interface PlannedWork {
   readonly vm: string;
-  readonly kind: WorkKind;
-  readonly step: WorkStep;
+  readonly kind: PlannedWorkKind;
+  readonly step: PlannedWorkStep;
   readonly reason: string;
   readonly writer: string;
   /** Offset of the record that started it: its identity. */
@@ -155,7 +155,7 @@
  * The fleet's part of the folded state. What is counted from it (budgets, queues) is
  * derived, see `capacity-index.ts` and `job-index.ts`.
  */
-export interface FleetDomain {
+export interface PlanningState {
   /** One entry, under `PLANNER_KEY`. */
   readonly planner: HashedTable<PlannerTerm>;
   /** Planned work by VM. */
@@ -184,12 +184,12 @@
 const NO_PLANNER: PlannerTerm = {term: 0, holder: '', heardAt: -1};
 
 /** Who plans, as of the state's offset. */
-export function plannerOf(state: FleetDomain): PlannerTerm {
+export function plannerOf(state: PlanningState): PlannerTerm {
   return state.planner.get(PLANNER_KEY) ?? NO_PLANNER;
 }
 
 /** The fleet's part before the first record. */
-export function emptyFleetDomain(): FleetDomain {
+export function emptyPlanningState(): PlanningState {
   return {
     planner: new HashedTable(),
     work: new HashedTable(),
@@ -207,5 +207,5 @@
 
 /** Whether planned work keeps its VM from new requests. */
 export function isOutOfService(work: PlannedWork | undefined): boolean {
-  return work !== undefined && work.step !== WorkStep.Trial;
+  return work !== undefined && work.step !== PlannedWorkStep.Trial;
 }
--- a/packages/shared-state/src/platform-log.ts
+++ b/packages/shared-state/src/platform-log.ts
@@ -1,4 +1,4 @@
-import {LogFailure, PlatformLogError} from '@gentiandoor/kernel';
+import {PlatformLogFailure, PlatformLogError} from '@gentiandoor/kernel';
 
 /** Names of the streams that the system keeps in the platform's log. */
 export enum StreamName {
@@ -59,7 +59,7 @@
     /** The oldest offset still kept. */
     readonly oldest: number,
   ) {
-    super(LogFailure.Gap, `the oldest offset still kept is ${oldest}`);
+    super(PlatformLogFailure.Gap, `the oldest offset still kept is ${oldest}`);
   }
 }
 
@@ -70,6 +70,6 @@
     readonly retryAfterMilliseconds: number,
     options?: ErrorOptions,
   ) {
-    super(LogFailure.Refused, message, options);
+    super(PlatformLogFailure.Refused, message, options);
   }
 }
--- a/packages/shared-state/src/make-proposal.ts
+++ b/packages/shared-state/src/proposal-record.ts
@@ -6,13 +6,13 @@
   type BundleProposed,
   type RecordHead,
 } from './records.js';
-import {digestOf} from './signatures.js';
+import {sha256Hex} from './signatures.js';
 
 /**
  * The record that puts `text` up for sign-off: its difference from the bundle in force where
  * that is shorter, so that a small change stays a small record however many VMs there are.
  */
-export function makeProposal(
+export function makeProposalRecord(
   state: FleetState,
   head: RecordHead,
   text: string,
@@ -30,7 +30,7 @@
     ...head,
     kind: RecordKind.BundleChanged,
     baseDigest: inForce.digest,
-    digest: digestOf(text),
+    digest: sha256Hex(text),
     steps,
   };
 }
--- a/packages/shared-state/src/codec.ts
+++ b/packages/shared-state/src/record-codec.ts
@@ -3,7 +3,7 @@
 import type {FleetRecord} from './records.js';
 
 /** Highest version of the encoding of records that this program reads. */
-export const RECORD_FORMAT = 1;
+export const MAXIMUM_RECORD_FORMAT = 1;
 
 const packr = new Packr({useRecords: false});
 
@@ -20,7 +20,7 @@
 
 /** Encodes a record for the log in the lowest format that has its kind. */
 export function encodeRecord(record: FleetRecord): Uint8Array {
-  const format = handlerOf(record.kind)?.sinceFormat ?? RECORD_FORMAT;
+  const format = handlerOf(record.kind)?.sinceFormat ?? MAXIMUM_RECORD_FORMAT;
   return packr.pack([format, record]);
 }
 
@@ -33,8 +33,10 @@
     return {unreadable: 'not a record envelope'};
   const [format, fields] = envelope as [unknown, unknown];
   if (!isFormat(format)) return {unreadable: 'record format is no number'};
-  if (format > RECORD_FORMAT)
-    return {unreadable: `record format ${format}, read up to ${RECORD_FORMAT}`};
+  if (format > MAXIMUM_RECORD_FORMAT)
+    return {
+      unreadable: `record format ${format}, read up to ${MAXIMUM_RECORD_FORMAT}`,
+    };
   return checkFields(format, fields);
 }
 
--- a/packages/shared-state/src/record-handlers.ts
+++ b/packages/shared-state/src/record-handlers.ts
@@ -1,4 +1,4 @@
-import {FLEET_RECORD_HANDLERS} from './fleet-record-handlers.js';
+import {PLANNING_RECORD_HANDLERS} from './planning-record-handlers.js';
 import {
   applyBundleChanged,
   applyBundleProposed,
@@ -36,7 +36,7 @@
 
 /** The table from kind to handler: a new kind is one line here and its own files. */
 export const RECORD_HANDLERS: HandlerTable = {
-  ...FLEET_RECORD_HANDLERS,
+  ...PLANNING_RECORD_HANDLERS,
   [RecordKind.BundleProposed]: {
     sinceFormat: 1,
     schema: bundleProposedSchema,
--- a/packages/shared-state/src/record-publisher.ts
+++ b/packages/shared-state/src/record-publisher.ts
@@ -1,5 +1,5 @@
 import {
-  LogFailure,
+  PlatformLogFailure,
   PlatformLogError,
   sleep,
   type Clock,
@@ -9,30 +9,30 @@
 /** Times of a publisher. */
 export interface PublisherOptions {
   /** Longest wait for a record's fate where the caller names none. */
-  readonly fateMilliseconds: number;
+  readonly outcomeTimeoutMilliseconds: number;
   /** After a lost answer: the wait for the record to be read before it is appended again; doubles each time. */
-  readonly settleMilliseconds: number;
+  readonly firstRetryMilliseconds: number;
 }
 
 /** Whether the stream can be read now: without reading, nothing can be learnt of a record's fate. */
-export type CanRead = () => boolean;
+export type IsStreamReadable = () => boolean;
 
 /** Times that fit a log that answers within two seconds. */
 export const DEFAULT_PUBLISHER_OPTIONS: PublisherOptions = {
-  fateMilliseconds: 15_000,
-  settleMilliseconds: 1000,
+  outcomeTimeoutMilliseconds: 15_000,
+  firstRetryMilliseconds: 1000,
 };
 
 /** The longest delay that a timer takes. */
-const FOREVER = 2 ** 31 - 1;
+const MAXIMUM_TIMER_MILLISECONDS = 2 ** 31 - 1;
 
-interface Judged<Outcome> {
+interface PublishedOutcome<Outcome> {
   readonly outcome: Outcome;
 }
 
 interface AppendResult {
   /** The log has answered that the record stands. */
-  readonly stands: boolean;
+  readonly isAppended: boolean;
   /** The record was not appended and will not be. */
   readonly refusal?: PlatformLogError;
 }
@@ -43,18 +43,21 @@
  * which the reader drops when it stands twice.
  */
 export class RecordPublisher<Outcome> {
-  private readonly awaited = new Map<string, (outcome: Outcome) => void>();
+  private readonly outcomeListeners = new Map<
+    string,
+    (outcome: Outcome) => void
+  >();
 
   constructor(
     private readonly clock: Clock,
     private readonly appender: LogAppender,
-    private readonly canRead: CanRead,
+    private readonly isStreamReadable: IsStreamReadable,
     private readonly options: PublisherOptions = DEFAULT_PUBLISHER_OPTIONS,
   ) {}
 
   /** Tells the fate of a record that was read; others than the awaited are ignored. */
-  settle(id: string, outcome: Outcome): void {
-    this.awaited.get(id)?.(outcome);
+  resolveOutcome(id: string, outcome: Outcome): void {
+    this.outcomeListeners.get(id)?.(outcome);
   }
 
   /**
@@ -70,32 +73,37 @@
     const end = () => ended.abort();
     signal?.addEventListener('abort', end, {once: true});
     if (signal?.aborted) end();
-    const timer = this.clock.schedule(this.options.fateMilliseconds, end);
+    const timer = this.clock.schedule(
+      this.options.outcomeTimeoutMilliseconds,
+      end,
+    );
     const judged = new Promise<Outcome>(resolve =>
-      this.awaited.set(id, resolve),
+      this.outcomeListeners.set(id, resolve),
     );
     try {
-      return await this.appendUntilJudged(payload, judged, ended.signal);
+      return await this.appendUntilRead(payload, judged, ended.signal);
     } finally {
-      this.awaited.delete(id);
+      this.outcomeListeners.delete(id);
       signal?.removeEventListener('abort', end);
       timer.cancel();
       end();
     }
   }
 
-  private async appendUntilJudged(
+  private async appendUntilRead(
     payload: Uint8Array,
     judged: Promise<Outcome>,
     signal: AbortSignal,
   ): Promise<Outcome> {
-    const read = judged.then((outcome): Judged<Outcome> => ({outcome}));
+    const read = judged.then((outcome): PublishedOutcome<Outcome> => ({
+      outcome,
+    }));
     let mayStand = false;
-    let settle = this.options.settleMilliseconds;
+    let settle = this.options.firstRetryMilliseconds;
     while (!signal.aborted) {
       // Sent again without reading, a record would only stand twice, and its fate stay unknown.
-      if (mayStand && !this.canRead()) {
-        const seen = await this.readWithin(read, settle, signal);
+      if (mayStand && !this.isStreamReadable()) {
+        const seen = await this.waitForOutcome(read, settle, signal);
         if (seen) return seen.outcome;
         continue;
       }
@@ -103,18 +111,18 @@
       if ('outcome' in result) return result.outcome;
       if (result.refusal && !mayStand) throw result.refusal;
       mayStand = true;
-      const wait = result.stands ? FOREVER : settle;
+      const wait = result.isAppended ? MAXIMUM_TIMER_MILLISECONDS : settle;
       settle *= 2;
-      const seen = await this.readWithin(read, wait, signal);
+      const seen = await this.waitForOutcome(read, wait, signal);
       if (seen) return seen.outcome;
     }
     throw mayStand
       ? new PlatformLogError(
-          LogFailure.NoAnswer,
+          PlatformLogFailure.NoResponse,
           'the record was sent and not read back in time; it may still take effect',
         )
       : new PlatformLogError(
-          LogFailure.Refused,
+          PlatformLogFailure.Refused,
           'the record was not sent in time',
         );
   }
@@ -122,21 +130,21 @@
   /** One append; ends early when the record is read before its answer comes. */
   private async appendOnce(
     payload: Uint8Array,
-    read: Promise<Judged<Outcome>>,
+    read: Promise<PublishedOutcome<Outcome>>,
     signal: AbortSignal,
-  ): Promise<Judged<Outcome> | AppendResult> {
+  ): Promise<PublishedOutcome<Outcome> | AppendResult> {
     const appended = this.appender.append(payload, signal).then(
-      (): AppendResult => ({stands: true}),
+      (): AppendResult => ({isAppended: true}),
       (error: unknown): AppendResult => {
         if (!(error instanceof PlatformLogError)) throw error;
-        const isRefused = error.failure === LogFailure.Refused;
-        return {stands: false, refusal: isRefused ? error : undefined};
+        const isRefused = error.failure === PlatformLogFailure.Refused;
+        return {isAppended: false, refusal: isRefused ? error : undefined};
       },
     );
     const done = new AbortController();
     const either = AbortSignal.any([signal, done.signal]);
-    const gaveUp = sleep(this.clock, FOREVER, either).then(
-      (): AppendResult => ({stands: false}),
+    const gaveUp = sleep(this.clock, MAXIMUM_TIMER_MILLISECONDS, either).then(
+      (): AppendResult => ({isAppended: false}),
     );
     try {
       return await Promise.race([read, appended, gaveUp]);
@@ -145,11 +153,11 @@
     }
   }
 
-  private async readWithin(
-    read: Promise<Judged<Outcome>>,
+  private async waitForOutcome(
+    read: Promise<PublishedOutcome<Outcome>>,
     milliseconds: number,
     signal: AbortSignal,
-  ): Promise<Judged<Outcome> | undefined> {
+  ): Promise<PublishedOutcome<Outcome> | undefined> {
     const done = new AbortController();
     const either = AbortSignal.any([signal, done.signal]);
     const late = sleep(this.clock, milliseconds, either).then(() => undefined);
--- a/packages/shared-state/src/records.ts
+++ b/packages/shared-state/src/records.ts
@@ -4,13 +4,13 @@
   BundleSigned,
 } from './bundle-records.js';
 import type {DrainEnded, DrainStarted} from './drain-records.js';
-import type {FleetDomainRecord} from './fleet-records.js';
+import type {PlanningRecord} from './planning-records.js';
 import type {FormatRaised, MemberJoined, MemberLeft} from './member-records.js';
 import type {SnapshotTaken} from './snapshot-records.js';
 
 export * from './bundle-records.js';
 export * from './drain-records.js';
-export * from './fleet-records.js';
+export * from './planning-records.js';
 export * from './member-records.js';
 export * from './record-head.js';
 export * from './record-kind.js';
@@ -27,4 +27,4 @@
   | SnapshotTaken
   | DrainStarted
   | DrainEnded
-  | FleetDomainRecord;
+  | PlanningRecord;
--- a/packages/shared-state/src/signatures.ts
+++ b/packages/shared-state/src/signatures.ts
@@ -14,12 +14,12 @@
 }
 
 /** SHA-256 of a bundle's text, in hexadecimal. */
-export function digestOf(text: string): string {
+export function sha256Hex(text: string): string {
   return createHash('sha256').update(text, 'utf8').digest('hex');
 }
 
 /** Makes a new operator key pair. */
-export function makeOperatorKeys(): OperatorKeys {
+export function generateOperatorKeys(): OperatorKeys {
   const pair = generateKeyPairSync('ed25519');
   return {
     publicKey: pair.publicKey
--- a/packages/shared-state/src/snapshot-chunks.ts
+++ b/packages/shared-state/src/snapshot-chunks.ts
@@ -4,9 +4,9 @@
 
 /** Bytes of a snapshot in one record: far below what a log takes as one record. */
 export const CHUNK_BYTES = 128_000;
-const MOST_CHUNKS = 8192;
+const MAXIMUM_CHUNKS = 8192;
 /** Half-read snapshots kept at one time; the oldest goes first. */
-const MOST_PARTIAL = 4;
+const MAXIMUM_PARTIAL_SNAPSHOTS = 4;
 const CHUNK_FORMAT = 1;
 
 const packr = new Packr({useRecords: false});
@@ -16,14 +16,14 @@
   format: z.literal(CHUNK_FORMAT),
   offset: count,
   digest: z.string().max(64),
-  index: count.max(MOST_CHUNKS),
-  chunks: count.min(1).max(MOST_CHUNKS),
+  index: count.max(MAXIMUM_CHUNKS),
+  chunks: count.min(1).max(MAXIMUM_CHUNKS),
   bytes,
 });
 type Chunk = z.output<typeof chunkSchema>;
 
 /** A snapshot whose bytes are whole; its content is not yet verified. */
-export interface WholeSnapshot {
+export interface AssembledSnapshot {
   /** Offset of the fleet stream that it was folded to. */
   readonly offset: number;
   readonly digest: string;
@@ -36,7 +36,7 @@
 }
 
 /** Records for the snapshots stream; each carries enough to be put together in any order. */
-export function cutSnapshot(
+export function splitSnapshot(
   offset: number,
   snapshot: Uint8Array,
 ): Uint8Array[] {
@@ -59,50 +59,59 @@
 
 /** Puts snapshots together from the records of the snapshots stream; never throws. */
 export class SnapshotAssembler {
-  private readonly partial = new Map<string, Array<Uint8Array | undefined>>();
+  private readonly partialSnapshots = new Map<
+    string,
+    Array<Uint8Array | undefined>
+  >();
 
   /** `onBad` is told of each record or snapshot that is left out. */
-  constructor(private readonly onBad: (detail: string) => void) {}
+  constructor(private readonly onInvalid: (detail: string) => void) {}
 
   /** Takes the next record; a snapshot when it was the last one missing. */
-  take(payload: Uint8Array): WholeSnapshot | undefined {
+  addChunk(payload: Uint8Array): AssembledSnapshot | undefined {
     const chunk = readChunk(payload);
     if (!chunk) {
-      this.onBad('a record of the snapshots stream cannot be read');
+      this.onInvalid('a record of the snapshots stream cannot be read');
       return undefined;
     }
     const key = `${chunk.offset}/${chunk.digest}/${chunk.chunks}`;
-    const parts = this.partsOf(key, chunk.chunks);
+    const parts = this.partialSnapshotOf(key, chunk.chunks);
     parts[chunk.index] = chunk.bytes;
     const present = parts.filter(part => part !== undefined);
     if (present.length < chunk.chunks) return undefined;
-    this.partial.delete(key);
+    this.partialSnapshots.delete(key);
     return this.verify(chunk, Buffer.concat(present));
   }
 
   /** Says which snapshots never became whole. */
-  finish(): void {
-    for (const key of this.partial.keys())
-      this.onBad(`snapshot ${key} is half written`);
-    this.partial.clear();
+  reportIncomplete(): void {
+    for (const key of this.partialSnapshots.keys())
+      this.onInvalid(`snapshot ${key} is half written`);
+    this.partialSnapshots.clear();
   }
 
-  private verify(chunk: Chunk, bytes: Uint8Array): WholeSnapshot | undefined {
+  private verify(
+    chunk: Chunk,
+    bytes: Uint8Array,
+  ): AssembledSnapshot | undefined {
     const {offset, digest} = chunk;
     if (snapshotDigest(bytes) === digest) return {offset, digest, bytes};
-    this.onBad(`snapshot at offset ${offset} does not have its digest`);
+    this.onInvalid(`snapshot at offset ${offset} does not have its digest`);
     return undefined;
   }
 
-  private partsOf(key: string, chunks: number): Array<Uint8Array | undefined> {
-    const known = this.partial.get(key);
+  private partialSnapshotOf(
+    key: string,
+    chunks: number,
+  ): Array<Uint8Array | undefined> {
+    const known = this.partialSnapshots.get(key);
     if (known) return known;
     const parts = new Array<Uint8Array | undefined>(chunks).fill(undefined);
-    this.partial.set(key, parts);
-    if (this.partial.size > MOST_PARTIAL) {
-      const [oldest] = this.partial.keys();
-      this.partial.delete(oldest);
-      this.onBad(`snapshot ${oldest} is half written`);
+    this.partialSnapshots.set(key, parts);
+    if (this.partialSnapshots.size > MAXIMUM_PARTIAL_SNAPSHOTS) {
+      const [oldest] = this.partialSnapshots.keys();
+      this.partialSnapshots.delete(oldest);
+      this.onInvalid(`snapshot ${oldest} is half written`);
     }
     return parts;
   }
--- a/packages/shared-state/src/snapshot-records.ts
+++ b/packages/shared-state/src/snapshot-records.ts
@@ -1,16 +1,20 @@
 import {z} from 'zod';
-import {recordCount, recordHead, recordText} from './record-head.js';
+import {
+  nonNegativeInteger,
+  recordHeadFields,
+  boundedText,
+} from './record-head.js';
 import {RecordKind} from './record-kind.js';
 
 /** Shape of a `SnapshotTaken` record. */
 export const snapshotTakenSchema = z
   .object({
-    ...recordHead,
+    ...recordHeadFields,
     kind: z.literal(RecordKind.SnapshotTaken),
-    offset: recordCount,
-    digest: recordText,
-    bytes: recordCount,
-    at: recordCount,
+    offset: nonNegativeInteger,
+    digest: boundedText,
+    bytes: nonNegativeInteger,
+    at: nonNegativeInteger,
   })
   .readonly();
 
--- a/packages/shared-state/src/snapshot.ts
+++ b/packages/shared-state/src/snapshot.ts
@@ -3,33 +3,33 @@
 import {Packr} from 'msgpackr';
 import {z} from 'zod';
 import {BaseError, toError} from '@gentiandoor/kernel';
-import {parseInSlices} from './bundle-parser.js';
-import {RECORD_FORMAT} from './codec.js';
+import {parseSectionsInSlices} from './bundle-parser.js';
+import {MAXIMUM_RECORD_FORMAT} from './record-codec.js';
 import {
   emptyFleetState,
   type FleetState,
   type TrustedOperators,
 } from './fleet-state.js';
 import {HashedTable} from './hashed-table.js';
-import {digestOf} from './signatures.js';
+import {sha256Hex} from './signatures.js';
 import {stateHash, tablesOf} from './state-hash.js';
 
 /** Version of the encoding of snapshots; a reader leaves out what is newer. */
 export const SNAPSHOT_FORMAT = 1;
 
-const LARGEST_SNAPSHOT_BYTES = 512_000_000;
+const MAXIMUM_SNAPSHOT_BYTES = 512_000_000;
 /** Entries packed or read in one slice: about a millisecond of the event loop. */
-const ENTRIES_OF_A_SLICE = 500;
-const PROPOSALS = 'proposals';
+const ENTRIES_PER_SLICE = 500;
+const PROPOSALS_TABLE = 'proposals';
 
 const packr = new Packr({useRecords: false});
 /** Below this, compressing takes less time than a thread's hand-over. */
-const SMALL_BYTES = 32_000;
-const compressLarge = promisify(deflate);
-const expandLarge = promisify(inflate);
+const SYNCHRONOUS_COMPRESSION_BYTES = 32_000;
+const deflateAsync = promisify(deflate);
+const inflateAsync = promisify(inflate);
 
 /** Gives way to other work on the event loop. */
-export type Rest = () => Promise<void>;
+export type YieldToEventLoop = () => Promise<void>;
 
 /** A snapshot that is damaged, half written or of a newer format. */
 export const SnapshotError = BaseError.subclass('SnapshotError');
@@ -53,11 +53,11 @@
 /** Encodes the state as of now; the records that come meanwhile are not in it. */
 export async function encodeSnapshot(
   state: FleetState,
-  rest: Rest,
+  rest: YieldToEventLoop,
 ): Promise<Uint8Array> {
   // Everything is taken before the first pause: entries are immutable, so this is the state at one offset.
   const tables = tablesOf(state)
-    .filter(([name, table]) => name !== PROPOSALS && table.size > 0)
+    .filter(([name, table]) => name !== PROPOSALS_TABLE && table.size > 0)
     .map(([name, table]) => [name, [...table]] as const);
   const {nextOffset, formatInUse, inForce} = state;
   const content: Content = {
@@ -75,18 +75,18 @@
   for (const [name, entries] of tables)
     content.tables[name] = await packSlices(entries, rest);
   const packed = packr.pack(content);
-  return packed.length < SMALL_BYTES
+  return packed.length < SYNCHRONOUS_COMPRESSION_BYTES
     ? deflateSync(packed)
-    : compressLarge(packed);
+    : deflateAsync(packed);
 }
 
 async function packSlices(
   entries: ReadonlyArray<[string, unknown]>,
-  rest: Rest,
+  rest: YieldToEventLoop,
 ): Promise<Uint8Array[]> {
   const slices: Uint8Array[] = [];
-  for (let from = 0; from < entries.length; from += ENTRIES_OF_A_SLICE) {
-    slices.push(packr.pack(entries.slice(from, from + ENTRIES_OF_A_SLICE)));
+  for (let from = 0; from < entries.length; from += ENTRIES_PER_SLICE) {
+    slices.push(packr.pack(entries.slice(from, from + ENTRIES_PER_SLICE)));
     await rest();
   }
   return slices;
@@ -96,10 +96,10 @@
 export async function decodeSnapshot(
   snapshot: Uint8Array,
   trusted: TrustedOperators,
-  rest: Rest,
+  rest: YieldToEventLoop,
 ): Promise<FleetState> {
   try {
-    return await readState(await readContent(snapshot), trusted, rest);
+    return await restoreState(await readContent(snapshot), trusted, rest);
   } catch (error) {
     if (error instanceof SnapshotError) throw error;
     throw new SnapshotError(`damaged snapshot: ${toError(error).message}`);
@@ -107,36 +107,43 @@
 }
 
 async function readContent(snapshot: Uint8Array): Promise<Content> {
-  const options = {maxOutputLength: LARGEST_SNAPSHOT_BYTES};
+  const options = {maxOutputLength: MAXIMUM_SNAPSHOT_BYTES};
   const packed =
-    snapshot.length < SMALL_BYTES / 8
+    snapshot.length < SYNCHRONOUS_COMPRESSION_BYTES / 8
       ? inflateSync(snapshot, options)
-      : await expandLarge(snapshot, options);
+      : await inflateAsync(snapshot, options);
   const content = contentSchema.parse(packr.unpack(packed));
-  if (content.format > SNAPSHOT_FORMAT || content.formatInUse > RECORD_FORMAT)
+  if (
+    content.format > SNAPSHOT_FORMAT ||
+    content.formatInUse > MAXIMUM_RECORD_FORMAT
+  )
     throw new SnapshotError(
       `snapshot of format ${content.format} with records of format ${content.formatInUse}: start a newer version`,
     );
   return content;
 }
 
-async function readState(
+async function restoreState(
   content: Content,
   trusted: TrustedOperators,
-  rest: Rest,
+  rest: YieldToEventLoop,
 ): Promise<FleetState> {
   const state = emptyFleetState(trusted);
   state.nextOffset = content.nextOffset;
   state.formatInUse = content.formatInUse;
   if (content.inForce) {
     const {text, offset} = content.inForce;
-    const parsed = await parseInSlices(text, rest);
+    const parsed = await parseSectionsInSlices(text, rest);
     const {bundle} = parsed;
-    state.inForce = {bundle, text, digest: digestOf(text), offset, parsed};
+    state.inForce = {bundle, text, digest: sha256Hex(text), offset, parsed};
   }
   for (const {text, signers} of content.proposals) {
-    const parsed = await parseInSlices(text, rest, state.inForce?.parsed);
-    const digest = digestOf(text);
+    const parsed = await parseSectionsInSlices(
+      text,
+      rest,
+      state.inForce?.parsed,
+    );
+    const digest = sha256Hex(text);
     const {bundle} = parsed;
     state.proposals.set(digest, {bundle, text, digest, signers, parsed});
   }
@@ -152,7 +159,7 @@
   name: string,
   table: HashedTable<unknown> | undefined,
   slices: readonly Uint8Array[],
-  rest: Rest,
+  rest: YieldToEventLoop,
 ): Promise<void> {
   if (!table)
     throw new SnapshotError(
--- a/packages/shared-state/src/vm-actions.ts
+++ b/packages/shared-state/src/vm-actions.ts
@@ -1,4 +1,4 @@
-import type {VmAction} from './fleet-terms.js';
+import type {VmAction} from './record-enums.js';
 
 /** How far the platform has come with an action. */
 export enum VmActionState {
@@ -21,5 +21,8 @@
 /** The platform's reboots and replacements. Registered in the wiring as `vmActions`. */
 export interface VmActions {
   /** Asks for the action, or says how far the one of that id has come. */
-  ask(request: VmActionRequest, signal?: AbortSignal): Promise<VmActionState>;
+  requestAction(
+    request: VmActionRequest,
+    signal?: AbortSignal,
+  ): Promise<VmActionState>;
 }
--- a/packages/shared-state/src/wave-records.ts
+++ b/packages/shared-state/src/wave-records.ts
@@ -1,30 +1,30 @@
 import {z} from 'zod';
 import {
-  batched,
-  operatorOrPlannerHead,
-  plannerHead,
-  workName,
-} from './fleet-record-head.js';
-import {MaintenanceOutcome, VmAction, WaveChange} from './fleet-terms.js';
-import {recordCount, recordText} from './record-head.js';
+  boundedBatch,
+  operatorOrPlannerHeadFields,
+  plannerHeadFields,
+  plannedWorkKeyFields,
+} from './planning-record-head.js';
+import {MaintenanceOutcome, VmAction, WaveChange} from './record-enums.js';
+import {nonNegativeInteger, boundedText} from './record-head.js';
 import {RecordKind} from './record-kind.js';
 
 const waveScope = z
   .object({
-    pools: batched(recordText).optional(),
-    dataCentres: batched(recordText).optional(),
+    pools: boundedBatch(boundedText).optional(),
+    dataCentres: boundedBatch(boundedText).optional(),
     /** Only VMs last maintained before this time, in milliseconds since the Unix epoch. */
-    notMaintainedSince: recordCount.optional(),
+    notMaintainedSince: nonNegativeInteger.optional(),
   })
   .readonly();
 
 /** Shape of a `WaveStarted` record. */
 export const waveStartedSchema = z
   .object({
-    ...operatorOrPlannerHead,
+    ...operatorOrPlannerHeadFields,
     kind: z.literal(RecordKind.WaveStarted),
-    wave: recordText.min(1),
-    reason: recordText,
+    wave: boundedText.min(1),
+    reason: boundedText,
     scope: waveScope,
   })
   .readonly();
@@ -32,34 +32,34 @@
 /** Shape of a `WaveChanged` record. */
 export const waveChangedSchema = z
   .object({
-    ...operatorOrPlannerHead,
+    ...operatorOrPlannerHeadFields,
     kind: z.literal(RecordKind.WaveChanged),
-    wave: recordText,
+    wave: boundedText,
     change: z.enum(WaveChange),
-    reason: recordText,
+    reason: boundedText,
   })
   .readonly();
 
 /** Shape of a `MaintenanceStarted` record. */
 export const maintenanceStartedSchema = z
   .object({
-    ...plannerHead,
+    ...plannerHeadFields,
     kind: z.literal(RecordKind.MaintenanceStarted),
-    vm: recordText,
+    vm: boundedText,
     /** Undefined for a repair. */
-    wave: recordText.optional(),
-    reason: recordText,
+    wave: boundedText.optional(),
+    reason: boundedText,
   })
   .readonly();
 
 /** Shape of a `MaintenanceAsked` record. */
 export const maintenanceAskedSchema = z
   .object({
-    ...plannerHead,
-    ...workName,
+    ...plannerHeadFields,
+    ...plannedWorkKeyFields,
     kind: z.literal(RecordKind.MaintenanceAsked),
     /** Counts from 1; must be one above the attempts before. */
-    attempt: recordCount,
+    attempt: nonNegativeInteger,
     action: z.enum(VmAction),
   })
   .readonly();
@@ -67,8 +67,8 @@
 /** Shape of a `MaintenanceReturned` record. */
 export const maintenanceReturnedSchema = z
   .object({
-    ...plannerHead,
-    ...workName,
+    ...plannerHeadFields,
+    ...plannedWorkKeyFields,
     kind: z.literal(RecordKind.MaintenanceReturned),
   })
   .readonly();
@@ -76,12 +76,12 @@
 /** Shape of a `MaintenanceEnded` record. */
 export const maintenanceEndedSchema = z
   .object({
-    ...plannerHead,
-    ...workName,
+    ...plannerHeadFields,
+    ...plannedWorkKeyFields,
     kind: z.literal(RecordKind.MaintenanceEnded),
     outcome: z.enum(MaintenanceOutcome),
     /** Milliseconds since the Unix epoch; for planning of later waves only. */
-    at: recordCount,
+    at: nonNegativeInteger,
   })
   .readonly();
 
--- a/packages/soak/src/__tests__/soak.test.ts
+++ b/packages/soak/src/__tests__/soak.test.ts
@@ -21,7 +21,7 @@
         rounds: ROUNDS,
         folder,
       }).play();
-      assert.deepEqual(result.broken, [], result.faults.join('\n'));
+      assert.deepEqual(result.violations, [], result.faults.join('\n'));
       assert.ok(result.runs > 0);
       rmSync(folder, {recursive: true});
     });
--- a/packages/soak/src/bin/soak.ts
+++ b/packages/soak/src/bin/soak.ts
@@ -22,13 +22,13 @@
       rounds: Number(options.rounds),
       folder: join(folder, `seed-${seed}`),
     }).play();
-    const verdict = result.broken.length === 0 ? 'held' : 'BROKEN';
+    const verdict = result.violations.length === 0 ? 'held' : 'BROKEN';
     console.log(
       `seed ${seed}: ${verdict}; ${result.jobs} jobs, ${result.runs} runs, ${result.faults.length} faults`,
     );
-    if (result.broken.length === 0) continue;
+    if (result.violations.length === 0) continue;
     failed++;
-    for (const line of [...result.faults, ...result.broken])
+    for (const line of [...result.faults, ...result.violations])
       console.log(`  ${line}`);
   }
   console.log(`${failed} seeds broke a promise; logs in ${folder}`);
--- a/packages/soak/src/fault-proxy.ts
+++ b/packages/soak/src/fault-proxy.ts
@@ -15,17 +15,17 @@
 
 const DELAY_MILLISECONDS = 150;
 
-interface Pair {
+interface ProxiedConnection {
   readonly near: Socket;
   readonly far: Socket;
   /** Gone silent for good: a later mode does not bring it back. */
-  forgotten: boolean;
+  isSilenced: boolean;
 }
 
 /** A loopback proxy that misbehaves on demand. */
 export class FaultProxy {
   private mode = ProxyMode.Pass;
-  private readonly pairs = new Set<Pair>();
+  private readonly pairs = new Set<ProxiedConnection>();
   private readonly server = createServer(near => this.accept(near));
 
   constructor(private readonly target: string) {}
@@ -43,7 +43,7 @@
     if (mode === ProxyMode.Reset)
       for (const {near} of this.pairs) near.resetAndDestroy();
     if (mode === ProxyMode.Silent)
-      for (const pair of this.pairs) pair.forgotten = true;
+      for (const pair of this.pairs) pair.isSilenced = true;
   }
 
   stop(): void {
@@ -61,19 +61,24 @@
     }
     const [host, port] = this.target.split(':');
     const far = connect(Number(port), host);
-    const pair: Pair = {
+    const pair: ProxiedConnection = {
       near,
       far,
-      forgotten: this.mode === ProxyMode.Silent,
+      isSilenced: this.mode === ProxyMode.Silent,
     };
     this.pairs.add(pair);
     this.carry(pair, near, far, false);
     this.carry(pair, far, near, true);
   }
 
-  private carry(pair: Pair, from: Socket, to: Socket, isAnswer: boolean): void {
+  private carry(
+    pair: ProxiedConnection,
+    from: Socket,
+    to: Socket,
+    isAnswer: boolean,
+  ): void {
     from.on('data', bytes => {
-      if (pair.forgotten) return;
+      if (pair.isSilenced) return;
       if (isAnswer && this.mode === ProxyMode.OneWay) return;
       if (this.mode === ProxyMode.Delay)
         setTimeout(() => to.write(bytes), DELAY_MILLISECONDS);
--- a/packages/soak/src/soak-check.ts
+++ b/packages/soak/src/guarantee-violations.ts
@@ -1,17 +1,17 @@
 import {
   overlappingRuns,
   pairsOfRuns,
-  type BegunRun,
+  type StartedRun,
 } from '@gentiandoor/coordinator/stand-ins';
 import {RunEnd} from '@gentiandoor/jobs';
-import type {CalledJob} from './soak-callers.js';
+import type {ObservedJob} from './soak-callers.js';
 
 const REFUSED_STATUSES = [429, 503];
 
 /** Promises that a soak found broken, in words. */
-export function brokenPromises(
-  jobs: readonly CalledJob[],
-  runs: readonly BegunRun[],
+export function guaranteeViolations(
+  jobs: readonly ObservedJob[],
+  runs: readonly StartedRun[],
 ): string[] {
   return [
     ...overlappingRuns(runs),
@@ -20,7 +20,7 @@
   ];
 }
 
-function brokenFor(job: CalledJob, runs: readonly BegunRun[]): string[] {
+function brokenFor(job: ObservedJob, runs: readonly StartedRun[]): string[] {
   const own = runs.filter(run => run.task.startsWith(`${job.id}.`));
   const allRefused =
     job.unanswered === 0 &&
@@ -43,12 +43,12 @@
     : [`${job.id}: taken and ${job.state ?? 'never answered'}`];
 }
 
-function runsAfterAcknowledgedEnd(runs: readonly BegunRun[]): string[] {
+function runsAfterAcknowledgedEnd(runs: readonly StartedRun[]): string[] {
   return pairsOfRuns(runs)
     .filter(
       ([one, other]) =>
         one.end === RunEnd.Done &&
-        (one.acknowledgedAt ?? Infinity) <= other.begunAt,
+        (one.acknowledgedAt ?? Infinity) <= other.startedAt,
     )
     .map(([one, other]) => `${one.task}: run ${other.run} after it was done`);
 }
--- a/packages/soak/src/soak-callers.ts
+++ b/packages/soak/src/soak-callers.ts
@@ -2,7 +2,7 @@
 import {Agent, request} from 'undici';
 
 /** What callers were told of a job. */
-export interface CalledJob {
+export interface ObservedJob {
   readonly id: string;
   readonly service: string;
   readonly tasks: number;
@@ -15,19 +15,19 @@
   state: string | undefined;
 }
 
-const CALL_MILLISECONDS = 3_000;
+const REQUEST_TIMEOUT_MILLISECONDS = 3_000;
 const TRIES = 4;
 const PAUSE_MILLISECONDS = 400;
 
 /** Callers that keep their connections open and ask again elsewhere. */
 export class SoakCallers {
   private readonly agent = new Agent({keepAliveTimeout: 30_000});
-  readonly jobs: CalledJob[] = [];
+  readonly jobs: ObservedJob[] = [];
 
   constructor(private readonly pickAddress: () => string) {}
 
   /** Hands a job in, up to four tries at any daemon. */
-  async submit(job: CalledJob): Promise<void> {
+  async submit(job: ObservedJob): Promise<void> {
     this.jobs.push(job);
     const steps = [
       {count: job.tasks, cpu: 1_000, mem_mb: 10, estimated_ms: 300},
@@ -41,14 +41,14 @@
     }
   }
 
-  async cancel(job: CalledJob): Promise<void> {
+  async cancel(job: ObservedJob): Promise<void> {
     job.cancelTried = true;
     const answer = await this.call('DELETE', job);
     if (answer?.code === 200) job.cancelled = true;
   }
 
   /** Asks for the state at any daemon; 410 for a job that was taken is kept as `absent`. */
-  async ask(job: CalledJob): Promise<void> {
+  async queryState(job: ObservedJob): Promise<void> {
     const answer = await this.call('GET', job);
     if (answer?.code === 410) job.state = 'absent';
     if (answer?.code === 200) job.state = answer.state;
@@ -60,7 +60,7 @@
 
   private async call(
     method: 'POST' | 'GET' | 'DELETE',
-    job: CalledJob,
+    job: ObservedJob,
     body?: object,
   ): Promise<{code: number; state: string | undefined} | undefined> {
     try {
@@ -71,10 +71,10 @@
           dispatcher: this.agent,
           headers: {
             host: QUEUE_HOST,
-            'x-deadline-ms': String(CALL_MILLISECONDS),
+            'x-deadline-ms': String(REQUEST_TIMEOUT_MILLISECONDS),
           },
           body: body && JSON.stringify(body),
-          signal: AbortSignal.timeout(CALL_MILLISECONDS),
+          signal: AbortSignal.timeout(REQUEST_TIMEOUT_MILLISECONDS),
         },
       );
       const text = await answer.body.text();
--- a/packages/soak/src/soak.ts
+++ b/packages/soak/src/soak.ts
@@ -10,8 +10,8 @@
 } from '@gentiandoor/platform/stand-ins';
 import {DaemonProcess} from './daemon-process.js';
 import {FaultProxy, ProxyMode} from './fault-proxy.js';
-import {SoakCallers, pause, type CalledJob} from './soak-callers.js';
-import {brokenPromises} from './soak-check.js';
+import {SoakCallers, pause, type ObservedJob} from './soak-callers.js';
+import {guaranteeViolations} from './guarantee-violations.js';
 
 /** One seeded soak. */
 export interface SoakOptions {
@@ -24,19 +24,19 @@
 
 /** What a soak saw. */
 export interface SoakResult {
-  readonly broken: readonly string[];
+  readonly violations: readonly string[];
   readonly jobs: number;
   readonly runs: number;
   readonly faults: readonly string[];
 }
 
 const SERVICES = ['previews', 'crests'];
-const ROOM = {
+const WORKER_CAPACITY = {
   processorMillicores: 8_000,
   memoryMegabytes: 64_000,
   accelerators: 0,
 };
-const TASK_ROOM = {...ROOM, processorMillicores: 1_000};
+const TASK_RESOURCES = {...WORKER_CAPACITY, processorMillicores: 1_000};
 const LONGEST_PAUSE_MILLISECONDS = 1_200;
 const LEAST_PAUSE_MILLISECONDS = 150;
 /** Long enough for the longest lease and the jobs behind it. */
@@ -60,11 +60,11 @@
       services: SERVICES,
       standbyService: 'spare',
       workersPerService: 3,
-      room: ROOM,
+      room: WORKER_CAPACITY,
       behaviourOf: task => ({
         durationMilliseconds: 150 + (hashOf(task) % 1_500),
         end: RunEnd.Done,
-        room: TASK_ROOM,
+        resources: TASK_RESOURCES,
       }),
     });
     this.callers = new SoakCallers(() => this.pick(this.daemons).callers);
@@ -78,7 +78,7 @@
     await pause(2 * LONGEST_PAUSE_MILLISECONDS);
     for (let round = 0; round < this.options.rounds; round++) {
       this.submitSome();
-      this.fault(round);
+      this.injectFault(round);
       await pause(
         LEAST_PAUSE_MILLISECONDS +
           this.random.nextInteger(LONGEST_PAUSE_MILLISECONDS),
@@ -87,11 +87,11 @@
     this.heal();
     await Promise.all(this.pending);
     await this.waitForEnds();
-    const runs = this.platform.begunRuns();
-    const broken = brokenPromises(this.callers.jobs, runs);
+    const runs = this.platform.startedRuns();
+    const broken = guaranteeViolations(this.callers.jobs, runs);
     await this.stop();
     return {
-      broken,
+      violations: broken,
       jobs: this.callers.jobs.length,
       runs: runs.length,
       faults: this.faults,
@@ -123,7 +123,7 @@
 
   private submitSome(): void {
     for (let count = 1 + this.random.nextInteger(3); count > 0; count--) {
-      const job: CalledJob = {
+      const job: ObservedJob = {
         id: (++this.jobCount).toString(16).padStart(16, '0'),
         service: this.pick(SERVICES),
         tasks: 1 + this.random.nextInteger(4),
@@ -142,7 +142,7 @@
     }
   }
 
-  private fault(round: number): void {
+  private injectFault(round: number): void {
     const index = this.random.nextInteger(this.daemons.length);
     const daemon = this.daemons[index];
     const note = (what: string) => this.faults.push(`${round}: ${what}`);
@@ -173,7 +173,7 @@
       case 5: {
         const fault = this.pick([undefined, ...Object.values(StoreFault)]);
         note(`store: ${fault ?? 'well'}`);
-        this.platform.connection.setFault(fault);
+        this.platform.storeConnection.setFault(fault);
         return;
       }
       case 6: {
@@ -193,7 +193,7 @@
   }
 
   private heal(): void {
-    this.platform.connection.setFault(undefined);
+    this.platform.storeConnection.setFault(undefined);
     for (const proxy of this.proxies) proxy.setMode(ProxyMode.Pass);
     for (const daemon of this.daemons) {
       daemon.signal('SIGCONT');
@@ -210,7 +210,7 @@
           !['completed', 'cancelled', 'failed'].includes(job.state ?? ''),
       );
       if (open.length === 0) break;
-      await Promise.all(open.map(job => this.callers.ask(job)));
+      await Promise.all(open.map(job => this.callers.queryState(job)));
       await pause(ASK_MILLISECONDS);
     }
     // Stops of cancelled jobs may still be under way.
--- a/packages/specification/src/__tests__/real-claim-fold.test.ts
+++ b/packages/specification/src/__tests__/claim-fold-conformance.test.ts
@@ -7,25 +7,30 @@
   encodeClaimBatch,
   type ClaimBatch,
 } from '@gentiandoor/shared-state';
-import {claimsWithin} from '../claims-model.js';
-import {foldClaims, type Batch} from '../claims-state.js';
+import {claimsSpecifications} from '../claims-model.js';
+import {foldClaims, type ModelClaimBatch} from '../claims-state.js';
 
 const RUNS = Number(process.env.GENTIANDOOR_MODEL_RUNS ?? 300);
 const SEED = Number(process.env.GENTIANDOOR_MODEL_SEED ?? 20_261);
 const KEY = 'sixteen bytes ..';
 const FINGERPRINT = 'eight by';
-const MOST_STEPS = 60;
+const MAXIMUM_STEPS = 60;
 
-const SPECIFICATION = claimsWithin({
+const SPECIFICATION = claimsSpecifications({
   attempts: 4,
-  losses: 3,
-  doubles: 3,
+  lostResponses: 3,
+  duplicates: 3,
   crashes: 2,
-  refusals: 2,
-}).make();
+  rejections: 2,
+}).create();
 
 /** A batch of the specification as a daemon writes it. */
-function realBatch({holder, sequence, claims, releases}: Batch): ClaimBatch {
+function toClaimBatch({
+  holder,
+  sequence,
+  claims,
+  releases,
+}: ModelClaimBatch): ClaimBatch {
   const name = (attempt: number) => ({key: KEY, attempt});
   return {
     holder,
@@ -40,8 +45,8 @@
   };
 }
 
-function applyReal(table: ClaimTable, batch: Batch): boolean {
-  const decoded = decodeClaimBatch(encodeClaimBatch(realBatch(batch)));
+function applyToClaimTable(table: ClaimTable, batch: ModelClaimBatch): boolean {
+  const decoded = decodeClaimBatch(encodeClaimBatch(toClaimBatch(batch)));
   assert.ok(!('unreadable' in decoded));
   return !table.apply(decoded).stale;
 }
@@ -50,19 +55,23 @@
   it('agrees with the specification after every append of a random walk', () => {
     fc.assert(
       fc.property(
-        fc.array(fc.nat(), {minLength: 10, maxLength: MOST_STEPS, size: 'max'}),
+        fc.array(fc.nat(), {
+          minLength: 10,
+          maxLength: MAXIMUM_STEPS,
+          size: 'max',
+        }),
         choices => {
-          let state = SPECIFICATION.initial;
+          let state = SPECIFICATION.initialState;
           const table = new ClaimTable(10);
           let seen = 0;
           for (const choice of choices) {
-            const events = SPECIFICATION.events(state);
+            const events = SPECIFICATION.enabledEvents(state);
             if (events.length === 0) break;
             state = SPECIFICATION.step(state, events[choice % events.length]);
             const isCounted = state.log
               .slice(seen)
-              .map(batch => applyReal(table, batch));
-            const {owner, counted} = foldClaims(state.log, true);
+              .map(batch => applyToClaimTable(table, batch));
+            const {owner, accepted: counted} = foldClaims(state.log, true);
             assert.deepEqual(isCounted, counted.slice(seen));
             assert.equal(table.get(KEY)?.attempt, owner);
             seen = state.log.length;
@@ -90,8 +99,8 @@
           releases: item.releases.filter(of => holders[of] === item.holder),
         }));
         const table = new ClaimTable(10);
-        const isCounted = owned.map(item => applyReal(table, item));
-        const {owner, counted} = foldClaims(owned, true);
+        const isCounted = owned.map(item => applyToClaimTable(table, item));
+        const {owner, accepted: counted} = foldClaims(owned, true);
         assert.deepEqual(isCounted, counted);
         assert.equal(table.get(KEY)?.attempt, owner);
       }),
--- a/packages/specification/src/__tests__/claims-commands.ts
+++ b/packages/specification/src/__tests__/claims-commands.ts
@@ -1,34 +1,38 @@
 import fc from 'fast-check';
-import type {ClaimsFleet, FleetDaemon} from './claims-fleet.js';
+import type {ClaimsFleet, ClaimsFleetDaemon} from './claims-fleet.js';
 import {answerOf} from './claims-fleet.js';
-import {AppendFate} from './faulty-log.js';
-import {KeyLedger, answerText, type Try} from './key-ledger.js';
+import {InjectedAppendResult} from './faulty-log.js';
+import {
+  KeyedRequestModel,
+  answerText,
+  type KeyedAttempt,
+} from './keyed-request-model.js';
 
 const KEYS = ['order-1', 'order-2'];
 const NAMES = ['entry-1', 'entry-2', 'entry-3'];
-const LONGEST_PAUSE_MILLISECONDS = 4000;
+const MAXIMUM_PAUSE_MILLISECONDS = 4000;
 
 /** The daemons under test, and the scheduler's hold on their steps. */
-export interface RealClaims {
+export interface ClaimsUnderTest {
   readonly fleet: ClaimsFleet;
   /** Steps that wait to go on. */
-  waitingSteps(): number;
-  letOneGo(): Promise<void>;
+  waitingStepCount(): number;
+  releaseOneStep(): Promise<void>;
 }
 
-type ClaimsCommand = fc.AsyncCommand<KeyLedger, RealClaims>;
+type ClaimsCommand = fc.AsyncCommand<KeyedRequestModel, ClaimsUnderTest>;
 
 abstract class Command implements ClaimsCommand {
   check(): boolean {
     return true;
   }
 
-  abstract run(ledger: KeyLedger, real: RealClaims): Promise<void>;
+  abstract run(ledger: KeyedRequestModel, real: ClaimsUnderTest): Promise<void>;
 
   abstract toString(): string;
 }
 
-class Ask extends Command {
+class RequestKey extends Command {
   constructor(
     readonly name: string,
     readonly key: string,
@@ -36,10 +40,13 @@
     super();
   }
 
-  async run(ledger: KeyLedger, {fleet}: RealClaims): Promise<void> {
+  async run(
+    ledger: KeyedRequestModel,
+    {fleet}: ClaimsUnderTest,
+  ): Promise<void> {
     const daemon = fleet.daemons.get(this.name)!;
     const entry = ledger.begin(this.key, daemon.incarnation);
-    hearLater(ledger, fleet, daemon, entry);
+    requestInBackground(ledger, fleet, daemon, entry);
     await fleet.advance(0);
   }
 
@@ -48,14 +55,18 @@
   }
 }
 
-class LetGo extends Command {
+class ReleaseSteps extends Command {
   constructor(readonly steps: number) {
     super();
   }
 
-  async run(_ledger: KeyLedger, real: RealClaims): Promise<void> {
-    for (let step = 0; step < this.steps && real.waitingSteps() > 0; step++) {
-      await real.letOneGo();
+  async run(_ledger: KeyedRequestModel, real: ClaimsUnderTest): Promise<void> {
+    for (
+      let step = 0;
+      step < this.steps && real.waitingStepCount() > 0;
+      step++
+    ) {
+      await real.releaseOneStep();
       await real.fleet.advance(0);
     }
   }
@@ -65,12 +76,15 @@
   }
 }
 
-class Pass extends Command {
+class AdvanceTime extends Command {
   constructor(readonly milliseconds: number) {
     super();
   }
 
-  async run(_ledger: KeyLedger, {fleet}: RealClaims): Promise<void> {
+  async run(
+    _ledger: KeyedRequestModel,
+    {fleet}: ClaimsUnderTest,
+  ): Promise<void> {
     await fleet.advance(this.milliseconds);
   }
 
@@ -80,61 +94,70 @@
 }
 
 /** How a held claim ends. */
-enum Ending {
+enum ClaimEnding {
   Finish = 'finish',
   Lose = 'lose',
   Release = 'release',
 }
 
-class End extends Command {
+class EndClaim extends Command {
   constructor(
-    readonly which: number,
-    readonly ending: Ending,
+    readonly claimIndex: number,
+    readonly ending: ClaimEnding,
   ) {
     super();
   }
 
-  async run(ledger: KeyLedger, {fleet}: RealClaims): Promise<void> {
-    const holding = ledger.holding();
+  async run(
+    ledger: KeyedRequestModel,
+    {fleet}: ClaimsUnderTest,
+  ): Promise<void> {
+    const holding = ledger.attemptsHoldingClaim();
     if (holding.length === 0) return;
-    const entry = holding[this.which % holding.length];
-    const claim = entry.told!.claim!;
+    const entry = holding[this.claimIndex % holding.length];
+    const claim = entry.outcome!.claim!;
     ledger[this.ending](entry);
-    if (this.ending === Ending.Finish)
+    if (this.ending === ClaimEnding.Finish)
       claim.finish(answerOf(answerText(entry.key)));
     else claim[this.ending]();
     await fleet.advance(0);
   }
 
   toString(): string {
-    return `${this.ending}(${this.which})`;
+    return `${this.ending}(${this.claimIndex})`;
   }
 }
 
-class Fate extends Command {
+class InjectAppendResult extends Command {
   constructor(
     readonly name: string,
-    readonly fate: AppendFate,
+    readonly result: InjectedAppendResult,
   ) {
     super();
   }
 
-  async run(_ledger: KeyLedger, {fleet}: RealClaims): Promise<void> {
-    fleet.daemons.get(this.name)!.log.fates.push(this.fate);
+  async run(
+    _ledger: KeyedRequestModel,
+    {fleet}: ClaimsUnderTest,
+  ): Promise<void> {
+    fleet.daemons.get(this.name)!.log.nextAppendResults.push(this.result);
   }
 
   toString(): string {
-    return `nextAppend(${this.name}, ${this.fate})`;
+    return `nextAppend(${this.name}, ${this.result})`;
   }
 }
 
-class Land extends Command {
+class ApplyDelayedAppends extends Command {
   constructor(readonly name: string) {
     super();
   }
 
-  async run(_ledger: KeyLedger, {fleet}: RealClaims): Promise<void> {
-    await fleet.daemons.get(this.name)!.log.landDelayed();
+  async run(
+    _ledger: KeyedRequestModel,
+    {fleet}: ClaimsUnderTest,
+  ): Promise<void> {
+    await fleet.daemons.get(this.name)!.log.applyDelayed();
     await fleet.advance(0);
   }
 
@@ -143,48 +166,57 @@
   }
 }
 
-class CutLog extends Command {
+class SetLogReachability extends Command {
   constructor(
     readonly name: string,
-    readonly isCut: boolean,
+    readonly isUnreachable: boolean,
   ) {
     super();
   }
 
-  async run(_ledger: KeyLedger, {fleet}: RealClaims): Promise<void> {
-    fleet.daemons.get(this.name)!.log.isCut = this.isCut;
+  async run(
+    _ledger: KeyedRequestModel,
+    {fleet}: ClaimsUnderTest,
+  ): Promise<void> {
+    fleet.daemons.get(this.name)!.log.isUnreachable = this.isUnreachable;
   }
 
   toString(): string {
-    return `${this.isCut ? 'cutLog' : 'mendLog'}(${this.name})`;
+    return `${this.isUnreachable ? 'cutLog' : 'mendLog'}(${this.name})`;
   }
 }
 
-class CutLinks extends Command {
-  constructor(readonly isCut: boolean) {
+class SetPeerReachability extends Command {
+  constructor(readonly isUnreachable: boolean) {
     super();
   }
 
-  async run(_ledger: KeyLedger, {fleet}: RealClaims): Promise<void> {
-    if (this.isCut) fleet.network.cut('hall-a', 'hall-b');
+  async run(
+    _ledger: KeyedRequestModel,
+    {fleet}: ClaimsUnderTest,
+  ): Promise<void> {
+    if (this.isUnreachable) fleet.network.partition('hall-a', 'hall-b');
     else fleet.network.heal('hall-a', 'hall-b');
   }
 
   toString(): string {
-    return this.isCut ? 'cutLinks' : 'mendLinks';
+    return this.isUnreachable ? 'cutLinks' : 'mendLinks';
   }
 }
 
-class Crash extends Command {
+class CrashDaemon extends Command {
   constructor(readonly name: string) {
     super();
   }
 
-  async run(ledger: KeyLedger, real: RealClaims): Promise<void> {
+  async run(ledger: KeyedRequestModel, real: ClaimsUnderTest): Promise<void> {
     const daemon = real.fleet.daemons.get(this.name)!;
     ledger.crash(daemon.incarnation);
-    await letAll(real, real.fleet.crash(daemon));
-    await letAll(real, real.fleet.start(this.name, daemon.dataCentre));
+    await runReleasingAllSteps(real, real.fleet.crash(daemon));
+    await runReleasingAllSteps(
+      real,
+      real.fleet.start(this.name, daemon.dataCentre),
+    );
   }
 
   toString(): string {
@@ -195,8 +227,8 @@
 const IDLE_STEP_MILLISECONDS = 10;
 
 /** Runs work to its end while every step goes on. */
-export async function letAll<Value>(
-  real: RealClaims,
+export async function runReleasingAllSteps<Value>(
+  real: ClaimsUnderTest,
   work: Promise<Value>,
 ): Promise<Value> {
   let isOpen = true;
@@ -206,7 +238,7 @@
   ended.catch(() => undefined);
   await new Promise(resolve => setImmediate(resolve));
   while (isOpen) {
-    if (real.waitingSteps() > 0) await real.letOneGo();
+    if (real.waitingStepCount() > 0) await real.releaseOneStep();
     else await real.fleet.advance(IDLE_STEP_MILLISECONDS);
     await new Promise(resolve => setImmediate(resolve));
   }
@@ -220,84 +252,93 @@
 export const CLAIMS_COMMANDS: ReadonlyArray<fc.Arbitrary<ClaimsCommand>> = [
   fc
     .tuple(pickName, fc.constantFrom(...KEYS))
-    .map(([name, key]) => new Ask(name, key)),
-  fc.integer({min: 1, max: 12}).map(steps => new LetGo(steps)),
-  fc.integer({min: 1, max: 12}).map(steps => new LetGo(steps)),
+    .map(([name, key]) => new RequestKey(name, key)),
+  fc.integer({min: 1, max: 12}).map(steps => new ReleaseSteps(steps)),
+  fc.integer({min: 1, max: 12}).map(steps => new ReleaseSteps(steps)),
   fc
-    .integer({min: 1, max: LONGEST_PAUSE_MILLISECONDS})
-    .map(milliseconds => new Pass(milliseconds)),
+    .integer({min: 1, max: MAXIMUM_PAUSE_MILLISECONDS})
+    .map(milliseconds => new AdvanceTime(milliseconds)),
   fc
-    .tuple(pickWhich, fc.constantFrom(...Object.values(Ending)))
-    .map(([which, ending]) => new End(which, ending)),
+    .tuple(pickWhich, fc.constantFrom(...Object.values(ClaimEnding)))
+    .map(([which, ending]) => new EndClaim(which, ending)),
   fc
-    .tuple(pickName, fc.constantFrom(...Object.values(AppendFate)))
-    .map(([name, fate]) => new Fate(name, fate)),
-  pickName.map(name => new Land(name)),
+    .tuple(pickName, fc.constantFrom(...Object.values(InjectedAppendResult)))
+    .map(([name, fate]) => new InjectAppendResult(name, fate)),
+  pickName.map(name => new ApplyDelayedAppends(name)),
   fc
     .tuple(pickName, fc.boolean())
-    .map(([name, isCut]) => new CutLog(name, isCut)),
-  fc.boolean().map(isCut => new CutLinks(isCut)),
-  pickName.map(name => new Crash(name)),
+    .map(([name, isCut]) => new SetLogReachability(name, isCut)),
+  fc.boolean().map(isCut => new SetPeerReachability(isCut)),
+  pickName.map(name => new CrashDaemon(name)),
 ];
 
 /** Mends everything, ends what runs, and asks for every key once more. */
-export async function checkAtRest(
-  ledger: KeyLedger,
-  real: RealClaims,
+export async function checkAfterRecovery(
+  ledger: KeyedRequestModel,
+  real: ClaimsUnderTest,
 ): Promise<void> {
   const {fleet} = real;
   fleet.network.heal('hall-a', 'hall-b');
   for (const {log} of fleet.daemons.values()) {
-    log.isCut = false;
-    log.fates.length = 0;
-    await log.landDelayed();
-  }
-  await letAll(real, rest(fleet, MEND_MILLISECONDS));
-  for (const entry of ledger.holding()) {
+    log.isUnreachable = false;
+    log.nextAppendResults.length = 0;
+    await log.applyDelayed();
+  }
+  await runReleasingAllSteps(
+    real,
+    advanceInSteps(fleet, RECOVERY_MILLISECONDS),
+  );
+  for (const entry of ledger.attemptsHoldingClaim()) {
     ledger.release(entry);
-    entry.told!.claim!.release();
+    entry.outcome!.claim!.release();
   }
-  await letAll(real, rest(fleet, RELEASE_MILLISECONDS));
+  await runReleasingAllSteps(real, advanceInSteps(fleet, RELEASE_MILLISECONDS));
   for (const key of KEYS) {
     for (const daemon of fleet.daemons.values()) {
-      const told = await letAll(real, fleet.ask(daemon, key));
-      ledger.checkAtRest(key, told);
+      const told = await runReleasingAllSteps(real, fleet.ask(daemon, key));
+      ledger.checkAfterRecovery(key, told);
       told.claim?.release();
-      await letAll(real, rest(fleet, RELEASE_MILLISECONDS));
+      await runReleasingAllSteps(
+        real,
+        advanceInSteps(fleet, RELEASE_MILLISECONDS),
+      );
     }
   }
 }
 
 /** Longer than the longest backoff. */
-const MEND_MILLISECONDS = 8000;
+const RECOVERY_MILLISECONDS = 8000;
 const RELEASE_MILLISECONDS = 200;
-const REST_STEP_MILLISECONDS = 50;
+const RECOVERY_STEP_MILLISECONDS = 50;
 
-async function rest(fleet: ClaimsFleet, milliseconds: number): Promise<void> {
+async function advanceInSteps(
+  fleet: ClaimsFleet,
+  milliseconds: number,
+): Promise<void> {
   const {clock} = fleet;
   const end = clock.monotonicMilliseconds() + milliseconds;
   while (clock.monotonicMilliseconds() < end) {
     await new Promise<void>(resolve =>
-      clock.schedule(REST_STEP_MILLISECONDS, resolve),
+      clock.schedule(RECOVERY_STEP_MILLISECONDS, resolve),
     );
   }
 }
 
 /** Names of the daemons, with the data centres they start in. */
-export const FLEET_PLAN: ReadonlyArray<readonly [string, string]> = [
+export const DAEMON_PLACEMENTS: ReadonlyArray<readonly [string, string]> = [
   [NAMES[0], 'hall-a'],
   [NAMES[1], 'hall-a'],
   [NAMES[2], 'hall-b'],
 ];
 
-function hearLater(
-  ledger: KeyLedger,
+function requestInBackground(
+  ledger: KeyedRequestModel,
   fleet: ClaimsFleet,
-  daemon: FleetDaemon,
-  entry: Try,
+  daemon: ClaimsFleetDaemon,
+  entry: KeyedAttempt,
 ): void {
   void fleet
     .ask(daemon, entry.key)
-    .then(told => ledger.hear(entry, told))
-    .catch(error => ledger.faults.push(error as Error));
+    .then(told => ledger.recordOutcome(entry, told))
+    .catch(error => ledger.violations.push(error as Error));
 }
--- a/packages/specification/src/__tests__/claims-fleet.ts
+++ b/packages/specification/src/__tests__/claims-fleet.ts
@@ -6,7 +6,7 @@
   VirtualClock,
 } from '@gentiandoor/kernel';
 import {
-  ClaimsOverLog,
+  LogBackedIdempotencyGuard,
   onceOnlyOptions,
   type OnceOnlyOptions,
 } from '@gentiandoor/plugin-once-only';
@@ -14,8 +14,8 @@
   emptyFleetState,
   type FleetState,
   type HeldAnswer,
-  type HeldClaim,
-  type KeyDecision,
+  type ClaimHandle,
+  type KeyedRequestDecision,
 } from '@gentiandoor/shared-state';
 import {
   MemoryLog,
@@ -23,37 +23,37 @@
   type MemoryLogOptions,
 } from '@gentiandoor/stand-ins';
 import {FaultyLog} from './faulty-log.js';
-import {GatedLinks} from './gated-links.js';
+import {StepwisePeerLinks} from './stepwise-peer-links.js';
 
 const STEP_MILLISECONDS = 5;
 const CALLER = 'crest-shop';
 
 /** A daemon of the fleet: only its claims, over a log with faults. */
-export interface FleetDaemon {
+export interface ClaimsFleetDaemon {
   readonly name: string;
   readonly incarnation: string;
   readonly dataCentre: string;
-  readonly claims: ClaimsOverLog;
+  readonly claims: LogBackedIdempotencyGuard;
   readonly log: FaultyLog;
   readonly metrics: MemoryMetrics;
 }
 
 /** How a keyed request was decided. */
-export interface Told {
-  readonly said: string;
+export interface KeyedRequestOutcome {
+  readonly decision: string;
   /** What the caller hears of its run: yes, no, unknown; empty while it runs. */
-  readonly run: string;
-  readonly claim?: HeldClaim;
+  readonly runStatement: string;
+  readonly claim?: ClaimHandle;
   readonly answer?: HeldAnswer;
   readonly retryAfterSeconds?: number;
 }
 
 /** Settings that a test changes. */
-export interface FleetSettings {
+export interface ClaimsFleetOptions {
   readonly log?: MemoryLogOptions;
   readonly onceOnly?: Readonly<Record<string, string>>;
   /** Decides when each step of a call to the log or a peer goes on. */
-  readonly gate?: (label: string) => Promise<void>;
+  readonly waitForStep?: (label: string) => Promise<void>;
 }
 
 /** Several daemons' claims over one log in memory, on a virtual clock. */
@@ -61,33 +61,33 @@
   readonly clock = new VirtualClock();
   readonly log: MemoryLog;
   readonly network = new MemoryPeerNetwork();
-  readonly daemons = new Map<string, FleetDaemon>();
+  readonly daemons = new Map<string, ClaimsFleetDaemon>();
   private readonly state: FleetState = emptyFleetState({});
   private readonly options: OnceOnlyOptions;
-  private readonly gate: (label: string) => Promise<void>;
-  private starts = 0;
+  private readonly waitForStep: (label: string) => Promise<void>;
+  private startCount = 0;
 
-  constructor(settings: FleetSettings = {}) {
+  constructor(settings: ClaimsFleetOptions = {}) {
     this.log = new MemoryLog(this.clock, settings.log);
-    this.gate = settings.gate ?? (async () => {});
+    this.waitForStep = settings.waitForStep ?? (async () => {});
     this.options = onceOnlyOptions.parse(settings.onceOnly ?? {});
   }
 
   /** Starts a daemon, or the successor of one that ended. */
-  async start(name: string, dataCentre = 'hall-a'): Promise<FleetDaemon> {
-    const incarnation = `${name}.${++this.starts}`;
+  async start(name: string, dataCentre = 'hall-a'): Promise<ClaimsFleetDaemon> {
+    const incarnation = `${name}.${++this.startCount}`;
     const identity = {name, dataCentre, incarnation};
-    const gate = (step: string) => this.gate(`${incarnation} ${step}`);
+    const gate = (step: string) => this.waitForStep(`${incarnation} ${step}`);
     const log = new FaultyLog(this.log, gate);
     const metrics = new MemoryMetrics();
-    const claims = new ClaimsOverLog({
+    const claims = new LogBackedIdempotencyGuard({
       clock: this.clock,
-      random: new SeededRandom(this.starts),
+      random: new SeededRandom(this.startCount),
       logger: new SilentLogger(),
       metrics,
       identity,
       platformLog: log,
-      peerLinks: new GatedLinks(this.network.join(identity), gate),
+      peerLinks: new StepwisePeerLinks(this.network.join(identity), gate),
       sharedState: {state: this.state},
       onceOnlyOptions: this.options,
     });
@@ -107,14 +107,14 @@
   }
 
   /** Ends a daemon as a crash does: nothing is handed over, nothing more is written. */
-  async crash({claims, incarnation, log}: FleetDaemon): Promise<void> {
+  async crash({claims, incarnation, log}: ClaimsFleetDaemon): Promise<void> {
     this.network.leave(incarnation);
-    log.isCut = true;
+    log.isUnreachable = true;
     await this.settle(claims.stop());
   }
 
   /** Ends a daemon by plan. */
-  async stop({claims, incarnation}: FleetDaemon): Promise<void> {
+  async stop({claims, incarnation}: ClaimsFleetDaemon): Promise<void> {
     await this.settle(claims.drain());
     await this.settle(claims.stop());
     this.network.leave(incarnation);
@@ -122,13 +122,15 @@
 
   /** Asks to run a key; the promise needs `settle` or `advance` to end. */
   ask(
-    {claims}: FleetDaemon,
+    {claims}: ClaimsFleetDaemon,
     key: string,
     fingerprint = 'POST /crest-works',
     signal?: AbortSignal,
-  ): Promise<Told> {
+  ): Promise<KeyedRequestOutcome> {
     const request = {service: 'crest-works', caller: CALLER, key, fingerprint};
-    return claims.begin(request, signal).then(told, refused);
+    return claims
+      .begin(request, signal)
+      .then(outcomeOfDecision, outcomeOfError);
   }
 
   /** Moves time forward. */
@@ -148,21 +150,24 @@
     return ended;
   }
 
-  async end(): Promise<void> {
+  async stopAll(): Promise<void> {
     for (const {claims} of this.daemons.values())
       await this.settle(claims.stop());
   }
 }
 
-function told(decision: KeyDecision): Told {
-  if (decision.run) return {said: 'run', run: '', claim: decision.claim};
-  return {said: 'replayed', run: 'yes', answer: decision.answer};
+function outcomeOfDecision(
+  decision: KeyedRequestDecision,
+): KeyedRequestOutcome {
+  if (decision.run)
+    return {decision: 'run', runStatement: '', claim: decision.claim};
+  return {decision: 'replayed', runStatement: 'yes', answer: decision.answer};
 }
 
-function refused(error: unknown): Told {
+function outcomeOfError(error: unknown): KeyedRequestOutcome {
   if (!(error instanceof RequestError)) throw error;
   const {kind, run, retryAfterSeconds} = error;
-  return {said: kind, run, retryAfterSeconds};
+  return {decision: kind, runStatement: run, retryAfterSeconds};
 }
 
 /** A whole answer with a text as its body. */
--- a/packages/specification/src/__tests__/claims-model-run.test.ts
+++ b/packages/specification/src/__tests__/claims-model-run.test.ts
@@ -4,19 +4,19 @@
 import {ClaimsFleet} from './claims-fleet.js';
 import {
   CLAIMS_COMMANDS,
-  FLEET_PLAN,
-  checkAtRest,
-  letAll,
-  type RealClaims,
+  DAEMON_PLACEMENTS,
+  checkAfterRecovery,
+  runReleasingAllSteps,
+  type ClaimsUnderTest,
 } from './claims-commands.js';
-import {KeyLedger} from './key-ledger.js';
+import {KeyedRequestModel} from './keyed-request-model.js';
 
 /** `npm run model` makes a longer run; a seed of one's own may be given with it. */
 const RUNS = Number(process.env.GENTIANDOOR_MODEL_RUNS ?? 150);
 const SEED = Number(process.env.GENTIANDOOR_MODEL_SEED ?? 20_261);
-const MOST_COMMANDS = 60;
+const MAXIMUM_COMMANDS = 60;
 
-const TO_MEET = [
+const REQUIRED_OBSERVATIONS = [
   'run',
   'finished',
   'lost',
@@ -29,18 +29,18 @@
   'claim_unavailable, run: unknown',
 ];
 
-async function startFleet(scheduler: fc.Scheduler): Promise<RealClaims> {
+async function startFleet(scheduler: fc.Scheduler): Promise<ClaimsUnderTest> {
   const gate = async (label: string) => {
     await scheduler.schedule(Promise.resolve(), label);
   };
-  const fleet = new ClaimsFleet({gate});
-  const real: RealClaims = {
+  const fleet = new ClaimsFleet({waitForStep: gate});
+  const real: ClaimsUnderTest = {
     fleet,
-    waitingSteps: () => scheduler.count(),
-    letOneGo: () => scheduler.waitOne(),
+    waitingStepCount: () => scheduler.count(),
+    releaseOneStep: () => scheduler.waitOne(),
   };
-  for (const [name, dataCentre] of FLEET_PLAN)
-    await letAll(real, fleet.start(name, dataCentre));
+  for (const [name, dataCentre] of DAEMON_PLACEMENTS)
+    await runReleasingAllSteps(real, fleet.start(name, dataCentre));
   return real;
 }
 
@@ -54,29 +54,30 @@
       fc.asyncProperty(
         fc.scheduler(),
         fc.commands([...CLAIMS_COMMANDS], {
-          maxCommands: MOST_COMMANDS,
+          maxCommands: MAXIMUM_COMMANDS,
           size: 'max',
         }),
         async (scheduler, commands) => {
           const real = await startFleet(scheduler);
-          const ledger = new KeyLedger();
+          const ledger = new KeyedRequestModel();
           try {
             await fc.asyncModelRun(
               async () => ({model: ledger, real}),
               commands,
             );
             ledger.check();
-            await checkAtRest(ledger, real);
+            await checkAfterRecovery(ledger, real);
             ledger.check();
-            for (const said of ledger.heard()) met.add(said);
+            for (const said of ledger.observations()) met.add(said);
           } finally {
-            await letAll(real, real.fleet.end());
+            await runReleasingAllSteps(real, real.fleet.stopAll());
           }
         },
       ),
       {numRuns: RUNS, seed: SEED, includeErrorInReport: true},
     );
     // Runs that never come to these say nothing of the promises about them.
-    for (const said of TO_MEET) assert.ok(met.has(said), `never met: ${said}`);
+    for (const said of REQUIRED_OBSERVATIONS)
+      assert.ok(met.has(said), `never met: ${said}`);
   });
 });
--- a/packages/specification/src/__tests__/faulty-log.ts
+++ b/packages/specification/src/__tests__/faulty-log.ts
@@ -1,4 +1,4 @@
-import {LogFailure, PlatformLogError} from '@gentiandoor/kernel';
+import {PlatformLogFailure, PlatformLogError} from '@gentiandoor/kernel';
 import type {
   AppendPosition,
   LogBatch,
@@ -8,14 +8,14 @@
 } from '@gentiandoor/shared-state';
 
 /** What becomes of an append. */
-export enum AppendFate {
-  Answered = 'answered',
+export enum InjectedAppendResult {
+  Succeeded = 'answered',
   /** Takes effect, the answer is lost. */
-  AnswerLost = 'answer_lost',
+  ResponseLost = 'answer_lost',
   /** No answer; takes effect when `landDelayed` is called. */
   Delayed = 'delayed',
   /** Takes effect now and again when `landDelayed` is called; no answer. */
-  Doubled = 'doubled',
+  Duplicated = 'doubled',
   /** No answer and no effect. */
   Dropped = 'dropped',
 }
@@ -28,14 +28,16 @@
 /** One daemon's way to the log, with faults. */
 export class FaultyLog implements PlatformLog {
   /** Fates of the next appends; then `Answered`. */
-  readonly fates: AppendFate[] = [];
+  readonly nextAppendResults: InjectedAppendResult[] = [];
   /** True while this daemon cannot reach the log. */
-  isCut = false;
+  isUnreachable = false;
   private readonly delayed: DelayedAppend[] = [];
 
   constructor(
     private readonly log: PlatformLog,
-    private readonly gate: (step: string) => Promise<void> = async () => {},
+    private readonly waitForStep: (
+      step: string,
+    ) => Promise<void> = async () => {},
   ) {}
 
   async append(
@@ -43,19 +45,26 @@
     payloads: readonly Uint8Array[],
     signal?: AbortSignal,
   ): Promise<AppendPosition> {
-    await this.gate('sends an append');
-    if (this.isCut) throw noAnswer();
-    const fate = this.fates.shift() ?? AppendFate.Answered;
-    if (fate === AppendFate.Answered) {
+    await this.waitForStep('sends an append');
+    if (this.isUnreachable) throw noResponse();
+    const fate =
+      this.nextAppendResults.shift() ?? InjectedAppendResult.Succeeded;
+    if (fate === InjectedAppendResult.Succeeded) {
       const position = await this.log.append(stream, payloads, signal);
-      await this.gate('hears of its append');
+      await this.waitForStep('hears of its append');
       return position;
     }
-    if (fate === AppendFate.Delayed || fate === AppendFate.Doubled)
+    if (
+      fate === InjectedAppendResult.Delayed ||
+      fate === InjectedAppendResult.Duplicated
+    )
       this.delayed.push({stream, payloads});
-    if (fate === AppendFate.AnswerLost || fate === AppendFate.Doubled)
+    if (
+      fate === InjectedAppendResult.ResponseLost ||
+      fate === InjectedAppendResult.Duplicated
+    )
       await this.log.append(stream, payloads, signal);
-    throw noAnswer();
+    throw noResponse();
   }
 
   async read(
@@ -64,16 +73,16 @@
     options: ReadOptions,
     signal?: AbortSignal,
   ): Promise<LogBatch> {
-    await this.gate('sends a read');
-    if (this.isCut) throw noAnswer();
+    await this.waitForStep('sends a read');
+    if (this.isUnreachable) throw noResponse();
     const batch = await this.log.read(stream, from, options, signal);
-    await this.gate('hears what was read');
-    if (this.isCut) throw noAnswer();
+    await this.waitForStep('hears what was read');
+    if (this.isUnreachable) throw noResponse();
     return batch;
   }
 
   /** Lets everything that is still under way take effect; returns how many appends. */
-  async landDelayed(): Promise<number> {
+  async applyDelayed(): Promise<number> {
     const landing = this.delayed.splice(0);
     for (const {stream, payloads} of landing)
       await this.log.append(stream, payloads);
@@ -81,6 +90,6 @@
   }
 }
 
-function noAnswer(): PlatformLogError {
-  return new PlatformLogError(LogFailure.NoAnswer, 'no answer came');
+function noResponse(): PlatformLogError {
+  return new PlatformLogError(PlatformLogFailure.NoResponse, 'no answer came');
 }
--- a/packages/specification/src/__tests__/real-fleet-fold.test.ts
+++ b/packages/specification/src/__tests__/fleet-fold-conformance.test.ts
@@ -11,23 +11,27 @@
   type FleetState,
 } from '@gentiandoor/shared-state';
 import {
-  EXAMPLE_TRUST,
+  EXAMPLE_TRUSTED_OPERATORS,
   KINGSTON,
   exampleBundle,
   rollOutRecords,
 } from '@gentiandoor/stand-ins';
-import {BUNDLES, foldBundles, type SignedBundle} from '../bundle-model.js';
+import {
+  BUNDLE_SPECIFICATIONS,
+  foldBundles,
+  type SignedBundle,
+} from '../bundle-model.js';
 import {
   OwnershipRecordKind,
   foldOwnership,
-  ownershipWithin,
+  ownershipSpecifications,
   type OwnershipRecord,
 } from '../ownership-model.js';
 import type {Specification} from '../specification.js';
 
 const RUNS = Number(process.env.GENTIANDOOR_MODEL_RUNS ?? 100);
 const SEED = Number(process.env.GENTIANDOOR_MODEL_SEED ?? 20_261);
-const MOST_STEPS = 50;
+const MAXIMUM_STEPS = 50;
 const POOLS: Readonly<Record<string, string>> = {
   p: 'logo-desk',
   q: 'counter-preview',
@@ -42,22 +46,22 @@
   : never;
 
 /** The real fold, fed with records as the log would. */
-class RealFold {
-  readonly state: FleetState = emptyFleetState(EXAMPLE_TRUST);
-  private written = 0;
+class ProductionFold {
+  readonly state: FleetState = emptyFleetState(EXAMPLE_TRUSTED_OPERATORS);
+  private recordCount = 0;
 
   /** Returns the offset of the record. */
   write(record: FleetRecord): number {
     return applyPayload(this.state, encodeRecord(record)).offset;
   }
 
-  draft(writer: string, draft: Draft): number {
-    const id = `written-${this.written++}`;
+  appendDraft(writer: string, draft: Draft): number {
+    const id = `written-${this.recordCount++}`;
     return this.write({...draft, id, writer} as FleetRecord);
   }
 
   join(incarnation: string): number {
-    return this.draft(incarnation, {
+    return this.appendDraft(incarnation, {
       kind: RecordKind.MemberJoined,
       name: incarnation[0],
       incarnation,
@@ -68,14 +72,14 @@
 }
 
 /** Walks a specification at random; `look` sees each state. */
-function walk<State, Event extends {type: string}>(
+function randomWalk<State, Event extends {type: string}>(
   specification: Specification<State, Event>,
   choices: readonly number[],
   look: (state: State) => void,
 ): void {
-  let state = specification.initial;
+  let state = specification.initialState;
   for (const choice of choices) {
-    const events = specification.events(state);
+    const events = specification.enabledEvents(state);
     if (events.length === 0) return;
     state = specification.step(state, events[choice % events.length]);
     look(state);
@@ -84,26 +88,29 @@
 
 const CHOICES = fc.array(fc.nat(), {
   minLength: 10,
-  maxLength: MOST_STEPS,
+  maxLength: MAXIMUM_STEPS,
   size: 'max',
 });
 
 /** Writes a record of the specification; `offsets` maps its offsets to the real ones. */
 function writeOwnership(
-  real: RealFold,
+  real: ProductionFold,
   record: OwnershipRecord,
   offsets: readonly number[],
 ): number {
-  const of = record.of ?? '';
+  const of = record.incarnation ?? '';
   const startedAt = offsets[record.startedAt ?? -1] ?? -1;
   const term = 1;
   switch (record.kind) {
     case OwnershipRecordKind.Joined:
       return real.join(of);
     case OwnershipRecordKind.Left:
-      return real.draft(of, {kind: RecordKind.MemberLeft, incarnation: of});
+      return real.appendDraft(of, {
+        kind: RecordKind.MemberLeft,
+        incarnation: of,
+      });
     case OwnershipRecordKind.MoveStarted:
-      return real.draft(PLANNER, {
+      return real.appendDraft(PLANNER, {
         kind: RecordKind.MoveStarted,
         term,
         vm: VM,
@@ -113,7 +120,7 @@
         reason: 'the specification moves it',
       });
     case OwnershipRecordKind.Acknowledged:
-      return real.draft(of, {
+      return real.appendDraft(of, {
         kind: RecordKind.DrainAcknowledged,
         incarnation: of,
         acknowledgements: [{vm: VM, startedAt}],
@@ -121,22 +128,22 @@
     case OwnershipRecordKind.MoveAssigned: {
       const epoch = real.state.vms.get(VM)!.epoch;
       const kind = RecordKind.MoveAssigned;
-      return real.draft(PLANNER, {kind, term, vm: VM, startedAt, epoch});
+      return real.appendDraft(PLANNER, {kind, term, vm: VM, startedAt, epoch});
     }
     case OwnershipRecordKind.MoveAborted: {
       const kind = RecordKind.MoveAborted;
       const reason = 'the specification aborts it';
-      return real.draft(PLANNER, {kind, term, vm: VM, startedAt, reason});
+      return real.appendDraft(PLANNER, {kind, term, vm: VM, startedAt, reason});
     }
   }
 }
 
-function startOwnership(): {real: RealFold; offsets: number[]} {
-  const real = new RealFold();
+function startOwnership(): {real: ProductionFold; offsets: number[]} {
+  const real = new ProductionFold();
   for (const record of rollOutRecords(exampleBundle(KINGSTON)))
     real.write(record);
   const offsets = [real.join('a1'), real.join('b1')];
-  real.draft(PLANNER, {
+  real.appendDraft(PLANNER, {
     kind: RecordKind.PlannerTaken,
     expectedTerm: 0,
     holder: PLANNER,
@@ -144,7 +151,10 @@
   return {real, offsets};
 }
 
-function compareOwnership(real: RealFold, log: readonly OwnershipRecord[]) {
+function compareOwnership(
+  real: ProductionFold,
+  log: readonly OwnershipRecord[],
+) {
   const {pool, epoch, move, members} = foldOwnership(log);
   const vm = real.state.vms.get(VM)!;
   const work = real.state.work.get(VM);
@@ -167,7 +177,7 @@
 }
 
 function writeBundle(
-  real: RealFold,
+  real: ProductionFold,
   {version, base, digest}: SignedBundle,
 ): void {
   const text = exampleBundle(KINGSTON, version).replace(
@@ -176,10 +186,13 @@
   );
   // An operator that publishes the same again writes new records.
   for (const record of rollOutRecords(`${text}; ${digest}\n`))
-    real.draft(record.writer, record);
+    real.appendDraft(record.writer, record);
 }
 
-function compareBundle(real: RealFold, log: readonly SignedBundle[]): void {
+function compareBundle(
+  real: ProductionFold,
+  log: readonly SignedBundle[],
+): void {
   const {version, digest} = foldBundles(log, {version: 0, digest: ''});
   const {inForce} = real.state;
   assert.equal(inForce?.bundle.version ?? 0, version);
@@ -188,13 +201,13 @@
 
 describe('the real fold of the fleet', () => {
   it('agrees with the specification of ownership on random walks', () => {
-    const bounds = {starts: 4, aborts: 3, crashes: 2};
-    const specification = ownershipWithin(bounds).make();
+    const bounds = {moves: 4, aborts: 3, crashes: 2};
+    const specification = ownershipSpecifications(bounds).create();
     let assigned = 0;
     fc.assert(
       fc.property(CHOICES, choices => {
         const {real, offsets} = startOwnership();
-        walk(specification, choices, ({log}) => {
+        randomWalk(specification, choices, ({log}) => {
           for (const record of log.slice(offsets.length))
             offsets.push(writeOwnership(real, record, offsets));
           compareOwnership(real, log);
@@ -207,12 +220,12 @@
   });
 
   it('agrees with the specification of bundles on random walks', () => {
-    const specification = BUNDLES.make();
+    const specification = BUNDLE_SPECIFICATIONS.create();
     fc.assert(
       fc.property(CHOICES, choices => {
-        const real = new RealFold();
+        const real = new ProductionFold();
         let seen = 0;
-        walk(specification, choices, ({log}) => {
+        randomWalk(specification, choices, ({log}) => {
           for (const bundle of log.slice(seen)) writeBundle(real, bundle);
           seen = log.length;
           compareBundle(real, log);
@@ -231,17 +244,17 @@
     });
     fc.assert(
       fc.property(
-        fc.array(draft, {minLength: 5, maxLength: MOST_STEPS, size: 'max'}),
+        fc.array(draft, {minLength: 5, maxLength: MAXIMUM_STEPS, size: 'max'}),
         drafts => {
           const {real, offsets} = startOwnership();
           const log: OwnershipRecord[] = [
-            {kind: OwnershipRecordKind.Joined, of: 'a1'},
-            {kind: OwnershipRecordKind.Joined, of: 'b1'},
+            {kind: OwnershipRecordKind.Joined, incarnation: 'a1'},
+            {kind: OwnershipRecordKind.Joined, incarnation: 'b1'},
           ];
           for (const {kind, of, back, epoch} of drafts) {
             const pool = foldOwnership(log).pool === 'p' ? 'q' : 'p';
             const startedAt = Math.max(0, log.length - 1 - back);
-            log.push({kind, of, pool, epoch, startedAt});
+            log.push({kind, incarnation: of, pool, epoch, startedAt});
             offsets.push(writeOwnership(real, log.at(-1)!, offsets));
             compareOwnership(real, log);
           }
@@ -259,7 +272,7 @@
     });
     fc.assert(
       fc.property(fc.array(bundle, {maxLength: 8, size: 'max'}), bundles => {
-        const real = new RealFold();
+        const real = new ProductionFold();
         const log: SignedBundle[] = [];
         for (const {base, ahead, digest} of bundles) {
           log.push({version: base + ahead, base, digest});
--- a/packages/specification/src/__tests__/once-only-load.test.ts
+++ b/packages/specification/src/__tests__/once-only-load.test.ts
@@ -12,9 +12,9 @@
       fleet.ask(daemon, `order-${index}`),
     );
     const told = await fleet.settle(Promise.all(asked));
-    assert.ok(told.every(({said}) => said === 'run'));
+    assert.ok(told.every(({decision: said}) => said === 'run'));
     assert.ok(fleet.log.appends - before <= 5, `${fleet.log.appends - before}`);
-    await fleet.end();
+    await fleet.stopAll();
   });
 
   // One key is asked for by hundreds of callers at once. Those over the bound on waiting
@@ -32,9 +32,11 @@
     assert.equal(count(), 250);
     first.claim!.finish(undefined);
     const told = await fleet.settle(Promise.all(asked));
-    const already = told.filter(({said}) => said === 'key_already_run');
+    const already = told.filter(
+      ({decision: said}) => said === 'key_already_run',
+    );
     assert.equal(already.length, 50);
-    await fleet.end();
+    await fleet.stopAll();
   });
 
   // The log lets records go that a cut-off daemon has not read. What it had on its way is
@@ -49,21 +51,27 @@
     const known = await fleet.settle(fleet.ask(one, 'order-1'));
     known.claim!.lose();
     await fleet.advance(100);
-    two.log.isCut = true;
+    two.log.isUnreachable = true;
     for (let index = 0; index < 12; index++) {
       const told = await fleet.settle(fleet.ask(one, `other-${index}`));
       told.claim!.lose();
       await fleet.advance(100);
     }
     const onItsWay = fleet.ask(two, 'order-2');
-    two.log.isCut = false;
+    two.log.isUnreachable = false;
     await fleet.advance(10_000);
     const late = await fleet.settle(onItsWay);
-    assert.ok(['run', 'claim_unavailable'].includes(late.said), late.said);
+    assert.ok(
+      ['run', 'claim_unavailable'].includes(late.decision),
+      late.decision,
+    );
     const again = await fleet.settle(fleet.ask(two, 'order-1'));
-    assert.equal(again.said, 'key_outcome_unknown');
-    assert.equal((await fleet.settle(fleet.ask(two, 'order-3'))).said, 'run');
-    await fleet.end();
+    assert.equal(again.decision, 'key_outcome_unknown');
+    assert.equal(
+      (await fleet.settle(fleet.ask(two, 'order-3'))).decision,
+      'run',
+    );
+    await fleet.stopAll();
   });
 
   // A fresh daemon has not read the stream yet: another daemon's claim may stand there.
@@ -76,9 +84,9 @@
     const fresh = fleet.daemons.get('entry-1')!;
     const told = await fleet.settle(fleet.ask(fresh, 'order-1'));
     await starting;
-    assert.notEqual(told.said, 'run');
-    assert.equal(told.run, 'unknown');
-    await fleet.end();
+    assert.notEqual(told.decision, 'run');
+    assert.equal(told.runStatement, 'unknown');
+    await fleet.stopAll();
   });
 
   it('refuse a key that belongs to another request, wherever it ran', async () => {
@@ -87,7 +95,7 @@
     const two = await fleet.start('entry-2');
     await fleet.settle(fleet.ask(one, 'order-1', 'POST /a'));
     const told = await fleet.settle(fleet.ask(two, 'order-1', 'POST /b'));
-    assert.equal(told.said, 'key_reused');
-    await fleet.end();
+    assert.equal(told.decision, 'key_reused');
+    await fleet.stopAll();
   });
 });
--- a/packages/specification/src/__tests__/once-only-sessions.test.ts
+++ b/packages/specification/src/__tests__/once-only-sessions.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {AppendFate} from './faulty-log.js';
+import {InjectedAppendResult} from './faulty-log.js';
 import {assertGolden} from './golden.js';
-import {Session} from './session.js';
+import {RecordedSession} from './recorded-session.js';
 
 const MINUTE = 60_000;
 
@@ -11,11 +11,11 @@
   // waits for that one's end, afterwards it gets the same whole answer. Nothing runs twice,
   // because the first claim in log order holds the key and the others ask its holder.
   it('retries through another daemon', async () => {
-    const session = new Session('a retry through another daemon');
+    const session = new RecordedSession('a retry through another daemon');
     const one = await session.start('entry-1');
     const two = await session.start('entry-2', 'hall-b');
     const first = await session.ask(one, 'order-1');
-    const early = session.asking(two, 'order-1');
+    const early = session.askInBackground(two, 'order-1');
     await session.fleet.advance(300);
     session.finish(first, 'stitched 400');
     await session.fleet.settle(early);
@@ -24,26 +24,28 @@
     const slow = await session.ask(two, 'order-2');
     await session.ask(one, 'order-2');
     slow.claim!.release();
-    session.note('order-2 is turned away unsent: the queue is full');
+    session.recordLine('order-2 is turned away unsent: the queue is full');
     const again = await session.ask(one, 'order-2');
     again.claim!.lose();
-    session.note('the target of order-2 falls silent');
+    session.recordLine('the target of order-2 falls silent');
     await session.ask(two, 'order-2');
     await session.fleet.settle(
-      session.asking(one, 'order-1', 'POST /another-path'),
+      session.askInBackground(one, 'order-1', 'POST /another-path'),
     );
-    await session.fleet.end();
+    await session.fleet.stopAll();
     assertGolden('retry-through-another-daemon', session.lines);
   });
 
   // The same request comes to two daemons at once. Both claim, the log has one of them
   // first, and only that one runs; the other waits for its answer.
   it('is doubled on its way', async () => {
-    const session = new Session('the same request at two daemons at once');
+    const session = new RecordedSession(
+      'the same request at two daemons at once',
+    );
     const one = await session.start('entry-1');
     const two = await session.start('entry-2', 'hall-b');
     const asked = [one, two, two].map(daemon =>
-      session.asking(daemon, 'order-1'),
+      session.askInBackground(daemon, 'order-1'),
     );
     await session.fleet.advance(50);
     const run = await Promise.race(asked);
@@ -51,15 +53,18 @@
     const decided = await Promise.all(
       asked.map(item => session.fleet.settle(item)),
     );
-    assert.equal(decided.filter(({said}) => said === 'run').length, 1);
-    await session.fleet.end();
+    assert.equal(
+      decided.filter(({decision: said}) => said === 'run').length,
+      1,
+    );
+    await session.fleet.stopAll();
     assertGolden('doubled', session.lines);
   });
 
   // The daemon dies while its request runs. Nobody knows whether it ran, so it is never run
   // again; what had finished before the crash is told as run, from its outcome in the log.
   it('loses its owner', async () => {
-    const session = new Session('the owner of a claim dies');
+    const session = new RecordedSession('the owner of a claim dies');
     const one = await session.start('entry-1');
     const two = await session.start('entry-2', 'hall-b');
     const finished = await session.ask(one, 'order-1');
@@ -67,13 +72,13 @@
     await session.fleet.advance(1500);
     await session.ask(one, 'order-2');
     await session.fleet.crash(one);
-    session.note('entry-1 dies');
+    session.recordLine('entry-1 dies');
     await session.ask(two, 'order-1');
     await session.ask(two, 'order-2');
     const successor = await session.start('entry-1');
     await session.ask(successor, 'order-1');
     await session.ask(successor, 'order-2');
-    await session.fleet.end();
+    await session.fleet.stopAll();
     assertGolden('owner-died', session.lines);
   });
 
@@ -81,50 +86,52 @@
   // are refused at once and told when to come back; answers that are held are replayed all
   // the while. Nothing that was refused runs when the log is back.
   it('meets a log that is down', async () => {
-    const session = new Session('the log is down for ten minutes');
+    const session = new RecordedSession('the log is down for ten minutes');
     const one = await session.start('entry-1');
     const two = await session.start('entry-2', 'hall-b');
     const before = await session.ask(one, 'order-1');
     session.finish(before, 'stitched 400');
-    for (const {log} of [one, two]) log.isCut = true;
-    session.note('the log is down');
+    for (const {log} of [one, two]) log.isUnreachable = true;
+    session.recordLine('the log is down');
     await session.ask(one, 'order-2');
     await session.ask(one, 'order-2');
     await session.ask(two, 'order-1');
     await session.fleet.advance(10 * MINUTE);
     await session.ask(two, 'order-2');
-    for (const {log} of [one, two]) log.isCut = false;
-    session.note('the log is back');
+    for (const {log} of [one, two]) log.isUnreachable = false;
+    session.recordLine('the log is back');
     await session.fleet.advance(10_000);
     await session.ask(two, 'order-2');
-    await session.fleet.end();
+    await session.fleet.stopAll();
     assertGolden('log-down', session.lines);
   });
 
   // The answer to an append is lost. Whether it took effect, takes effect later or twice,
   // the caller is told the truth, and the key is neither blocked nor run twice.
   it('loses the answer to its claim', async () => {
-    const session = new Session('the answer to a claim is lost');
+    const session = new RecordedSession('the answer to a claim is lost');
     const one = await session.start('entry-1');
     const two = await session.start('entry-2', 'hall-b');
-    one.log.fates.push(AppendFate.AnswerLost);
-    session.note('the next append of entry-1 takes effect, its answer is lost');
+    one.log.nextAppendResults.push(InjectedAppendResult.ResponseLost);
+    session.recordLine(
+      'the next append of entry-1 takes effect, its answer is lost',
+    );
     const landed = await session.ask(one, 'order-1');
     session.finish(landed, 'stitched 400');
-    const fates = Array.from({length: 12}, () => AppendFate.Delayed);
-    one.log.fates.push(...fates);
-    session.note('the next appends of entry-1 are held up on their way');
+    const fates = Array.from({length: 12}, () => InjectedAppendResult.Delayed);
+    one.log.nextAppendResults.push(...fates);
+    session.recordLine('the next appends of entry-1 are held up on their way');
     await session.ask(one, 'order-2');
     const elsewhere = await session.ask(two, 'order-2');
     elsewhere.claim!.release();
-    session.note('order-2 is turned away unsent: the queue is full');
+    session.recordLine('order-2 is turned away unsent: the queue is full');
     await session.fleet.advance(100);
-    one.log.fates.length = 0;
-    session.note(`${await one.log.landDelayed()} held up appends land`);
+    one.log.nextAppendResults.length = 0;
+    session.recordLine(`${await one.log.applyDelayed()} held up appends land`);
     const again = await session.ask(two, 'order-2');
     session.finish(again, 'stitched 500');
     await session.ask(one, 'order-2');
-    await session.fleet.end();
+    await session.fleet.stopAll();
     assertGolden('lost-answer', session.lines);
   });
 
@@ -132,13 +139,13 @@
   // the other side hears that the outcome is not known and when to ask again, and gets the
   // whole answer after the cut.
   it('is in a data centre that is cut off', async () => {
-    const session = new Session('a data centre is cut off');
+    const session = new RecordedSession('a data centre is cut off');
     const one = await session.start('entry-1');
     const two = await session.start('entry-2', 'hall-b');
     const first = await session.ask(one, 'order-1');
-    one.log.isCut = true;
-    session.fleet.network.cut('hall-a', 'hall-b');
-    session.note('hall-a is cut off');
+    one.log.isUnreachable = true;
+    session.fleet.network.partition('hall-a', 'hall-b');
+    session.recordLine('hall-a is cut off');
     session.finish(first, 'stitched 400');
     await session.ask(one, 'order-1');
     await session.ask(two, 'order-1');
@@ -146,20 +153,20 @@
     await session.ask(one, 'order-2');
     const other = await session.ask(two, 'order-2');
     session.finish(other, 'stitched 500');
-    one.log.isCut = false;
+    one.log.isUnreachable = false;
     session.fleet.network.heal('hall-a', 'hall-b');
-    session.note('the cut is mended');
+    session.recordLine('the cut is mended');
     await session.fleet.advance(10_000);
     await session.ask(two, 'order-1');
     await session.ask(one, 'order-2');
-    await session.fleet.end();
+    await session.fleet.stopAll();
     assertGolden('data-centre-cut-off', session.lines);
   });
 
   // A key comes again after its claim was forgotten. An issued key tells its birth by its
   // offset and is refused; a caller's own key runs again after the documented window.
   it('is forgotten', async () => {
-    const session = new Session(
+    const session = new RecordedSession(
       'a key comes again after its claim is forgotten',
       {
         onceOnly: {keys: '3', key_secret: 'a secret of the deployment'},
@@ -179,7 +186,7 @@
     await session.ask(one, forged);
     const young = one.claims.issueKey('crest-shop')!;
     session.finish(await session.ask(one, young), 'stitched');
-    await session.fleet.end();
+    await session.fleet.stopAll();
     assertGolden('forgotten-key', session.lines);
   });
 
@@ -187,7 +194,7 @@
   // another before it goes, so that a retry still gets its whole answer; only a crash
   // leaves keys whose answer is gone.
   it('outlives a rolling restart', async () => {
-    const session = new Session('a rolling restart, then a crash');
+    const session = new RecordedSession('a rolling restart, then a crash');
     await session.start('entry-1');
     await session.start('entry-2');
     await session.start('entry-3', 'hall-b');
@@ -198,15 +205,15 @@
     );
     for (const name of ['entry-1', 'entry-2', 'entry-3']) {
       await session.fleet.stop(daemons.get(name)!);
-      session.note(`${name} stops by plan`);
+      session.recordLine(`${name} stops by plan`);
       await session.start(name);
       await session.ask(daemons.get(name)!, 'order-1');
     }
     for (const name of ['entry-1', 'entry-2', 'entry-3'])
       await session.fleet.crash(daemons.get(name)!);
-    session.note('all daemons die at once');
+    session.recordLine('all daemons die at once');
     await session.ask(await session.start('entry-1'), 'order-1');
-    await session.fleet.end();
+    await session.fleet.stopAll();
     assertGolden('planned-hand-over', session.lines);
   });
 });
--- a/packages/specification/src/__tests__/session.ts
+++ b/packages/specification/src/__tests__/recorded-session.ts
@@ -1,57 +1,65 @@
 import {
   ClaimsFleet,
   answerOf,
-  type FleetDaemon,
-  type FleetSettings,
-  type Told,
+  type ClaimsFleetDaemon,
+  type ClaimsFleetOptions,
+  type KeyedRequestOutcome,
 } from './claims-fleet.js';
 
 /** A fleet whose requests and events are written down, line by line. */
-export class Session {
+export class RecordedSession {
   readonly fleet: ClaimsFleet;
   readonly lines: string[] = [];
 
-  constructor(title: string, settings: FleetSettings = {}) {
+  constructor(title: string, settings: ClaimsFleetOptions = {}) {
     this.fleet = new ClaimsFleet(settings);
     this.lines.push(`# ${title}`);
   }
 
-  note(text: string): void {
+  recordLine(text: string): void {
     const at = Math.round(this.fleet.clock.monotonicMilliseconds());
     this.lines.push(`${String(at).padStart(8)} ms  ${text}`);
   }
 
-  async start(name: string, dataCentre?: string): Promise<FleetDaemon> {
+  async start(name: string, dataCentre?: string): Promise<ClaimsFleetDaemon> {
     const daemon = await this.fleet.start(name, dataCentre);
-    this.note(`${name} starts in ${daemon.dataCentre}`);
+    this.recordLine(`${name} starts in ${daemon.dataCentre}`);
     return daemon;
   }
 
   /** Asks and waits for the decision. */
-  async ask(daemon: FleetDaemon, key: string): Promise<Told> {
-    return this.fleet.settle(this.asking(daemon, key));
+  async ask(
+    daemon: ClaimsFleetDaemon,
+    key: string,
+  ): Promise<KeyedRequestOutcome> {
+    return this.fleet.settle(this.askInBackground(daemon, key));
   }
 
   /** Asks; the decision is written when it comes. */
-  async asking(
-    daemon: FleetDaemon,
+  async askInBackground(
+    daemon: ClaimsFleetDaemon,
     key: string,
     fingerprint?: string,
-  ): Promise<Told> {
+  ): Promise<KeyedRequestOutcome> {
     const name = key.startsWith('gd1-') ? 'issued key' : key;
-    this.note(`${daemon.name} <- ${name}`);
+    this.recordLine(`${daemon.name} <- ${name}`);
     const decided = await this.fleet.ask(daemon, key, fingerprint);
-    this.note(`${daemon.name} -> ${name}: ${describeTold(decided)}`);
+    this.recordLine(`${daemon.name} -> ${name}: ${describeOutcome(decided)}`);
     return decided;
   }
 
-  finish(told: Told, text: string): void {
-    this.note(`the target answers "${text}"`);
+  finish(told: KeyedRequestOutcome, text: string): void {
+    this.recordLine(`the target answers "${text}"`);
     told.claim!.finish(answerOf(text));
   }
 }
 
-function describeTold({said, run, answer, retryAfterSeconds}: Told): string {
+function describeOutcome({
+  decision: said,
+  runStatement: run,
+  answer,
+  retryAfterSeconds,
+}: KeyedRequestOutcome): string {
   if (said === 'run') return 'run it';
   const body = answer ? ` "${Buffer.from(answer.body).toString()}"` : '';
   const retry =
--- a/packages/specification/src/__tests__/specification.test.ts
+++ b/packages/specification/src/__tests__/specification.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {SUBJECTS} from '../subjects.js';
+import {MODEL_CHECKS} from '../model-checks.js';
 
 describe('the specification of the core protocol', () => {
-  for (const subject of SUBJECTS) {
-    const result = subject.check();
+  for (const subject of MODEL_CHECKS) {
+    const result = subject.explore();
 
     describe(result.specification, () => {
       it(`holds every invariant in all ${result.states} states`, () => {
@@ -12,11 +12,14 @@
       });
 
       for (const mutation of subject.mutations) {
-        it(`does not hold without ${mutation.without}`, () => {
+        it(`does not hold without ${mutation.removedSafeguard}`, () => {
           const broken = subject
-            .mutate(mutation)
+            .exploreMutation(mutation)
             .violations.map(({invariant}) => invariant);
-          assert.ok(broken.includes(mutation.breaks), broken.join('; '));
+          assert.ok(
+            broken.includes(mutation.brokenInvariant),
+            broken.join('; '),
+          );
         });
       }
     });
--- a/packages/specification/src/__tests__/gated-links.ts
+++ b/packages/specification/src/__tests__/stepwise-peer-links.ts
@@ -6,10 +6,10 @@
 } from '@gentiandoor/shared-state';
 
 /** Peer links whose requests wait for a gate on the way there and on the way back. */
-export class GatedLinks implements PeerLinks {
+export class StepwisePeerLinks implements PeerLinks {
   constructor(
     private readonly links: PeerLinks,
-    private readonly gate: (step: string) => Promise<void>,
+    private readonly waitForStep: (step: string) => Promise<void>,
   ) {}
 
   connected(): readonly Peer[] {
@@ -26,18 +26,18 @@
     message: unknown,
     timeoutMilliseconds: number,
   ): Promise<unknown> {
-    await this.gate(`asks ${incarnation}`);
+    await this.waitForStep(`asks ${incarnation}`);
     const answer = await this.links.request(
       incarnation,
       topic,
       message,
       timeoutMilliseconds,
     );
-    await this.gate(`hears from ${incarnation}`);
+    await this.waitForStep(`hears from ${incarnation}`);
     return answer;
   }
 
-  handle(topic: PeerTopic, handler: PeerHandler): void {
-    this.links.handle(topic, handler);
+  setHandler(topic: PeerTopic, handler: PeerHandler): void {
+    this.links.setHandler(topic, handler);
   }
 }
--- a/packages/specification/src/change-at.ts
+++ b/packages/specification/src/array-updates.ts
@@ -1,5 +1,5 @@
 /** The items with one of them changed; states of a model are never changed in place. */
-export function changeAt<Item extends object>(
+export function mergeAt<Item extends object>(
   items: readonly Item[],
   index: number,
   change: Partial<Item>,
--- a/packages/specification/src/bin/specification.ts
+++ b/packages/specification/src/bin/specification.ts
@@ -1,38 +1,44 @@
 #!/usr/bin/env node
 import type {Exploration} from '../explore.js';
-import {LONG_SUBJECTS, SUBJECTS, type Checkable} from '../subjects.js';
+import {
+  LONG_MODEL_CHECKS,
+  MODEL_CHECKS,
+  type ModelCheck,
+} from '../model-checks.js';
 
-const EXIT_BROKEN = 1;
+const VIOLATION_EXIT_CODE = 1;
 
 function print(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
 function printViolations({violations}: Exploration): void {
-  for (const {promise, invariant, trace} of violations) {
+  for (const {guarantee: promise, invariant, trace} of violations) {
     print(`    ${promise} broken: ${invariant}`);
     trace.forEach((step, index) => print(`      ${index + 1}. ${step}`));
   }
 }
 
-function checkWhole(subject: Checkable): boolean {
-  const result = subject.check();
+function checkUnmutated(subject: ModelCheck): boolean {
+  const result = subject.explore();
   const {specification, states, transitions, violations} = result;
   print(`${specification}: ${states} states, ${transitions} transitions`);
   printViolations(result);
   return violations.length === 0;
 }
 
-function checkMutations(subject: Checkable): boolean {
+function checkMutations(subject: ModelCheck): boolean {
   let allCaught = true;
   for (const mutation of subject.mutations) {
-    const result = subject.mutate(mutation);
+    const result = subject.exploreMutation(mutation);
     const caught = result.violations.some(
-      ({invariant}) => invariant === mutation.breaks,
+      ({invariant}) => invariant === mutation.brokenInvariant,
     );
     allCaught &&= caught;
     const verdict = caught ? 'caught' : 'NOT CAUGHT';
-    print(`  ${mutation.name} (without ${mutation.without}): ${verdict}`);
+    print(
+      `  ${mutation.name} (without ${mutation.removedSafeguard}): ${verdict}`,
+    );
     printViolations(result);
   }
   return allCaught;
@@ -40,13 +46,13 @@
 
 /** Prints the states explored, the mutations and their shortest traces; `--long` adds larger bounds. */
 function main(): number {
-  const long = process.argv.includes('--long') ? LONG_SUBJECTS : [];
+  const long = process.argv.includes('--long') ? LONG_MODEL_CHECKS : [];
   let isWhole = true;
-  for (const subject of [...SUBJECTS, ...long]) {
-    isWhole = checkWhole(subject) && isWhole;
+  for (const subject of [...MODEL_CHECKS, ...long]) {
+    isWhole = checkUnmutated(subject) && isWhole;
     isWhole = checkMutations(subject) && isWhole;
   }
-  return isWhole ? 0 : EXIT_BROKEN;
+  return isWhole ? 0 : VIOLATION_EXIT_CODE;
 }
 
 process.exitCode = main();
--- a/packages/specification/src/budget-model.ts
+++ b/packages/specification/src/budget-model.ts
@@ -1,11 +1,11 @@
 import {
-  Promised,
+  Guarantee,
   type Invariant,
   type Mutation,
   type Specification,
-  type Subject,
+  type SpecificationFactory,
 } from './specification.js';
-import {changeAt} from './change-at.js';
+import {mergeAt} from './array-updates.js';
 
 /** Kinds of records about drains and the planner's term. */
 export enum BudgetRecordKind {
@@ -34,11 +34,11 @@
 
 /** A planner: it decides on what it has read. */
 export interface BudgetPlanner {
-  readonly read: number;
+  readonly nextOffset: number;
   /** Records on their way, oldest first; any may land late. */
-  readonly saying: readonly BudgetRecord[];
+  readonly pendingRecords: readonly BudgetRecord[];
   /** By VM: the drain that it is done with; -1 before the first. */
-  readonly done: readonly number[];
+  readonly lastActedDrains: readonly number[];
 }
 
 /** The whole state: what is agreed, and how the VMs really are. */
@@ -51,16 +51,16 @@
   readonly drainsLeft: number;
   readonly failuresLeft: number;
   readonly termsLeft: number;
-  readonly copiesLeft: number;
+  readonly duplicatesLeft: number;
   /** Copies of records that landed, still on their way. */
-  readonly copies: readonly BudgetRecord[];
+  readonly pendingDuplicates: readonly BudgetRecord[];
 }
 
 /** Bounds of one exploration. */
 export interface BudgetBounds {
   readonly planners: number;
   readonly drains: number;
-  readonly copies: number;
+  readonly duplicates: number;
 }
 
 /** What may happen. */
@@ -68,18 +68,18 @@
   Read = 'read',
   /** A planner takes the role; it believes in it when it reads it back. */
   TakeTerm = 'take_term',
-  Propose = 'propose',
+  ProposeDrain = 'propose',
   /** The oldest record that a planner said lands. */
-  Land = 'land',
+  Append = 'land',
   /** It lands, and a copy is still under way. */
-  LandTwice = 'land_twice',
+  AppendTwice = 'land_twice',
   /** A copy of a record lands, however late. */
-  LandCopy = 'land_copy',
+  AppendDuplicate = 'land_copy',
   /** A planner whose drain stands in the log reboots the VM. */
   Reboot = 'reboot',
   /** The VM is back; its planner says so. */
-  Return = 'return',
-  Fail = 'fail',
+  FinishReboot = 'return',
+  FailVm = 'fail',
 }
 
 /** One thing that happens. */
@@ -91,84 +91,90 @@
 
 /** Safeguards that a mutation takes out. */
 export enum BudgetMutation {
-  PlannerChecksAlone = 'planner-checks-alone',
+  NoBudgetCheckInFold = 'planner-checks-alone',
   NoReserve = 'no-reserve',
   EndAnyDrain = 'end-any-drain',
-  NoTerm = 'no-term',
-  ActUnread = 'act-unread',
-  ActLate = 'act-late',
+  NoTermCheck = 'no-term',
+  ActBeforeReadBack = 'act-unread',
+  ActAfterTermEnd = 'act-late',
 }
 
 const VMS = [0, 1, 2];
 /** The VMs are alike: those that drain and the one that fails are named beforehand. */
-const DRAINED = [0, 1];
-const FAILING = 2;
-const NEEDED = 1;
-const LARGEST_LOSS = 1;
+const DRAINABLE_VMS = [0, 1];
+const FAILING_VM = 2;
+const REQUIRED_VMS = 1;
+const LARGEST_FAILURE_VMS = 1;
 
 const BUDGET_HELD =
   'the service keeps its VMs through drains and the failure that its budget names';
-const ONE_PLANNER = 'nothing of an older term takes effect after a newer one';
+const TERMS_IN_ORDER =
+  'nothing of an older term takes effect after a newer one';
 
-const T = BudgetEventType;
-const K = BudgetRecordKind;
-const M = BudgetMutation;
+const EventType = BudgetEventType;
+const RecordKind = BudgetRecordKind;
+const MutationName = BudgetMutation;
 
-const FIRST: FoldedBudget = {
+const INITIAL_BUDGET: FoldedBudget = {
   term: 0,
   holder: -1,
   drains: VMS.map(() => -1),
 };
 
 /** Whether one more VM may leave by plan. */
-function allows({drains}: FoldedBudget, vm: number, reserve: number): boolean {
+function allowsDrain(
+  {drains}: FoldedBudget,
+  vm: number,
+  reserve: number,
+): boolean {
   if (drains[vm] >= 0) return false;
   const available = VMS.filter(of => drains[of] < 0).length;
-  return available - 1 - reserve >= NEEDED;
+  return available - 1 - reserve >= REQUIRED_VMS;
 }
 
 /** Three VMs of one service that needs one, and must live through the loss of one. */
 class BudgetSpecification implements Specification<BudgetState, BudgetEvent> {
   readonly name: string;
   readonly bounds: string;
-  readonly initial: BudgetState;
+  readonly initialState: BudgetState;
   readonly invariants: ReadonlyArray<Invariant<BudgetState>> = [
     {
-      promise: Promised.BudgetHeld,
+      guarantee: Guarantee.BudgetHeld,
       name: BUDGET_HELD,
       holds: ({rebooting, failed}) =>
-        VMS.filter(vm => rebooting[vm] < 0 && !failed[vm]).length >= NEEDED,
+        VMS.filter(vm => rebooting[vm] < 0 && !failed[vm]).length >=
+        REQUIRED_VMS,
     },
     {
-      promise: Promised.BudgetHeld,
-      name: ONE_PLANNER,
+      guarantee: Guarantee.BudgetHeld,
+      name: TERMS_IN_ORDER,
       holds: ({log}) => {
-        const terms = this.effective(log);
+        const terms = this.acceptedTerms(log);
         return terms.every((term, at) => at === 0 || term >= terms[at - 1]);
       },
     },
   ];
 
   constructor(
-    {planners, drains, copies}: BudgetBounds,
+    {planners, drains, duplicates: copies}: BudgetBounds,
     private readonly mutation: string | undefined,
   ) {
     this.name = `budget (${planners} planners, ${drains} drains, 1 failure, ${copies} doubled)`;
     this.bounds = `3 VMs, 1 needed after the loss of 1; ${planners} planners, each once in office, ${drains} drains, 1 failure, ${copies} doubled records, any record late`;
-    this.initial = {
+    this.initialState = {
       log: [],
       planners: Array.from({length: planners}, () => ({
-        read: 0,
-        saying: [],
-        done: VMS.map(() => -1),
+        nextOffset: 0,
+        pendingRecords: [],
+        lastActedDrains: VMS.map(() => -1),
       })),
       rebooting: VMS.map(() => -1),
       failed: VMS.map(() => false),
       drainsLeft: drains,
       failuresLeft: 1,
       termsLeft: planners,
-      copiesLeft: copies,
-      copies: [],
+      duplicatesLeft: copies,
+      pendingDuplicates: [],
     };
   }
 
@@ -177,7 +183,7 @@
     return planner < 0 ? `${type}${at}` : `planner ${planner}: ${type}${at}`;
   }
 
-  events(state: BudgetState): BudgetEvent[] {
+  enabledEvents(state: BudgetState): BudgetEvent[] {
     const events: BudgetEvent[] = [];
     const add = (
       type: BudgetEventType,
@@ -187,67 +193,89 @@
     ) => {
       if (when) events.push({type, planner, vm});
     };
-    const folds = state.planners.map(({read}) =>
+    const folds = state.planners.map(({nextOffset: read}) =>
       this.fold(state.log.slice(0, read)),
     );
-    state.planners.forEach(({read, saying}, planner) => {
-      const isIdle = saying.length === 0;
-      const holds = folds[planner].holder === planner;
-      const mayTake = state.termsLeft > 0 && isIdle && !holds;
-      add(T.Read, planner, -1, read < state.log.length);
-      add(T.TakeTerm, planner, -1, mayTake && isFirst(state, planner));
-      add(T.Land, planner, -1, !isIdle);
-      add(T.LandTwice, planner, -1, !isIdle && state.copiesLeft > 0);
-      if (holds) this.addWork(state, planner, folds[planner], add);
-    });
-    add(T.LandCopy, -1, -1, state.copies.length > 0);
-    add(T.Fail, -1, FAILING, state.failuresLeft > 0);
+    state.planners.forEach(
+      ({nextOffset: read, pendingRecords: saying}, planner) => {
+        const isIdle = saying.length === 0;
+        const holds = folds[planner].holder === planner;
+        const mayTake = state.termsLeft > 0 && isIdle && !holds;
+        add(EventType.Read, planner, -1, read < state.log.length);
+        add(
+          EventType.TakeTerm,
+          planner,
+          -1,
+          mayTake && isFirst(state, planner),
+        );
+        add(EventType.Append, planner, -1, !isIdle);
+        add(
+          EventType.AppendTwice,
+          planner,
+          -1,
+          !isIdle && state.duplicatesLeft > 0,
+        );
+        if (holds) this.addHolderEvents(state, planner, folds[planner], add);
+      },
+    );
+    add(EventType.AppendDuplicate, -1, -1, state.pendingDuplicates.length > 0);
+    add(EventType.FailVm, -1, FAILING_VM, state.failuresLeft > 0);
     return events;
   }
 
   step(state: BudgetState, {type, planner, vm}: BudgetEvent): BudgetState {
     switch (type) {
-      case T.Read:
+      case EventType.Read:
         // Reading changes nothing but what is known: to stop halfway is to have read earlier.
-        return withPlanner(state, planner, {read: state.log.length});
-      case T.TakeTerm:
+        return withPlanner(state, planner, {nextOffset: state.log.length});
+      case EventType.TakeTerm:
         return {
-          ...this.say(state, planner, K.TermTaken, -1),
+          ...this.queueRecord(state, planner, RecordKind.TermTaken, -1),
           termsLeft: state.termsLeft - 1,
         };
-      case T.Propose:
+      case EventType.ProposeDrain:
         return {
-          ...this.say(state, planner, K.DrainStarted, vm),
+          ...this.queueRecord(state, planner, RecordKind.DrainStarted, vm),
           drainsLeft: state.drainsLeft - 1,
         };
-      case T.Land:
-        return land(state, planner, false);
-      case T.LandTwice:
-        return land(state, planner, true);
-      case T.LandCopy: {
-        const [copy, ...copies] = state.copies;
-        return {...state, log: [...state.log, copy], copies};
+      case EventType.Append:
+        return appendOldestPending(state, planner, false);
+      case EventType.AppendTwice:
+        return appendOldestPending(state, planner, true);
+      case EventType.AppendDuplicate: {
+        const [copy, ...copies] = state.pendingDuplicates;
+        return {...state, log: [...state.log, copy], pendingDuplicates: copies};
       }
-      case T.Reboot: {
+      case EventType.Reboot: {
         const at = this.drainOf(state, planner, vm);
-        const noted = this.noteDone(state, planner, vm, at);
-        return {...noted, rebooting: replaced(state.rebooting, vm, at)};
+        const noted = this.recordActedDrain(state, planner, vm, at);
+        return {...noted, rebooting: withValueAt(state.rebooting, vm, at)};
       }
-      case T.Return: {
-        const noted = this.noteDone(state, planner, vm, state.rebooting[vm]);
-        const rebooting = replaced(state.rebooting, vm, -1);
-        return this.say({...noted, rebooting}, planner, K.DrainEnded, vm);
+      case EventType.FinishReboot: {
+        const noted = this.recordActedDrain(
+          state,
+          planner,
+          vm,
+          state.rebooting[vm],
+        );
+        const rebooting = withValueAt(state.rebooting, vm, -1);
+        return this.queueRecord(
+          {...noted, rebooting},
+          planner,
+          RecordKind.DrainEnded,
+          vm,
+        );
       }
-      case T.Fail:
+      case EventType.FailVm:
         return {
           ...state,
-          failed: replaced(state.failed, vm, true),
+          failed: withValueAt(state.failed, vm, true),
           failuresLeft: state.failuresLeft - 1,
         };
     }
   }
 
-  private addWork(
+  private addHolderEvents(
     state: BudgetState,
     planner: number,
     folded: FoldedBudget,
@@ -258,17 +286,22 @@
       when: boolean,
     ) => void,
   ): void {
-    const isIdle = state.planners[planner].saying.length === 0;
+    const isIdle = state.planners[planner].pendingRecords.length === 0;
     const reserve = this.reserve();
-    for (const vm of DRAINED) {
+    for (const vm of DRAINABLE_VMS) {
       const {drains} = folded;
       const sees = isIdle && state.drainsLeft > 0;
-      add(T.Propose, planner, vm, sees && allows(folded, vm, reserve));
+      add(
+        EventType.ProposeDrain,
+        planner,
+        vm,
+        sees && allowsDrain(folded, vm, reserve),
+      );
       const isOut = state.rebooting[vm] >= 0;
       const mayReboot = this.mayReboot(state, planner, vm);
-      add(T.Reboot, planner, vm, !isOut && mayReboot);
+      add(EventType.Reboot, planner, vm, !isOut && mayReboot);
       const isOwn = isOut && state.rebooting[vm] === drains[vm];
-      add(T.Return, planner, vm, isIdle && isOwn);
+      add(EventType.FinishReboot, planner, vm, isIdle && isOwn);
     }
   }
 
@@ -277,8 +310,12 @@
   // lease of the planner, which a new term has ended.
   private mayReboot(state: BudgetState, planner: number, vm: number): boolean {
     const drain = this.drainOf(state, planner, vm);
-    if (drain < 0 || drain <= state.planners[planner].done[vm]) return false;
-    if (this.mutation === M.ActUnread || this.mutation === M.ActLate)
+    if (drain < 0 || drain <= state.planners[planner].lastActedDrains[vm])
+      return false;
+    if (
+      this.mutation === MutationName.ActBeforeReadBack ||
+      this.mutation === MutationName.ActAfterTermEnd
+    )
       return true;
     const {holder, drains} = this.fold(state.log);
     return holder === planner && drains[vm] === drain;
@@ -286,11 +323,11 @@
 
   /** The drain on which a planner may act: one that it has read in the log. */
   private drainOf(state: BudgetState, planner: number, vm: number): number {
-    const {read, saying} = state.planners[planner];
+    const {nextOffset: read, pendingRecords: saying} = state.planners[planner];
     const known = this.fold(state.log.slice(0, read));
-    if (this.mutation === M.ActUnread) {
+    if (this.mutation === MutationName.ActBeforeReadBack) {
       const isSaid = saying.some(
-        record => record.kind === K.DrainStarted && record.vm === vm,
+        record => record.kind === RecordKind.DrainStarted && record.vm === vm,
       );
       if (isSaid) return state.log.length;
     }
@@ -298,44 +335,48 @@
   }
 
   /** A planner acts once under one drain, and not at all after it said that it ended. */
-  private noteDone(
+  private recordActedDrain(
     state: BudgetState,
     planner: number,
     vm: number,
     drain: number,
   ): BudgetState {
-    const {done} = state.planners[planner];
-    return withPlanner(state, planner, {done: replaced(done, vm, drain)});
+    const {lastActedDrains: done} = state.planners[planner];
+    return withPlanner(state, planner, {
+      lastActedDrains: withValueAt(done, vm, drain),
+    });
   }
 
-  private say(
+  private queueRecord(
     state: BudgetState,
     planner: number,
     kind: BudgetRecordKind,
     vm: number,
   ): BudgetState {
-    const {read, saying} = state.planners[planner];
+    const {nextOffset: read, pendingRecords: saying} = state.planners[planner];
     const {term, drains} = this.fold(state.log.slice(0, read));
-    const startedAt = kind === K.DrainEnded ? drains[vm] : -1;
+    const startedAt = kind === RecordKind.DrainEnded ? drains[vm] : -1;
     const record = {kind, planner, term, vm, startedAt};
-    return withPlanner(state, planner, {saying: [...saying, record]});
+    return withPlanner(state, planner, {pendingRecords: [...saying, record]});
   }
 
   private fold(log: readonly BudgetRecord[]): FoldedBudget {
     return log.reduce<FoldedBudget>(
       (state, record, offset) => this.apply(state, record, offset) ?? state,
-      FIRST,
+      INITIAL_BUDGET,
     );
   }
 
   /** Terms of the records that took effect, in their order. */
-  private effective(log: readonly BudgetRecord[]): number[] {
+  private acceptedTerms(log: readonly BudgetRecord[]): number[] {
     const terms: number[] = [];
-    let state = FIRST;
+    let state = INITIAL_BUDGET;
     log.forEach((record, offset) => {
       const next = this.apply(state, record, offset);
       if (!next) return;
-      terms.push(record.kind === K.TermTaken ? next.term : record.term);
+      terms.push(
+        record.kind === RecordKind.TermTaken ? next.term : record.term,
+      );
       state = next;
     });
     return terms;
@@ -348,33 +389,34 @@
     offset: number,
   ): FoldedBudget | undefined {
     const {kind, planner, term, vm, startedAt} = record;
-    if (kind === K.TermTaken) {
+    if (kind === RecordKind.TermTaken) {
       if (term !== state.term) return undefined;
       return {...state, term: term + 1, holder: planner};
     }
     const isStale = term !== state.term || planner !== state.holder;
-    if (isStale && this.mutation !== M.NoTerm) return undefined;
+    if (isStale && this.mutation !== MutationName.NoTermCheck) return undefined;
     const {drains} = state;
     switch (kind) {
-      case K.DrainStarted: {
-        const checks = this.mutation !== M.PlannerChecksAlone;
+      case RecordKind.DrainStarted: {
+        const checks = this.mutation !== MutationName.NoBudgetCheckInFold;
         const isAllowed = checks
-          ? allows(state, vm, this.reserve())
+          ? allowsDrain(state, vm, this.reserve())
           : drains[vm] < 0;
         if (!isAllowed) return undefined;
-        return {...state, drains: replaced(drains, vm, offset)};
+        return {...state, drains: withValueAt(drains, vm, offset)};
       }
-      case K.DrainEnded: {
+      case RecordKind.DrainEnded: {
         const isNamed = drains[vm] === startedAt;
-        const isAny = this.mutation === M.EndAnyDrain && drains[vm] >= 0;
+        const isAny =
+          this.mutation === MutationName.EndAnyDrain && drains[vm] >= 0;
         if (!isNamed && !isAny) return undefined;
-        return {...state, drains: replaced(drains, vm, -1)};
+        return {...state, drains: withValueAt(drains, vm, -1)};
       }
     }
   }
 
   private reserve(): number {
-    return this.mutation === M.NoReserve ? 0 : LARGEST_LOSS;
+    return this.mutation === MutationName.NoReserve ? 0 : LARGEST_FAILURE_VMS;
   }
 }
 
@@ -383,19 +425,19 @@
   return planner === 0 || state.log.length > 0;
 }
 
-function land(
+function appendOldestPending(
   state: BudgetState,
   planner: number,
   twice: boolean,
 ): BudgetState {
-  const [record, ...saying] = state.planners[planner].saying;
-  const landed = withPlanner(state, planner, {saying});
-  const {copies, copiesLeft} = state;
+  const [record, ...saying] = state.planners[planner].pendingRecords;
+  const landed = withPlanner(state, planner, {pendingRecords: saying});
+  const {pendingDuplicates: copies, duplicatesLeft: copiesLeft} = state;
   return {
     ...landed,
     log: [...state.log, record],
-    copies: twice ? [...copies, record] : copies,
-    copiesLeft: copiesLeft - (twice ? 1 : 0),
+    pendingDuplicates: twice ? [...copies, record] : copies,
+    duplicatesLeft: copiesLeft - (twice ? 1 : 0),
   };
 }
 
@@ -404,11 +446,11 @@
   planner: number,
   change: Partial<BudgetPlanner>,
 ): BudgetState {
-  const planners = changeAt(state.planners, planner, change);
+  const planners = mergeAt(state.planners, planner, change);
   return {...state, planners};
 }
 
-function replaced<Value>(
+function withValueAt<Value>(
   values: readonly Value[],
   place: number,
   value: Value,
@@ -418,47 +460,48 @@
 
 const ONE_PLANNER_MUTATIONS: readonly Mutation[] = [
   {
-    name: M.NoReserve,
-    without: 'keeping the largest failure in reserve',
-    breaks: BUDGET_HELD,
+    name: MutationName.NoReserve,
+    removedSafeguard: 'keeping the largest failure in reserve',
+    brokenInvariant: BUDGET_HELD,
   },
   {
-    name: M.EndAnyDrain,
-    without: 'the identity of the drain in the record that ends it',
-    breaks: BUDGET_HELD,
+    name: MutationName.EndAnyDrain,
+    removedSafeguard: 'the identity of the drain in the record that ends it',
+    brokenInvariant: BUDGET_HELD,
   },
   {
-    name: M.ActUnread,
-    without: 'reading a drain back before the VM is rebooted',
-    breaks: BUDGET_HELD,
+    name: MutationName.ActBeforeReadBack,
+    removedSafeguard: 'reading a drain back before the VM is rebooted',
+    brokenInvariant: BUDGET_HELD,
   },
 ];
 
 const TWO_PLANNERS_MUTATIONS: readonly Mutation[] = [
   {
-    name: M.PlannerChecksAlone,
-    without: 'the check of the budget in the fold',
-    breaks: BUDGET_HELD,
+    name: MutationName.NoBudgetCheckInFold,
+    removedSafeguard: 'the check of the budget in the fold',
+    brokenInvariant: BUDGET_HELD,
   },
   {
-    name: M.ActLate,
-    without: 'the platform refusing the call of a planner whose term is over',
-    breaks: BUDGET_HELD,
+    name: MutationName.ActAfterTermEnd,
+    removedSafeguard:
+      'the platform refusing the call of a planner whose term is over',
+    brokenInvariant: BUDGET_HELD,
   },
   {
-    name: M.NoTerm,
-    without: 'the fence of the planner by its term',
-    breaks: ONE_PLANNER,
+    name: MutationName.NoTermCheck,
+    removedSafeguard: 'the fence of the planner by its term',
+    brokenInvariant: TERMS_IN_ORDER,
   },
 ];
 
 /** The availability budget of one service, within the given bounds. */
-export function budgetWithin(
+export function budgetSpecifications(
   bounds: BudgetBounds,
-): Subject<BudgetState, BudgetEvent> {
+): SpecificationFactory<BudgetState, BudgetEvent> {
   return {
     mutations:
       bounds.planners > 1 ? TWO_PLANNERS_MUTATIONS : ONE_PLANNER_MUTATIONS,
-    make: mutation => new BudgetSpecification(bounds, mutation),
+    create: mutation => new BudgetSpecification(bounds, mutation),
   };
 }
--- a/packages/specification/src/bundle-model.ts
+++ b/packages/specification/src/bundle-model.ts
@@ -1,9 +1,9 @@
 import {
-  Promised,
+  Guarantee,
   type Invariant,
   type Mutation,
   type Specification,
-  type Subject,
+  type SpecificationFactory,
 } from './specification.js';
 
 /** A signed-off bundle: its version, the version that it builds on, what it says. */
@@ -27,19 +27,19 @@
 /** An entry daemon. */
 export interface BundleDaemon {
   /** Offset that it reads next. */
-  readonly read: number;
+  readonly nextOffset: number;
   /** In force by what it has read. */
   readonly folded: BundleVersion;
   /** The newest that a peer gave it. */
-  readonly taken: BundleVersion;
+  readonly receivedFromPeer: BundleVersion;
   /** It serves nothing before it has read so far. */
-  readonly target: number;
+  readonly endOffsetAtStart: number;
   /** Version in force in the log when it started. */
-  readonly startVersion: number;
+  readonly versionAtStart: number;
   /** Highest version under which this incarnation served. */
-  readonly served: number;
-  readonly wentBack: boolean;
-  readonly servedOld: boolean;
+  readonly highestServedVersion: number;
+  readonly hasRolledBack: boolean;
+  readonly hasServedStaleAtStart: boolean;
 }
 
 /** The whole state. */
@@ -49,8 +49,8 @@
   readonly oldest: number;
   readonly snapshots: readonly BundleSnapshot[];
   readonly daemons: readonly BundleDaemon[];
-  readonly publishes: number;
-  readonly restarts: number;
+  readonly publishesLeft: number;
+  readonly restartsLeft: number;
   readonly snapshotsLeft: number;
 }
 
@@ -60,20 +60,20 @@
   Publish = 'publish',
   Read = 'read',
   /** A daemon takes the bundle of the other one. */
-  Hear = 'hear',
+  ReceiveFromPeer = 'hear',
   Restart = 'restart',
   WriteSnapshot = 'write_snapshot',
   /** The log lets its oldest record go. */
-  Retain = 'retain',
+  TruncateLog = 'retain',
   LoadSnapshot = 'load_snapshot',
 }
 
 /** One thing that happens. */
 export interface BundleEvent {
   readonly type: BundleEventType;
-  readonly of: number;
+  readonly daemonOrVersionsBehind: number;
   /** Place of a snapshot. */
-  readonly which: number;
+  readonly snapshotIndex: number;
 }
 
 /** Safeguards that a mutation takes out. */
@@ -81,21 +81,21 @@
   AnyBase = 'any-base',
   SnapshotAnyAge = 'snapshot-any-age',
   PeerAnyVersion = 'peer-any-version',
-  LogOverPeer = 'log-over-peer',
+  ForgetPeerVersionOnRead = 'log-over-peer',
   ServeAtOnce = 'serve-at-once',
 }
 
-const NOTHING: BundleVersion = {version: 0, digest: ''};
+const NO_BUNDLE: BundleVersion = {version: 0, digest: ''};
 const DAEMONS = ['a', 'b'];
-const STALE_BASES = [0, 1];
+const VERSIONS_BEHIND = [0, 1];
 
-const NEVER_BACK = 'a daemon never goes back to an older version';
-const NOT_OLD_AT_START =
+const NO_VERSION_ROLLBACK = 'a daemon never goes back to an older version';
+const NOT_STALE_AT_START =
   'a fresh daemon serves nothing older than the log had in force when it started';
-const ONE_DIGEST = 'one version is one bundle at all daemons';
+const ONE_DIGEST_PER_VERSION = 'one version is one bundle at all daemons';
 
-const T = BundleEventType;
-const M = BundleMutation;
+const EventType = BundleEventType;
+const MutationName = BundleMutation;
 
 /** The fold of the specification over a stretch of the log. */
 export function foldBundles(
@@ -104,7 +104,7 @@
   mutation?: string,
 ): BundleVersion {
   return log.reduce((inForce, {version, base, digest}) => {
-    const fits = base === inForce.version || mutation === M.AnyBase;
+    const fits = base === inForce.version || mutation === MutationName.AnyBase;
     return fits ? {version, digest} : inForce;
   }, from);
 }
@@ -114,29 +114,31 @@
   readonly name = 'bundles (2 published, 1 restart, 1 snapshot)';
   readonly bounds =
     '2 daemons, 2 bundles on the newest or the version before, 1 restart, 1 snapshot, retention';
-  readonly initial: BundleState = {
+  readonly initialState: BundleState = {
     log: [],
     oldest: 0,
     snapshots: [],
-    daemons: DAEMONS.map(() => fresh(0, 0)),
-    publishes: 2,
-    restarts: 1,
+    daemons: DAEMONS.map(() => createDaemon(0, 0)),
+    publishesLeft: 2,
+    restartsLeft: 1,
     snapshotsLeft: 1,
   };
   readonly invariants: ReadonlyArray<Invariant<BundleState>> = [
     {
-      promise: Promised.NeverBack,
-      name: NEVER_BACK,
-      holds: ({daemons}) => daemons.every(({wentBack}) => !wentBack),
+      guarantee: Guarantee.NoVersionRollback,
+      name: NO_VERSION_ROLLBACK,
+      holds: ({daemons}) =>
+        daemons.every(({hasRolledBack: wentBack}) => !wentBack),
     },
     {
-      promise: Promised.NeverBack,
-      name: NOT_OLD_AT_START,
-      holds: ({daemons}) => daemons.every(({servedOld}) => !servedOld),
+      guarantee: Guarantee.NoVersionRollback,
+      name: NOT_STALE_AT_START,
+      holds: ({daemons}) =>
+        daemons.every(({hasServedStaleAtStart: servedOld}) => !servedOld),
     },
     {
-      promise: Promised.NeverBack,
-      name: ONE_DIGEST,
+      guarantee: Guarantee.NoVersionRollback,
+      name: ONE_DIGEST_PER_VERSION,
       holds: ({daemons}) => {
         const [left, right] = daemons.map(daemon => this.inForce(daemon));
         return left.version !== right.version || left.digest === right.digest;
@@ -146,15 +148,20 @@
 
   constructor(private readonly mutation: string | undefined) {}
 
-  describe({type, of, which}: BundleEvent): string {
-    if (type === T.Publish)
+  describe({
+    type,
+    daemonOrVersionsBehind: of,
+    snapshotIndex: which,
+  }: BundleEvent): string {
+    if (type === EventType.Publish)
       return `an operator publishes, ${of} versions behind`;
-    if (type === T.Retain) return 'the log lets its oldest record go';
+    if (type === EventType.TruncateLog)
+      return 'the log lets its oldest record go';
     const name = `daemon ${DAEMONS[of]}: ${type}`;
-    return type === T.LoadSnapshot ? `${name} ${which}` : name;
+    return type === EventType.LoadSnapshot ? `${name} ${which}` : name;
   }
 
-  events(state: BundleState): BundleEvent[] {
+  enabledEvents(state: BundleState): BundleEvent[] {
     const events: BundleEvent[] = [];
     const add = (
       type: BundleEventType,
@@ -162,44 +169,52 @@
       when: boolean,
       which = 0,
     ) => {
-      if (when) events.push({type, of, which});
+      if (when)
+        events.push({type, daemonOrVersionsBehind: of, snapshotIndex: which});
     };
-    const {version} = this.newest(state);
-    for (const behind of STALE_BASES)
-      add(T.Publish, behind, state.publishes > 0 && version >= behind);
+    const {version} = this.newestInLog(state);
+    for (const behind of VERSIONS_BEHIND)
+      add(
+        EventType.Publish,
+        behind,
+        state.publishesLeft > 0 && version >= behind,
+      );
     const covered = state.snapshots.some(({offset}) => offset > state.oldest);
-    add(T.Retain, -1, covered && state.oldest < state.log.length);
+    add(EventType.TruncateLog, -1, covered && state.oldest < state.log.length);
     state.daemons.forEach((daemon, of) => {
-      const {read} = daemon;
+      const {nextOffset: read} = daemon;
       const other = this.inForce(state.daemons[1 - of]);
       const isNewer = other.version > this.inForce(daemon).version;
-      const mayHear = isNewer || this.mutation === M.PeerAnyVersion;
-      add(T.Read, of, read >= state.oldest && read < state.log.length);
-      add(T.Hear, of, other.version > 0 && mayHear);
-      add(T.Restart, of, state.restarts > 0);
-      add(T.WriteSnapshot, of, state.snapshotsLeft > 0 && read > 0);
+      const mayHear = isNewer || this.mutation === MutationName.PeerAnyVersion;
+      add(EventType.Read, of, read >= state.oldest && read < state.log.length);
+      add(EventType.ReceiveFromPeer, of, other.version > 0 && mayHear);
+      add(EventType.Restart, of, state.restartsLeft > 0);
+      add(EventType.WriteSnapshot, of, state.snapshotsLeft > 0 && read > 0);
       state.snapshots.forEach(({offset}, which) => {
         const helps = read < state.oldest && offset > read;
-        const may = helps || this.mutation === M.SnapshotAnyAge;
-        add(T.LoadSnapshot, of, may, which);
+        const may = helps || this.mutation === MutationName.SnapshotAnyAge;
+        add(EventType.LoadSnapshot, of, may, which);
       });
     });
     return events;
   }
 
-  step(state: BundleState, {type, of, which}: BundleEvent): BundleState {
+  step(
+    state: BundleState,
+    {type, daemonOrVersionsBehind: of, snapshotIndex: which}: BundleEvent,
+  ): BundleState {
     switch (type) {
-      case T.Publish:
+      case EventType.Publish:
         return this.publish(state, of);
-      case T.Retain:
+      case EventType.TruncateLog:
         return {...state, oldest: state.oldest + 1};
-      case T.Restart: {
-        const {version} = this.newest(state);
-        const started = fresh(state.log.length, version);
+      case EventType.Restart: {
+        const {version} = this.newestInLog(state);
+        const started = createDaemon(state.log.length, version);
         const restarted = this.withDaemon(state, of, started);
-        return {...restarted, restarts: state.restarts - 1};
+        return {...restarted, restartsLeft: state.restartsLeft - 1};
       }
-      case T.WriteSnapshot:
+      case EventType.WriteSnapshot:
         return writeSnapshot(state, of);
       default:
         return this.withDaemon(
@@ -217,37 +232,46 @@
     which: number,
   ): BundleDaemon {
     const daemon = state.daemons[of];
-    if (type === T.Hear)
-      return {...daemon, taken: this.inForce(state.daemons[1 - of])};
-    if (type === T.LoadSnapshot) {
+    if (type === EventType.ReceiveFromPeer)
+      return {...daemon, receivedFromPeer: this.inForce(state.daemons[1 - of])};
+    if (type === EventType.LoadSnapshot) {
       const {offset, version, digest} = state.snapshots[which];
-      return {...daemon, read: offset, folded: {version, digest}};
+      return {...daemon, nextOffset: offset, folded: {version, digest}};
     }
-    const next = state.log.slice(daemon.read, daemon.read + 1);
+    const next = state.log.slice(daemon.nextOffset, daemon.nextOffset + 1);
     const folded = foldBundles(next, daemon.folded, this.mutation);
-    const isForgotten = this.mutation === M.LogOverPeer;
-    const taken = isForgotten ? NOTHING : daemon.taken;
-    return {...daemon, read: daemon.read + 1, folded, taken};
+    const isForgotten = this.mutation === MutationName.ForgetPeerVersionOnRead;
+    const taken = isForgotten ? NO_BUNDLE : daemon.receivedFromPeer;
+    return {
+      ...daemon,
+      nextOffset: daemon.nextOffset + 1,
+      folded,
+      receivedFromPeer: taken,
+    };
   }
 
   private publish(state: BundleState, behind: number): BundleState {
-    const base = this.newest(state).version - behind;
-    const digest = String.fromCharCode(120 + state.publishes);
+    const base = this.newestInLog(state).version - behind;
+    const digest = String.fromCharCode(120 + state.publishesLeft);
     return {
       ...state,
       log: [...state.log, {version: base + 1, base, digest}],
-      publishes: state.publishes - 1,
+      publishesLeft: state.publishesLeft - 1,
     };
   }
 
   /** What the whole log has in force. */
-  private newest({log}: BundleState): BundleVersion {
-    return foldBundles(log, NOTHING, this.mutation);
+  private newestInLog({log}: BundleState): BundleVersion {
+    return foldBundles(log, NO_BUNDLE, this.mutation);
   }
 
   /** What a daemon follows: the higher of what it read and what it heard. */
-  private inForce({folded, taken}: BundleDaemon): BundleVersion {
-    if (this.mutation === M.PeerAnyVersion && taken.version > 0) return taken;
+  private inForce({
+    folded,
+    receivedFromPeer: taken,
+  }: BundleDaemon): BundleVersion {
+    if (this.mutation === MutationName.PeerAnyVersion && taken.version > 0)
+      return taken;
     return taken.version > folded.version ? taken : folded;
   }
 
@@ -257,44 +281,46 @@
     changed: BundleDaemon,
   ): BundleState {
     const daemons = state.daemons.map((daemon, place) =>
-      place === of ? this.serve(changed) : daemon,
+      place === of ? this.recordServedVersion(changed) : daemon,
     );
     return {...state, daemons};
   }
 
   /** Notes the version under which a daemon serves. */
-  private serve(daemon: BundleDaemon): BundleDaemon {
+  private recordServedVersion(daemon: BundleDaemon): BundleDaemon {
     const {version} = this.inForce(daemon);
     const isReady =
-      daemon.read >= daemon.target || this.mutation === M.ServeAtOnce;
+      daemon.nextOffset >= daemon.endOffsetAtStart ||
+      this.mutation === MutationName.ServeAtOnce;
     if (!isReady || version === 0) return daemon;
     return {
       ...daemon,
-      served: Math.max(daemon.served, version),
-      wentBack: daemon.wentBack || version < daemon.served,
-      servedOld:
-        daemon.servedOld ||
-        (daemon.served === 0 && version < daemon.startVersion),
+      highestServedVersion: Math.max(daemon.highestServedVersion, version),
+      hasRolledBack:
+        daemon.hasRolledBack || version < daemon.highestServedVersion,
+      hasServedStaleAtStart:
+        daemon.hasServedStaleAtStart ||
+        (daemon.highestServedVersion === 0 && version < daemon.versionAtStart),
     };
   }
 }
 
 /** Reads from the first offset on; where that is gone, it has to load a snapshot. */
-function fresh(target: number, startVersion: number): BundleDaemon {
+function createDaemon(target: number, startVersion: number): BundleDaemon {
   return {
-    read: 0,
-    folded: NOTHING,
-    taken: NOTHING,
-    target,
-    startVersion,
-    served: 0,
-    wentBack: false,
-    servedOld: false,
+    nextOffset: 0,
+    folded: NO_BUNDLE,
+    receivedFromPeer: NO_BUNDLE,
+    endOffsetAtStart: target,
+    versionAtStart: startVersion,
+    highestServedVersion: 0,
+    hasRolledBack: false,
+    hasServedStaleAtStart: false,
   };
 }
 
 function writeSnapshot(state: BundleState, of: number): BundleState {
-  const {read: offset, folded} = state.daemons[of];
+  const {nextOffset: offset, folded} = state.daemons[of];
   const isWhole = folded.version > 0;
   const snapshots = isWhole
     ? [...state.snapshots, {offset, ...folded}]
@@ -304,34 +330,39 @@
 
 const MUTATIONS: readonly Mutation[] = [
   {
-    name: M.AnyBase,
-    without: 'the check that a bundle builds on the version in force',
-    breaks: ONE_DIGEST,
+    name: MutationName.AnyBase,
+    removedSafeguard: 'the check that a bundle builds on the version in force',
+    brokenInvariant: ONE_DIGEST_PER_VERSION,
   },
   {
-    name: M.SnapshotAnyAge,
-    without: 'refusing a snapshot older than what is known',
-    breaks: NEVER_BACK,
+    name: MutationName.SnapshotAnyAge,
+    removedSafeguard: 'refusing a snapshot older than what is known',
+    brokenInvariant: NO_VERSION_ROLLBACK,
   },
   {
-    name: M.PeerAnyVersion,
-    without: 'refusing an older version of a peer',
-    breaks: NEVER_BACK,
+    name: MutationName.PeerAnyVersion,
+    removedSafeguard: 'refusing an older version of a peer',
+    brokenInvariant: NO_VERSION_ROLLBACK,
   },
   {
-    name: M.LogOverPeer,
-    without: 'keeping a version heard of while the log is still being read',
-    breaks: NEVER_BACK,
+    name: MutationName.ForgetPeerVersionOnRead,
+    removedSafeguard:
+      'keeping a version heard of while the log is still being read',
+    brokenInvariant: NO_VERSION_ROLLBACK,
   },
   {
-    name: M.ServeAtOnce,
-    without: 'reading to the end of the log before a fresh daemon serves',
-    breaks: NOT_OLD_AT_START,
+    name: MutationName.ServeAtOnce,
+    removedSafeguard:
+      'reading to the end of the log before a fresh daemon serves',
+    brokenInvariant: NOT_STALE_AT_START,
   },
 ];
 
 /** The bundle in force. */
-export const BUNDLES: Subject<BundleState, BundleEvent> = {
+export const BUNDLE_SPECIFICATIONS: SpecificationFactory<
+  BundleState,
+  BundleEvent
+> = {
   mutations: MUTATIONS,
-  make: mutation => new BundleSpecification(mutation),
+  create: mutation => new BundleSpecification(mutation),
 };
--- a/packages/specification/src/claims-model.ts
+++ b/packages/specification/src/claims-model.ts
@@ -1,43 +1,43 @@
 import {
-  Stage,
+  AttemptStage,
   foldClaims,
   type Attempt,
-  type Batch,
+  type ModelClaimBatch,
   type ClaimsDaemon,
   type ClaimsFold,
   type ClaimsState,
 } from './claims-state.js';
 import {
-  Promised,
+  Guarantee,
   type Invariant,
   type Mutation,
   type Specification,
-  type Subject,
+  type SpecificationFactory,
 } from './specification.js';
-import {changeAt} from './change-at.js';
+import {mergeAt} from './array-updates.js';
 
 /** What may happen to claims. */
 export enum ClaimsEventType {
   /** The caller tries, at a daemon. */
-  Begin = 'begin',
+  BeginAttempt = 'begin',
   /** A daemon sends what has gathered. */
-  Send = 'send',
+  SendBatch = 'send',
   /** An append takes effect. */
-  Land = 'land',
+  Append = 'land',
   /** An append takes effect and a copy of it is still under way. */
-  LandTwice = 'land_twice',
+  AppendTwice = 'land_twice',
   /** The daemon hears that its append took effect; matters only to one mutation. */
-  Answer = 'answer',
+  ReceiveResponse = 'answer',
   /** The answer is lost, whether or not the append took effect. */
-  LoseAnswer = 'lose_answer',
+  LoseResponse = 'lose_answer',
   /** The daemon reads the next batch. */
   Read = 'read',
   /** Bytes go to a target. */
   Dispatch = 'dispatch',
   /** The daemon turns a won try away before it runs: the queue is full. */
-  Refuse = 'refuse',
+  RejectBeforeRun = 'refuse',
   /** The daemon ends a wait for the log. */
-  GiveUp = 'give_up',
+  TimeOut = 'give_up',
   /** The daemon dies; its successor starts empty. */
   Crash = 'crash',
 }
@@ -45,7 +45,7 @@
 /** One thing that happens; `of` is a daemon, a try or an append in flight by its place. */
 export interface ClaimsEvent {
   readonly type: ClaimsEventType;
-  readonly of: number;
+  readonly index: number;
 }
 
 /** Safeguards that a mutation takes out. */
@@ -54,51 +54,51 @@
   NoSequence = 'no-sequence',
   LateWinRuns = 'late-win-runs',
   ReadFromEnd = 'read-from-end',
-  NotRunUnproven = 'not-run-unproven',
+  NotRunWithoutReading = 'not-run-unproven',
   ReleaseAfterDispatch = 'release-after-dispatch',
-  FreeClaimsOfTheGone = 'free-claims-of-the-gone',
+  FreeClaimsOfCrashedDaemons = 'free-claims-of-the-gone',
 }
 
 /** Bounds of one exploration. */
 export interface ClaimsBounds {
   readonly attempts: number;
-  readonly losses: number;
-  readonly doubles: number;
+  readonly lostResponses: number;
+  readonly duplicates: number;
   readonly crashes: number;
-  readonly refusals: number;
+  readonly rejections: number;
 }
 
 const DAEMONS = ['a', 'b'];
 const AT_MOST_ONCE = 'the key runs at most once';
-const NOT_RUN_IS_TRUE =
+const NOT_RUN_IS_RELIABLE =
   'a try told "not run" never runs, and none had run when it began';
 const RELEASED_STAYS_FREE = 'a released claim does not take the key again';
 
-const T = ClaimsEventType;
-const M = ClaimsMutation;
+const EventType = ClaimsEventType;
+const MutationName = ClaimsMutation;
 
 /** Claims of one key over the log, by two daemons, under lost and doubled appends and crashes. */
 class ClaimsSpecification implements Specification<ClaimsState, ClaimsEvent> {
   readonly name: string;
   readonly bounds: string;
-  readonly initial: ClaimsState;
+  readonly initialState: ClaimsState;
   readonly invariants: ReadonlyArray<Invariant<ClaimsState>> = [
     {
-      promise: Promised.AtMostOnce,
+      guarantee: Guarantee.AtMostOnce,
       name: AT_MOST_ONCE,
       holds: state => state.attempts.filter(({ran}) => ran).length <= 1,
     },
     {
-      promise: Promised.NotRunIsTrue,
-      name: NOT_RUN_IS_TRUE,
+      guarantee: Guarantee.NotRunIsReliable,
+      name: NOT_RUN_IS_RELIABLE,
       holds: state =>
         state.attempts.every(
           ({stage, ran, ranBefore}) =>
-            stage !== Stage.ToldNotRun || (!ran && !ranBefore),
+            stage !== AttemptStage.ToldNotRun || (!ran && !ranBefore),
         ),
     },
     {
-      promise: Promised.AtMostOnce,
+      guarantee: Guarantee.AtMostOnce,
       name: RELEASED_STAYS_FREE,
       holds: state => {
         const {owner, released} = this.fold(state, state.log);
@@ -111,83 +111,109 @@
     bounds: ClaimsBounds,
     private readonly mutation: string | undefined,
   ) {
-    const {attempts, losses, doubles, crashes, refusals} = bounds;
+    const {
+      attempts,
+      lostResponses: losses,
+      duplicates: doubles,
+      crashes,
+      rejections: refusals,
+    } = bounds;
     this.name = `claims (${attempts} tries, ${losses} lost, ${doubles} doubled, ${crashes} crashes, ${refusals} refused)`;
     this.bounds = `one key, 2 daemons, ${attempts} tries, ${losses} lost answers, ${doubles} doubled appends, ${crashes} crashes, ${refusals} refusals after a won claim`;
-    this.initial = {
+    this.initialState = {
       log: [],
-      flight: [],
-      daemons: DAEMONS.map(name => newDaemon(`${name}1`, 0)),
-      attempts: Array.from({length: attempts}, () => NOT_BEGUN),
-      losses,
-      doubles,
-      crashes,
-      refusals,
+      appendsInFlight: [],
+      daemons: DAEMONS.map(name => createDaemon(`${name}1`, 0)),
+      attempts: Array.from({length: attempts}, () => UNSTARTED_ATTEMPT),
+      lostResponsesLeft: losses,
+      duplicatesLeft: doubles,
+      crashesLeft: crashes,
+      rejectionsLeft: refusals,
     };
   }
 
-  describe({type, of}: ClaimsEvent): string {
+  describe({type, index: of}: ClaimsEvent): string {
     switch (type) {
-      case T.Land:
-      case T.LandTwice:
+      case EventType.Append:
+      case EventType.AppendTwice:
         return `${type} append ${of}`;
-      case T.Dispatch:
-      case T.Refuse:
-      case T.GiveUp:
+      case EventType.Dispatch:
+      case EventType.RejectBeforeRun:
+      case EventType.TimeOut:
         return `${type} try ${of}`;
       default:
         return `${type} at daemon ${DAEMONS[of]}`;
     }
   }
 
-  events(state: ClaimsState): ClaimsEvent[] {
+  enabledEvents(state: ClaimsState): ClaimsEvent[] {
     const events: ClaimsEvent[] = [];
     const add = (type: ClaimsEventType, of: number, when: boolean) => {
-      if (when) events.push({type, of});
+      if (when) events.push({type, index: of});
     };
     state.daemons.forEach((daemon, of) => {
-      add(T.Begin, of, mayBegin(state, of));
-      add(T.Send, of, !daemon.sending && hasGathered(daemon));
-      add(T.Answer, of, this.mayAnswer(state, daemon));
-      add(T.LoseAnswer, of, state.losses > 0 && daemon.sending !== null);
-      add(T.Read, of, mayRead(state, daemon));
-      add(T.Crash, of, state.crashes > 0);
+      add(EventType.BeginAttempt, of, mayBegin(state, of));
+      add(
+        EventType.SendBatch,
+        of,
+        !daemon.appendInFlight && hasPendingItems(daemon),
+      );
+      add(
+        EventType.ReceiveResponse,
+        of,
+        this.mayReceiveResponse(state, daemon),
+      );
+      add(
+        EventType.LoseResponse,
+        of,
+        state.lostResponsesLeft > 0 && daemon.appendInFlight !== null,
+      );
+      add(EventType.Read, of, mayRead(state, daemon));
+      add(EventType.Crash, of, state.crashesLeft > 0);
     });
-    state.flight.forEach((_, of) => {
-      add(T.Land, of, true);
-      add(T.LandTwice, of, this.mutation === M.NoSequence && state.doubles > 0);
+    state.appendsInFlight.forEach((_, of) => {
+      add(EventType.Append, of, true);
+      add(
+        EventType.AppendTwice,
+        of,
+        this.mutation === MutationName.NoSequence && state.duplicatesLeft > 0,
+      );
     });
     state.attempts.forEach(({stage}, of) => {
-      add(T.Dispatch, of, stage === Stage.Won);
-      add(T.Refuse, of, state.refusals > 0 && this.mayRefuse(stage));
-      add(T.GiveUp, of, stage === Stage.Pending);
+      add(EventType.Dispatch, of, stage === AttemptStage.Won);
+      add(
+        EventType.RejectBeforeRun,
+        of,
+        state.rejectionsLeft > 0 && this.mayReject(stage),
+      );
+      add(EventType.TimeOut, of, stage === AttemptStage.Pending);
     });
     return events;
   }
 
-  step(state: ClaimsState, {type, of}: ClaimsEvent): ClaimsState {
+  step(state: ClaimsState, {type, index: of}: ClaimsEvent): ClaimsState {
     switch (type) {
-      case T.Begin:
+      case EventType.BeginAttempt:
         return this.begin(state, of);
-      case T.Send:
-        return send(state, of);
-      case T.Land:
-        return this.land(state, of, false);
-      case T.LandTwice:
-        return this.land(state, of, true);
-      case T.Answer:
-        return this.answer(state, of);
-      case T.LoseAnswer:
-        return loseAnswer(state, of);
-      case T.Read:
+      case EventType.SendBatch:
+        return sendBatch(state, of);
+      case EventType.Append:
+        return this.append(state, of, false);
+      case EventType.AppendTwice:
+        return this.append(state, of, true);
+      case EventType.ReceiveResponse:
+        return this.receiveResponse(state, of);
+      case EventType.LoseResponse:
+        return loseResponse(state, of);
+      case EventType.Read:
         return this.read(state, of);
-      case T.Dispatch:
-        return withAttempt(state, of, {stage: Stage.Ran, ran: true});
-      case T.Refuse:
-        return this.refuse(state, of);
-      case T.GiveUp:
-        return this.giveUp(state, of);
-      case T.Crash:
+      case EventType.Dispatch:
+        return withAttempt(state, of, {stage: AttemptStage.Ran, ran: true});
+      case EventType.RejectBeforeRun:
+        return this.rejectBeforeRun(state, of);
+      case EventType.TimeOut:
+        return this.timeOut(state, of);
+      case EventType.Crash:
         return this.crash(state, of);
     }
   }
@@ -197,41 +223,48 @@
     const daemon = state.daemons[of];
     const ranBefore = state.attempts.some(({ran}) => ran);
     const at = daemon.incarnation;
-    const {owner} = this.known(state, daemon);
+    const {owner} = this.foldRead(state, daemon);
     if (owner !== undefined && !this.isFree(state, owner))
       return withAttempt(state, index, {
-        stage: Stage.ToldUnknown,
-        at,
+        stage: AttemptStage.ToldUnknown,
+        incarnation: at,
         ranBefore,
       });
     const begun = withAttempt(state, index, {
-      stage: Stage.Pending,
-      at,
+      stage: AttemptStage.Pending,
+      incarnation: at,
       ranBefore,
     });
-    return withDaemon(begun, of, {claims: [...daemon.claims, index]});
+    return withDaemon(begun, of, {
+      pendingClaims: [...daemon.pendingClaims, index],
+    });
   }
 
   // The fold drops what stands behind its successor, wherever it lands: such an append is
   // taken out at once, which changes no fold and keeps the number of states small.
-  private land(state: ClaimsState, of: number, twice: boolean): ClaimsState {
-    const batch = state.flight[of];
-    const fenced = this.mutation !== M.NoSequence;
-    const flight = state.flight.filter(
+  private append(state: ClaimsState, of: number, twice: boolean): ClaimsState {
+    const batch = state.appendsInFlight[of];
+    const fenced = this.mutation !== MutationName.NoSequence;
+    const flight = state.appendsInFlight.filter(
       (other, place) =>
         (twice && place === of && !fenced) ||
-        (place !== of && !(fenced && isBehind(other, batch))),
+        (place !== of && !(fenced && isSupersededBy(other, batch))),
     );
-    const doubles = state.doubles - (twice ? 1 : 0);
-    return {...state, log: [...state.log, batch], flight, doubles};
+    const doubles = state.duplicatesLeft - (twice ? 1 : 0);
+    return {
+      ...state,
+      log: [...state.log, batch],
+      appendsInFlight: flight,
+      duplicatesLeft: doubles,
+    };
   }
 
-  private answer(state: ClaimsState, of: number): ClaimsState {
-    const {sending} = state.daemons[of];
+  private receiveResponse(state: ClaimsState, of: number): ClaimsState {
+    const {appendInFlight: sending} = state.daemons[of];
     return sending!.claims.reduce(
       (next, index) =>
-        next.attempts[index].stage === Stage.Pending
-          ? withAttempt(next, index, {stage: Stage.Won})
+        next.attempts[index].stage === AttemptStage.Pending
+          ? withAttempt(next, index, {stage: AttemptStage.Won})
           : next,
       state,
     );
@@ -239,19 +272,19 @@
 
   private read(state: ClaimsState, of: number): ClaimsState {
     const daemon = state.daemons[of];
-    const batch = state.log[daemon.read];
+    const batch = state.log[daemon.nextOffset];
     const fold = this.fold(
       state,
-      state.log.slice(daemon.from, daemon.read + 1),
+      state.log.slice(daemon.startOffset, daemon.nextOffset + 1),
     );
-    let next = withDaemon(state, of, {read: daemon.read + 1});
-    if (batch.holder !== daemon.incarnation || !fold.counted.at(-1))
+    let next = withDaemon(state, of, {nextOffset: daemon.nextOffset + 1});
+    if (batch.holder !== daemon.incarnation || !fold.accepted.at(-1))
       return next;
-    const {sending} = daemon;
+    const {appendInFlight: sending} = daemon;
     next = withDaemon(next, of, {
-      sending: sending?.sequence === batch.sequence ? null : sending,
-      claims: without(daemon.claims, batch.claims),
-      releases: without(daemon.releases, batch.releases),
+      appendInFlight: sending?.sequence === batch.sequence ? null : sending,
+      pendingClaims: without(daemon.pendingClaims, batch.claims),
+      pendingReleases: without(daemon.pendingReleases, batch.releases),
     });
     for (const index of batch.claims) {
       next = this.settle(next, of, index, fold.owner === index);
@@ -266,111 +299,138 @@
     isOwner: boolean,
   ): ClaimsState {
     const {stage} = state.attempts[index];
-    if (stage === Stage.Pending) {
-      const settled = isOwner ? Stage.Won : Stage.ToldUnknown;
+    if (stage === AttemptStage.Pending) {
+      const settled = isOwner ? AttemptStage.Won : AttemptStage.ToldUnknown;
       return withAttempt(state, index, {stage: settled});
     }
-    const gaveUp = stage === Stage.ToldNotRun || stage === Stage.ToldUnknown;
+    const gaveUp =
+      stage === AttemptStage.ToldNotRun || stage === AttemptStage.ToldUnknown;
     if (!gaveUp || !isOwner) return state;
-    if (this.mutation === M.LateWinRuns)
+    if (this.mutation === MutationName.LateWinRuns)
       return withAttempt(state, index, {ran: true});
-    const releases = [...state.daemons[of].releases, index];
-    return withDaemon(state, of, {releases});
+    const releases = [...state.daemons[of].pendingReleases, index];
+    return withDaemon(state, of, {pendingReleases: releases});
   }
 
-  private refuse(state: ClaimsState, index: number): ClaimsState {
+  private rejectBeforeRun(state: ClaimsState, index: number): ClaimsState {
     const attempt = state.attempts[index];
     const of = daemonOf(state, attempt);
-    const {releases} = state.daemons[of];
-    const stage = attempt.ran ? Stage.ToldUnknown : Stage.ToldNotRun;
+    const {pendingReleases: releases} = state.daemons[of];
+    const stage = attempt.ran
+      ? AttemptStage.ToldUnknown
+      : AttemptStage.ToldNotRun;
     const told = withAttempt(state, index, {stage});
-    const counted = {...told, refusals: state.refusals - 1};
-    return withDaemon(counted, of, {releases: [...releases, index]});
+    const counted = {...told, rejectionsLeft: state.rejectionsLeft - 1};
+    return withDaemon(counted, of, {pendingReleases: [...releases, index]});
   }
 
   // "Not run" needs the log's word that nothing stands there that this daemon has not read:
   // an earlier try may have run elsewhere.
-  private giveUp(state: ClaimsState, index: number): ClaimsState {
+  private timeOut(state: ClaimsState, index: number): ClaimsState {
     const daemon = state.daemons[daemonOf(state, state.attempts[index])];
     const proven =
-      daemon.read === state.log.length &&
-      this.known(state, daemon).owner === undefined;
-    const mayTell = proven || this.mutation === M.NotRunUnproven;
-    const stage = mayTell ? Stage.ToldNotRun : Stage.ToldUnknown;
+      daemon.nextOffset === state.log.length &&
+      this.foldRead(state, daemon).owner === undefined;
+    const mayTell =
+      proven || this.mutation === MutationName.NotRunWithoutReading;
+    const stage = mayTell ? AttemptStage.ToldNotRun : AttemptStage.ToldUnknown;
     return withAttempt(state, index, {stage});
   }
 
   private crash(state: ClaimsState, of: number): ClaimsState {
     const {incarnation} = state.daemons[of];
-    const from = this.mutation === M.ReadFromEnd ? state.log.length : 0;
+    const from =
+      this.mutation === MutationName.ReadFromEnd ? state.log.length : 0;
     const successor = `${incarnation[0]}${Number(incarnation.slice(1)) + 1}`;
     const attempts = state.attempts.map(attempt =>
-      attempt.at === incarnation && LIVE.has(attempt.stage)
-        ? {...attempt, stage: Stage.Gone}
+      attempt.incarnation === incarnation && ACTIVE_STAGES.has(attempt.stage)
+        ? {...attempt, stage: AttemptStage.DaemonCrashed}
         : attempt,
     );
-    const crashed = {...state, attempts, crashes: state.crashes - 1};
-    return withDaemon(crashed, of, newDaemon(successor, from));
+    const crashed = {...state, attempts, crashesLeft: state.crashesLeft - 1};
+    return withDaemon(crashed, of, createDaemon(successor, from));
   }
 
-  private mayAnswer(state: ClaimsState, {sending}: ClaimsDaemon): boolean {
-    if (this.mutation !== M.DispatchBeforeReadBack || !sending) return false;
+  private mayReceiveResponse(
+    state: ClaimsState,
+    {appendInFlight: sending}: ClaimsDaemon,
+  ): boolean {
+    if (this.mutation !== MutationName.DispatchBeforeReadBack || !sending)
+      return false;
     return state.log.some(
       ({holder, sequence}) =>
         holder === sending.holder && sequence === sending.sequence,
     );
   }
 
-  private mayRefuse(stage: Stage): boolean {
-    if (stage === Stage.Won) return true;
-    return this.mutation === M.ReleaseAfterDispatch && stage === Stage.Ran;
+  private mayReject(stage: AttemptStage): boolean {
+    if (stage === AttemptStage.Won) return true;
+    return (
+      this.mutation === MutationName.ReleaseAfterDispatch &&
+      stage === AttemptStage.Ran
+    );
   }
 
-  private known(state: ClaimsState, daemon: ClaimsDaemon): ClaimsFold {
-    return this.fold(state, state.log.slice(daemon.from, daemon.read));
+  private foldRead(state: ClaimsState, daemon: ClaimsDaemon): ClaimsFold {
+    return this.fold(
+      state,
+      state.log.slice(daemon.startOffset, daemon.nextOffset),
+    );
   }
 
-  private fold(state: ClaimsState, log: readonly Batch[]): ClaimsFold {
-    const fenced = this.mutation !== M.NoSequence;
+  private fold(
+    state: ClaimsState,
+    log: readonly ModelClaimBatch[],
+  ): ClaimsFold {
+    const fenced = this.mutation !== MutationName.NoSequence;
     return foldClaims(log, fenced, owner => this.isFree(state, owner));
   }
 
   private isFree(state: ClaimsState, owner: number): boolean {
-    if (this.mutation !== M.FreeClaimsOfTheGone) return false;
+    if (this.mutation !== MutationName.FreeClaimsOfCrashedDaemons) return false;
     return daemonOf(state, state.attempts[owner]) < 0;
   }
 }
 
-const NOT_BEGUN: Attempt = {
-  stage: Stage.NotBegun,
-  at: '',
+const UNSTARTED_ATTEMPT: Attempt = {
+  stage: AttemptStage.NotBegun,
+  incarnation: '',
   ran: false,
   ranBefore: false,
 };
 
-const LIVE: ReadonlySet<Stage> = new Set([Stage.Pending, Stage.Won, Stage.Ran]);
+const ACTIVE_STAGES: ReadonlySet<AttemptStage> = new Set([
+  AttemptStage.Pending,
+  AttemptStage.Won,
+  AttemptStage.Ran,
+]);
 
-function newDaemon(incarnation: string, from: number): ClaimsDaemon {
+function createDaemon(incarnation: string, from: number): ClaimsDaemon {
   return {
     incarnation,
-    from,
-    read: from,
+    startOffset: from,
+    nextOffset: from,
     sequence: 0,
-    sending: null,
-    claims: [],
-    releases: [],
+    appendInFlight: null,
+    pendingClaims: [],
+    pendingReleases: [],
   };
 }
 
 function nextAttempt(state: ClaimsState): number {
-  return state.attempts.findIndex(({stage}) => stage === Stage.NotBegun);
+  return state.attempts.findIndex(({stage}) => stage === AttemptStage.NotBegun);
 }
 
 function daemonOf(state: ClaimsState, attempt: Attempt): number {
-  return state.daemons.findIndex(({incarnation}) => incarnation === attempt.at);
+  return state.daemons.findIndex(
+    ({incarnation}) => incarnation === attempt.incarnation,
+  );
 }
 
-function hasGathered({claims, releases}: ClaimsDaemon): boolean {
+function hasPendingItems({
+  pendingClaims: claims,
+  pendingReleases: releases,
+}: ClaimsDaemon): boolean {
   return claims.length + releases.length > 0;
 }
 
@@ -382,34 +442,46 @@
 
 // What a daemon reads that waits for nothing and will be asked nothing changes nothing.
 function mayRead(state: ClaimsState, daemon: ClaimsDaemon): boolean {
-  if (daemon.read >= state.log.length) return false;
-  if (nextAttempt(state) >= 0 || hasGathered(daemon)) return true;
+  if (daemon.nextOffset >= state.log.length) return false;
+  if (nextAttempt(state) >= 0 || hasPendingItems(daemon)) return true;
   return state.attempts.some(
-    ({stage, at}) => at === daemon.incarnation && stage === Stage.Pending,
+    ({stage, incarnation: at}) =>
+      at === daemon.incarnation && stage === AttemptStage.Pending,
   );
 }
 
-function send(state: ClaimsState, of: number): ClaimsState {
-  const {incarnation: holder, claims, releases, sequence} = state.daemons[of];
+function sendBatch(state: ClaimsState, of: number): ClaimsState {
+  const {
+    incarnation: holder,
+    pendingClaims: claims,
+    pendingReleases: releases,
+    sequence,
+  } = state.daemons[of];
   const batch = {holder, sequence: sequence + 1, claims, releases};
   const sent = withDaemon(state, of, {
     sequence: sequence + 1,
-    sending: batch,
+    appendInFlight: batch,
   });
-  return {...sent, flight: sorted([...state.flight, batch])};
+  return {
+    ...sent,
+    appendsInFlight: inBatchOrder([...state.appendsInFlight, batch]),
+  };
 }
 
-function loseAnswer(state: ClaimsState, of: number): ClaimsState {
-  const lost = withDaemon(state, of, {sending: null});
-  return {...lost, losses: state.losses - 1};
+function loseResponse(state: ClaimsState, of: number): ClaimsState {
+  const lost = withDaemon(state, of, {appendInFlight: null});
+  return {...lost, lostResponsesLeft: state.lostResponsesLeft - 1};
 }
 
-function isBehind(batch: Batch, landed: Batch): boolean {
+function isSupersededBy(
+  batch: ModelClaimBatch,
+  landed: ModelClaimBatch,
+): boolean {
   return batch.holder === landed.holder && batch.sequence <= landed.sequence;
 }
 
-function sorted(batches: readonly Batch[]): Batch[] {
-  const rank = ({holder, sequence}: Batch) => `${holder}/${sequence}`;
+function inBatchOrder(batches: readonly ModelClaimBatch[]): ModelClaimBatch[] {
+  const rank = ({holder, sequence}: ModelClaimBatch) => `${holder}/${sequence}`;
   return [...batches].sort((left, right) =>
     rank(left) < rank(right) ? -1 : 1,
   );
@@ -427,7 +499,7 @@
   of: number,
   change: Partial<ClaimsDaemon>,
 ): ClaimsState {
-  const daemons = changeAt(state.daemons, of, change);
+  const daemons = mergeAt(state.daemons, of, change);
   return {...state, daemons};
 }
 
@@ -436,57 +508,58 @@
   index: number,
   change: Partial<Attempt>,
 ): ClaimsState {
-  const attempts = changeAt(state.attempts, index, change);
+  const attempts = mergeAt(state.attempts, index, change);
   return {...state, attempts};
 }
 
 const MUTATIONS: readonly Mutation[] = [
   {
-    name: M.DispatchBeforeReadBack,
-    without: 'waiting to read a claim back',
-    breaks: AT_MOST_ONCE,
+    name: MutationName.DispatchBeforeReadBack,
+    removedSafeguard: 'waiting to read a claim back',
+    brokenInvariant: AT_MOST_ONCE,
   },
   {
-    name: M.NoSequence,
-    without: 'the sequence that drops late and doubled batches',
-    breaks: RELEASED_STAYS_FREE,
+    name: MutationName.NoSequence,
+    removedSafeguard: 'the sequence that drops late and doubled batches',
+    brokenInvariant: RELEASED_STAYS_FREE,
   },
   {
-    name: M.LateWinRuns,
-    without: 'the release of a claim that is won after the caller was told',
-    breaks: NOT_RUN_IS_TRUE,
+    name: MutationName.LateWinRuns,
+    removedSafeguard:
+      'the release of a claim that is won after the caller was told',
+    brokenInvariant: NOT_RUN_IS_RELIABLE,
   },
   {
-    name: M.NotRunUnproven,
-    without: 'reading to the end before "not run" is said',
-    breaks: NOT_RUN_IS_TRUE,
+    name: MutationName.NotRunWithoutReading,
+    removedSafeguard: 'reading to the end before "not run" is said',
+    brokenInvariant: NOT_RUN_IS_RELIABLE,
   },
   {
-    name: M.ReleaseAfterDispatch,
-    without: 'the rule that only an unsent request releases its claim',
-    breaks: AT_MOST_ONCE,
+    name: MutationName.ReleaseAfterDispatch,
+    removedSafeguard: 'the rule that only an unsent request releases its claim',
+    brokenInvariant: AT_MOST_ONCE,
   },
 ];
 
 const CRASH_MUTATIONS: readonly Mutation[] = [
   {
-    name: M.ReadFromEnd,
-    without: 'reading the stream from its oldest batch after a start',
-    breaks: AT_MOST_ONCE,
+    name: MutationName.ReadFromEnd,
+    removedSafeguard: 'reading the stream from its oldest batch after a start',
+    brokenInvariant: AT_MOST_ONCE,
   },
   {
-    name: M.FreeClaimsOfTheGone,
-    without: 'keeping the claims of a daemon that died',
-    breaks: AT_MOST_ONCE,
+    name: MutationName.FreeClaimsOfCrashedDaemons,
+    removedSafeguard: 'keeping the claims of a daemon that died',
+    brokenInvariant: AT_MOST_ONCE,
   },
 ];
 
 /** Claims within the given bounds. */
-export function claimsWithin(
+export function claimsSpecifications(
   bounds: ClaimsBounds,
-): Subject<ClaimsState, ClaimsEvent> {
+): SpecificationFactory<ClaimsState, ClaimsEvent> {
   return {
     mutations: bounds.crashes > 0 ? CRASH_MUTATIONS : MUTATIONS,
-    make: mutation => new ClaimsSpecification(bounds, mutation),
+    create: mutation => new ClaimsSpecification(bounds, mutation),
   };
 }
--- a/packages/specification/src/claims-state.ts
+++ b/packages/specification/src/claims-state.ts
@@ -1,5 +1,5 @@
 /** Where a try to run the key stands. */
-export enum Stage {
+export enum AttemptStage {
   NotBegun = 'not_begun',
   /** Its claim is not read back yet. */
   Pending = 'pending',
@@ -12,21 +12,21 @@
   /** The caller was told that the key is taken, or that nothing is known. */
   ToldUnknown = 'told_unknown',
   /** Its daemon died; the caller was told nothing. */
-  Gone = 'gone',
+  DaemonCrashed = 'gone',
 }
 
 /** One try of the caller under the one key. */
 export interface Attempt {
-  readonly stage: Stage;
+  readonly stage: AttemptStage;
   /** Incarnation that has it; empty before it begins. */
-  readonly at: string;
+  readonly incarnation: string;
   readonly ran: boolean;
   /** An earlier try had run when this one began. */
   readonly ranBefore: boolean;
 }
 
 /** One append of the claims stream. */
-export interface Batch {
+export interface ModelClaimBatch {
   readonly holder: string;
   readonly sequence: number;
   /** Tries that claim the key. */
@@ -39,31 +39,31 @@
 export interface ClaimsDaemon {
   readonly incarnation: string;
   /** Offset where it began to read. */
-  readonly from: number;
+  readonly startOffset: number;
   /** Offset that it reads next. */
-  readonly read: number;
+  readonly nextOffset: number;
   readonly sequence: number;
   /** The append whose answer it waits for. */
-  readonly sending: Batch | null;
-  readonly claims: readonly number[];
-  readonly releases: readonly number[];
+  readonly appendInFlight: ModelClaimBatch | null;
+  readonly pendingClaims: readonly number[];
+  readonly pendingReleases: readonly number[];
 }
 
 /** The whole state: the log, the network, two daemons, one key. */
 export interface ClaimsState {
-  readonly log: readonly Batch[];
+  readonly log: readonly ModelClaimBatch[];
   /** Appends that may still land. */
-  readonly flight: readonly Batch[];
+  readonly appendsInFlight: readonly ModelClaimBatch[];
   readonly daemons: readonly ClaimsDaemon[];
   readonly attempts: readonly Attempt[];
   /** Answers left that are lost. */
-  readonly losses: number;
+  readonly lostResponsesLeft: number;
   /** Landings left that happen twice. */
-  readonly doubles: number;
+  readonly duplicatesLeft: number;
   /** Crashes left. */
-  readonly crashes: number;
+  readonly crashesLeft: number;
   /** Refusals after a won claim left. */
-  readonly refusals: number;
+  readonly rejectionsLeft: number;
 }
 
 /** What the fold makes of a stretch of the log. */
@@ -73,12 +73,12 @@
   /** Tries whose release stands in the log. */
   readonly released: readonly number[];
   /** Tells for each batch whether it counted. */
-  readonly counted: readonly boolean[];
+  readonly accepted: readonly boolean[];
 }
 
 /** The fold of the specification; `fenced` drops what stands behind its successor. */
 export function foldClaims(
-  log: readonly Batch[],
+  log: readonly ModelClaimBatch[],
   fenced: boolean,
   isFree: (owner: number) => boolean = () => false,
 ): ClaimsFold {
@@ -100,5 +100,5 @@
       if (owner === undefined || isFree(owner)) owner = attempt;
     }
   }
-  return {owner, released, counted};
+  return {owner, released, accepted: counted};
 }
--- a/packages/specification/src/order-state.ts
+++ b/packages/specification/src/coordinator-worker-state.ts
@@ -1,7 +1,7 @@
-import {removeAt, updateAt} from './change-at.js';
+import {removeAt, updateAt} from './array-updates.js';
 
 /** The state with one coordinator changed. */
-export function changeCoordinator<
+export function updateCoordinator<
   State extends {readonly coordinators: readonly object[]},
 >(
   state: State,
@@ -14,7 +14,7 @@
 }
 
 /** The state with one worker changed. */
-export function changeWorker<
+export function updateWorker<
   State extends {readonly workers: readonly object[]},
 >(
   state: State,
@@ -32,7 +32,7 @@
 }
 
 /** A coordinator that has seen a later term. */
-export function fence<Coordinator extends {readonly fenced: boolean}>(
+export function markFenced<Coordinator extends {readonly fenced: boolean}>(
   coordinator: Coordinator,
 ): Coordinator {
   return {...coordinator, fenced: true};
