--- a/packages/specification/src/crash-model.ts
+++ b/packages/specification/src/crash-model.ts
@@ -1,15 +1,15 @@
-import {sortedBag} from './bag.js';
-import {changeCoordinator, fence} from './order-state.js';
+import {inCanonicalOrder} from './canonical-order.js';
+import {updateCoordinator, markFenced} from './coordinator-worker-state.js';
 import {
-  Promised,
+  Guarantee,
   type Invariant,
   type Mutation,
   type Specification,
-  type Subject,
+  type SpecificationFactory,
 } from './specification.js';
 
 /** What a coordinator believes of the task's last run. */
-export enum CrashBelief {
+export enum CrashAssumedRunState {
   None = 'none',
   /** In the log, the order not sent yet. */
   Stored = 'stored',
@@ -22,7 +22,7 @@
 /** A coordinator of one term. */
 export interface CrashCoordinator {
   readonly term: number;
-  readonly belief: CrashBelief;
+  readonly assumedRunState: CrashAssumedRunState;
   readonly run: number;
   /** Crashes under the task that it knows of. */
   readonly crashes: number;
@@ -46,206 +46,227 @@
   /** Runs whose orders may arrive at any time. */
   readonly orders: readonly number[];
   /** Runs that their workers refuse: a stop or a higher token came first. */
-  readonly barred: readonly number[];
+  readonly refusedRuns: readonly number[];
   /** Runs under which a worker has crashed. */
-  readonly crashed: readonly number[];
-  readonly startsAfterThird: number;
+  readonly crashedRuns: readonly number[];
+  readonly startsAfterThirdCrash: number;
 }
 
 /** What may happen. */
 export enum CrashEventType {
   /** A coordinator stores a run, with what it knows of crashes. */
-  Store = 'store',
-  Send = 'send',
+  StoreRun = 'store',
+  SendOrder = 'send',
   /** An order arrives: the task starts and its worker crashes. */
-  Arrive = 'arrive',
+  DeliverOrder = 'arrive',
   /** A coordinator learns that the worker of its run has ended. */
   LearnCrash = 'learn crash',
   /** A stop is answered: the run never was, and never will be. */
-  LearnNever = 'learn never',
+  LearnNeverStarted = 'learn never',
   /** A coordinator stores what it has learned. */
-  Keep = 'keep',
+  StoreCrashCount = 'keep',
   TakeOver = 'take over',
 }
 
 /** One thing that happens; `of`: a coordinator, or the run of an order. */
 export interface CrashEvent {
   readonly type: CrashEventType;
-  readonly of: number;
+  readonly coordinatorOrRun: number;
 }
 
 /** Safeguards that a mutation takes out. */
 export enum CrashMutation {
   CountNotStored = 'count-not-stored',
   RecoveredNotCounted = 'recovered-not-counted',
-  NeverGivenUp = 'never-given-up',
+  NoCrashLimit = 'never-given-up',
 }
 
 const MAXIMUM_RUN = 7;
 const MAXIMUM_TERM = 2;
 /** Crashes that the rule counts, and the starts that may follow them. */
-const CRASHES_COUNTED = 3;
-const MOST_STARTS_AFTER = 2;
+const CRASHES_BEFORE_START_LIMIT = 3;
+const MAXIMUM_FURTHER_STARTS = 2;
 /** Crashes of any kind after which the task is given up. */
-const MOST_CRASHES = 5;
-const BOUNDED =
+const MAXIMUM_CRASHES = 5;
+const BOUNDED_STARTS =
   'a task that crashes its workers starts twice at most after three crashes';
-const T = CrashEventType;
-const M = CrashMutation;
-const B = CrashBelief;
+const EventType = CrashEventType;
+const MutationName = CrashMutation;
+const AssumedRunState = CrashAssumedRunState;
 
 /** How often a task starts that crashes its workers, over late orders and changes of coordinator. */
 class CrashSpecification implements Specification<CrashState, CrashEvent> {
   readonly name = 'crash (2 terms, 7 runs)';
   readonly bounds =
     '1 task, 2 terms, 7 runs; orders late in any order, coordinators replaced at any moment; the end of each worker is learned';
-  readonly initial: CrashState = {
+  readonly initialState: CrashState = {
     term: 1,
     stored: {run: 0, isOpen: false, crashes: 0},
-    coordinators: [coordinatorOf(1, B.None, 0, 0)],
+    coordinators: [createCoordinator(1, AssumedRunState.None, 0, 0)],
     orders: [],
-    barred: [],
-    crashed: [],
-    startsAfterThird: 0,
+    refusedRuns: [],
+    crashedRuns: [],
+    startsAfterThirdCrash: 0,
   };
   readonly invariants: ReadonlyArray<Invariant<CrashState>> = [
     {
-      promise: Promised.BudgetHeld,
-      name: BOUNDED,
-      holds: ({startsAfterThird}) => startsAfterThird <= MOST_STARTS_AFTER,
+      guarantee: Guarantee.BudgetHeld,
+      name: BOUNDED_STARTS,
+      holds: ({startsAfterThirdCrash: startsAfterThird}) =>
+        startsAfterThird <= MAXIMUM_FURTHER_STARTS,
     },
   ];
 
   constructor(private readonly mutation: string | undefined) {}
 
-  describe({type, of}: CrashEvent): string {
+  describe({type, coordinatorOrRun: of}: CrashEvent): string {
     return `${type} (${of})`;
   }
 
-  events(state: CrashState): CrashEvent[] {
+  enabledEvents(state: CrashState): CrashEvent[] {
     const events: CrashEvent[] = [];
     state.coordinators.forEach((coordinator, of) => {
       if (coordinator.fenced) return;
       for (const type of this.coordinatorEvents(state, coordinator))
-        events.push({type, of});
+        events.push({type, coordinatorOrRun: of});
     });
-    for (const run of state.orders) events.push({type: T.Arrive, of: run});
-    if (state.term < MAXIMUM_TERM) events.push({type: T.TakeOver, of: -1});
+    for (const run of state.orders)
+      events.push({type: EventType.DeliverOrder, coordinatorOrRun: run});
+    if (state.term < MAXIMUM_TERM)
+      events.push({type: EventType.TakeOver, coordinatorOrRun: -1});
     return events;
   }
 
-  step(state: CrashState, {type, of}: CrashEvent): CrashState {
+  step(
+    state: CrashState,
+    {type, coordinatorOrRun: of}: CrashEvent,
+  ): CrashState {
     switch (type) {
-      case T.Store:
+      case EventType.StoreRun:
         return this.store(state, of);
-      case T.Send:
-        return send(state, of);
-      case T.Arrive:
-        return arrive(state, of);
-      case T.LearnCrash:
+      case EventType.SendOrder:
+        return sendOrder(state, of);
+      case EventType.DeliverOrder:
+        return deliverOrder(state, of);
+      case EventType.LearnCrash:
         return this.learnCrash(state, of);
-      case T.LearnNever:
-        return learnNever(state, of);
-      case T.Keep:
-        return this.keep(state, of, false);
-      case T.TakeOver:
+      case EventType.LearnNeverStarted:
+        return learnNeverStarted(state, of);
+      case EventType.StoreCrashCount:
+        return this.storeRecord(state, of, false);
+      case EventType.TakeOver:
         return this.takeOver(state);
     }
   }
 
   private coordinatorEvents(
     state: CrashState,
-    {belief, run, crashes}: CrashCoordinator,
+    {assumedRunState: belief, run, crashes}: CrashCoordinator,
   ): CrashEventType[] {
-    if (belief === B.Stored) return [T.Send];
-    if (belief === B.None) {
+    if (belief === AssumedRunState.Stored) return [EventType.SendOrder];
+    if (belief === AssumedRunState.None) {
       const isGivenUp =
-        this.mutation !== M.NeverGivenUp && crashes >= MOST_CRASHES;
+        this.mutation !== MutationName.NoCrashLimit &&
+        crashes >= MAXIMUM_CRASHES;
       if (isGivenUp || run >= MAXIMUM_RUN) return [];
-      return crashes > state.stored.crashes ? [T.Store, T.Keep] : [T.Store];
+      return crashes > state.stored.crashes
+        ? [EventType.StoreRun, EventType.StoreCrashCount]
+        : [EventType.StoreRun];
     }
-    return state.crashed.includes(run) ? [T.LearnCrash] : [T.LearnNever];
+    return state.crashedRuns.includes(run)
+      ? [EventType.LearnCrash]
+      : [EventType.LearnNeverStarted];
   }
 
   private store(state: CrashState, of: number): CrashState {
-    const planned = changeCoordinator(state, of, one => ({
+    const planned = updateCoordinator(state, of, one => ({
       ...one,
-      belief: B.Stored,
+      assumedRunState: AssumedRunState.Stored,
       run: one.run + 1,
     }));
-    return this.keep(planned, of, true);
+    return this.storeRecord(planned, of, true);
   }
 
   /** The log is closed to earlier terms. */
-  private keep(state: CrashState, of: number, isOpen: boolean): CrashState {
+  private storeRecord(
+    state: CrashState,
+    of: number,
+    isOpen: boolean,
+  ): CrashState {
     const {term, run, crashes} = state.coordinators[of];
-    if (term < state.term) return changeCoordinator(state, of, fence);
-    const kept = this.mutation === M.CountNotStored ? 0 : crashes;
+    if (term < state.term) return updateCoordinator(state, of, markFenced);
+    const kept = this.mutation === MutationName.CountNotStored ? 0 : crashes;
     return {...state, stored: {run, isOpen, crashes: kept}};
   }
 
   private learnCrash(state: CrashState, of: number): CrashState {
-    const isBlind = this.mutation === M.RecoveredNotCounted;
-    return changeCoordinator(state, of, one => ({
+    const isBlind = this.mutation === MutationName.RecoveredNotCounted;
+    return updateCoordinator(state, of, one => ({
       ...one,
-      belief: B.None,
+      assumedRunState: AssumedRunState.None,
       crashes:
-        isBlind && one.belief === B.Recovered ? one.crashes : one.crashes + 1,
+        isBlind && one.assumedRunState === AssumedRunState.Recovered
+          ? one.crashes
+          : one.crashes + 1,
     }));
   }
 
   private takeOver(state: CrashState): CrashState {
     const {run, isOpen, crashes} = state.stored;
     const term = state.term + 1;
-    const belief = isOpen ? B.Recovered : B.None;
-    const next = coordinatorOf(term, belief, run, crashes);
+    const belief = isOpen ? AssumedRunState.Recovered : AssumedRunState.None;
+    const next = createCoordinator(term, belief, run, crashes);
     return {...state, term, coordinators: [...state.coordinators, next]};
   }
 }
 
-function coordinatorOf(
+function createCoordinator(
   term: number,
-  belief: CrashBelief,
+  belief: CrashAssumedRunState,
   run: number,
   crashes: number,
 ): CrashCoordinator {
-  return {term, belief, run, crashes, fenced: false};
+  return {term, assumedRunState: belief, run, crashes, fenced: false};
 }
 
-function send(state: CrashState, of: number): CrashState {
+function sendOrder(state: CrashState, of: number): CrashState {
   const {run} = state.coordinators[of];
-  const sent = changeCoordinator(state, of, one => ({...one, belief: B.Sent}));
+  const sent = updateCoordinator(state, of, one => ({
+    ...one,
+    assumedRunState: AssumedRunState.Sent,
+  }));
   // An order finds nobody where the worker has crashed, and is refused where the run is barred.
-  const isVain = state.crashed.includes(run) || state.barred.includes(run);
+  const isVain =
+    state.crashedRuns.includes(run) || state.refusedRuns.includes(run);
   return isVain ? sent : {...sent, orders: sortedSet([...state.orders, run])};
 }
 
-function arrive(state: CrashState, run: number): CrashState {
-  const counts = state.crashed.length >= CRASHES_COUNTED;
+function deliverOrder(state: CrashState, run: number): CrashState {
+  const counts = state.crashedRuns.length >= CRASHES_BEFORE_START_LIMIT;
   return {
     ...state,
     orders: without(state.orders, run),
-    crashed: sortedSet([...state.crashed, run]),
-    startsAfterThird: state.startsAfterThird + (counts ? 1 : 0),
+    crashedRuns: sortedSet([...state.crashedRuns, run]),
+    startsAfterThirdCrash: state.startsAfterThirdCrash + (counts ? 1 : 0),
   };
 }
 
 /** The stop bars the run on its worker, so that its order does nothing any more. */
-function learnNever(state: CrashState, of: number): CrashState {
+function learnNeverStarted(state: CrashState, of: number): CrashState {
   const {run} = state.coordinators[of];
-  const barred = changeCoordinator(state, of, one => ({
+  const barred = updateCoordinator(state, of, one => ({
     ...one,
-    belief: B.None,
+    assumedRunState: AssumedRunState.None,
   }));
   return {
     ...barred,
-    barred: sortedSet([...state.barred, run]),
+    refusedRuns: sortedSet([...state.refusedRuns, run]),
     orders: without(state.orders, run),
   };
 }
 
 function sortedSet(runs: readonly number[]): number[] {
-  return sortedBag([...new Set(runs)]);
+  return inCanonicalOrder([...new Set(runs)]);
 }
 
 function without(runs: readonly number[], run: number): number[] {
@@ -254,24 +275,27 @@
 
 const MUTATIONS: readonly Mutation[] = [
   {
-    name: M.CountNotStored,
-    without: 'the count of crashes outlasts its coordinator',
-    breaks: BOUNDED,
+    name: MutationName.CountNotStored,
+    removedSafeguard: 'the count of crashes outlasts its coordinator',
+    brokenInvariant: BOUNDED_STARTS,
   },
   {
-    name: M.RecoveredNotCounted,
-    without: 'crashes under runs of an earlier coordinator count',
-    breaks: BOUNDED,
+    name: MutationName.RecoveredNotCounted,
+    removedSafeguard: 'crashes under runs of an earlier coordinator count',
+    brokenInvariant: BOUNDED_STARTS,
   },
   {
-    name: M.NeverGivenUp,
-    without: 'a task is given up after so many crashes',
-    breaks: BOUNDED,
+    name: MutationName.NoCrashLimit,
+    removedSafeguard: 'a task is given up after so many crashes',
+    brokenInvariant: BOUNDED_STARTS,
   },
 ];
 
 /** How often a task starts that crashes its workers. */
-export const CRASHES: Subject<CrashState, CrashEvent> = {
+export const CRASH_SPECIFICATIONS: SpecificationFactory<
+  CrashState,
+  CrashEvent
+> = {
   mutations: MUTATIONS,
-  make: mutation => new CrashSpecification(mutation),
+  create: mutation => new CrashSpecification(mutation),
 };
--- a/packages/specification/src/explore.ts
+++ b/packages/specification/src/explore.ts
@@ -7,12 +7,12 @@
 import type {Invariant, Specification} from './specification.js';
 
 /** Steps that one exploration may take; the library throws above it, so a result is always whole. */
-const STEP_LIMIT = 2_000_000;
+const MAXIMUM_EXPLORATION_STEPS = 2_000_000;
 
 /** A shortest way into a state that breaks an invariant. */
 export interface Violation {
   readonly invariant: string;
-  readonly promise: string;
+  readonly guarantee: string;
   readonly trace: readonly string[];
 }
 
@@ -26,7 +26,7 @@
 }
 
 /** The library's map of states, as far as it is used here. */
-type Reached<State, Event> = Readonly<
+type AdjacencyMap<State, Event> = Readonly<
   Record<
     string,
     {
@@ -41,14 +41,14 @@
   >
 >;
 
-interface Edge<Event> {
+interface GraphEdge<Event> {
   readonly event: Event;
   readonly target: string;
 }
 
-interface Node<State, Event> {
+interface GraphNode<State, Event> {
   readonly state: State;
-  readonly edges: ReadonlyArray<Edge<Event>>;
+  readonly edges: ReadonlyArray<GraphEdge<Event>>;
 }
 
 /**
@@ -59,7 +59,7 @@
   specification: Specification<State, Event>,
   until?: string,
 ): Exploration {
-  const nodes = reach(specification, until);
+  const nodes = buildStateGraph(specification, until);
   let transitions = 0;
   for (const node of nodes.values()) transitions += node.edges.length;
   return {
@@ -70,27 +70,27 @@
   };
 }
 
-function reach<State extends object, Event extends EventObject>(
+function buildStateGraph<State extends object, Event extends EventObject>(
   specification: Specification<State, Event>,
   until: string | undefined,
-): Map<string, Node<State, Event>> {
+): Map<string, GraphNode<State, Event>> {
   const last = specification.invariants.find(({name}) => name === until);
   let isBroken = false;
   const eventsOf = (state: State) => {
     isBroken ||= last !== undefined && !last.holds(state);
-    return isBroken ? [] : specification.events(state);
+    return isBroken ? [] : specification.enabledEvents(state);
   };
   const logic = fromTransition(
     (context: State, event: Event) => specification.step(context, event),
-    specification.initial,
+    specification.initialState,
   );
   const map = getAdjacencyMap(logic, {
     events: snapshot => eventsOf(snapshot.context),
     serializeState: snapshot => JSON.stringify(snapshot.context),
     serializeEvent: event => JSON.stringify(event),
-    limit: STEP_LIMIT,
-  }) as object as Reached<State, Event>;
-  const nodes = new Map<string, Node<State, Event>>();
+    limit: MAXIMUM_EXPLORATION_STEPS,
+  }) as object as AdjacencyMap<State, Event>;
+  const nodes = new Map<string, GraphNode<State, Event>>();
   for (const [key, {state, transitions}] of Object.entries(map)) {
     const edges = Object.values(transitions).map(({event, state: next}) => ({
       event,
@@ -103,11 +103,11 @@
 
 function findViolations<State extends object, Event extends EventObject>(
   specification: Specification<State, Event>,
-  nodes: ReadonlyMap<string, Node<State, Event>>,
+  nodes: ReadonlyMap<string, GraphNode<State, Event>>,
 ): Violation[] {
   const open = new Set<Invariant<State>>(specification.invariants);
   const violations: Violation[] = [];
-  const start = JSON.stringify(specification.initial);
+  const start = JSON.stringify(specification.initialState);
   const arrivals = new Map<string, {from: string; event: Event} | undefined>([
     [start, undefined],
   ]);
@@ -123,8 +123,12 @@
     for (const invariant of open) {
       if (invariant.holds(node.state)) continue;
       open.delete(invariant);
-      const {name, promise} = invariant;
-      violations.push({invariant: name, promise, trace: traceTo(key)});
+      const {name, guarantee: promise} = invariant;
+      violations.push({
+        invariant: name,
+        guarantee: promise,
+        trace: traceTo(key),
+      });
     }
     for (const {event, target} of node.edges) {
       if (!arrivals.has(target)) arrivals.set(target, {from: key, event});
--- a/packages/specification/src/index.ts
+++ b/packages/specification/src/index.ts
@@ -4,6 +4,6 @@
 export * from './claims-state.js';
 export * from './explore.js';
 export * from './specification.js';
-export * from './subjects.js';
+export * from './model-checks.js';
 export * from './ownership-model.js';
-export * from './window-model.js';
+export * from './claim-retention-model.js';
--- a/packages/specification/src/ownership-model.ts
+++ b/packages/specification/src/ownership-model.ts
@@ -1,11 +1,11 @@
 import {
-  Promised,
+  Guarantee,
   type Invariant,
   type Mutation,
   type Specification,
-  type Subject,
+  type SpecificationFactory,
 } from './specification.js';
-import {changeAt} from './change-at.js';
+import {mergeAt} from './array-updates.js';
 
 /** Kinds of records about the one VM and the daemons. */
 export enum OwnershipRecordKind {
@@ -21,7 +21,7 @@
 export interface OwnershipRecord {
   readonly kind: OwnershipRecordKind;
   /** Incarnation of a daemon. */
-  readonly of?: string;
+  readonly incarnation?: string;
   readonly pool?: string;
   readonly epoch?: number;
   /** Offset of the move's first record: the identity of the move. */
@@ -49,18 +49,18 @@
   readonly incarnation: string;
   readonly isUp: boolean;
   /** Offset that it reads next. */
-  readonly read: number;
+  readonly nextOffset: number;
   /** Pool for which it has a request on the VM; empty when none. */
-  readonly carries: string;
+  readonly requestPool: string;
   /** Move that it acknowledged last; -1 before the first. */
-  readonly acknowledged: number;
+  readonly acknowledgedMove: number;
   /** What it says to the log and has not landed yet. */
-  readonly saying: OwnershipRecord | null;
+  readonly pendingRecord: OwnershipRecord | null;
 }
 
 /** Bounds of one exploration. */
 export interface OwnershipBounds {
-  readonly starts: number;
+  readonly moves: number;
   readonly aborts: number;
   readonly crashes: number;
 }
@@ -69,9 +69,9 @@
 export interface OwnershipState {
   readonly log: readonly OwnershipRecord[];
   readonly daemons: readonly OwnershipDaemon[];
-  readonly starts: number;
-  readonly aborts: number;
-  readonly crashes: number;
+  readonly movesLeft: number;
+  readonly abortsLeft: number;
+  readonly crashesLeft: number;
 }
 
 /** What may happen to the VM and the daemons. */
@@ -79,10 +79,10 @@
   Read = 'read',
   /** A request goes to the VM under the pool that the daemon's fold names. */
   Dispatch = 'dispatch',
-  Answer = 'answer',
+  ReceiveResponse = 'answer',
   Acknowledge = 'acknowledge',
   /** What a daemon said lands, however late. */
-  Land = 'land',
+  Append = 'land',
   StartMove = 'start_move',
   AssignMove = 'assign_move',
   AbortMove = 'abort_move',
@@ -90,13 +90,13 @@
   /** A successor starts and says that it joins. */
   Restart = 'restart',
   /** The planner takes a daemon out of the members. */
-  Remove = 'remove',
+  RemoveMember = 'remove',
 }
 
 /** One thing that happens; `of` is the place of a daemon. */
 export interface OwnershipEvent {
   readonly type: OwnershipEventType;
-  readonly of: number;
+  readonly daemonIndex: number;
 }
 
 /** Safeguards that a mutation takes out. */
@@ -105,16 +105,16 @@
   AcknowledgeEarly = 'acknowledge-early',
   AcknowledgeAnyMove = 'acknowledge-any-move',
   RouteBeforeJoined = 'route-before-joined',
-  RemoveTheSilent = 'remove-the-silent',
+  RemoveRunningMembers = 'remove-the-silent',
 }
 
-const ONE_POOL = 'requests of two pools never meet on the VM';
+const SINGLE_POOL_PER_VM = 'requests of two pools never meet on the VM';
 const POOLS = ['p', 'q'];
-const NAMES = ['a', 'b'];
+const DAEMON_NAMES = ['a', 'b'];
 
-const T = OwnershipEventType;
-const K = OwnershipRecordKind;
-const M = OwnershipMutation;
+const EventType = OwnershipEventType;
+const RecordKind = OwnershipRecordKind;
+const MutationName = OwnershipMutation;
 
 /** The fold of the specification over a stretch of the log. */
 export function foldOwnership(
@@ -140,31 +140,32 @@
   mutation: string | undefined,
 ): FoldedOwnership {
   const {move, members} = state;
-  const of = record.of ?? '';
+  const of = record.incarnation ?? '';
   const isNamed = move?.startedAt === record.startedAt;
   switch (record.kind) {
-    case K.Joined: {
+    case RecordKind.Joined: {
       const others = members.filter(member => member[0] !== of[0]);
       return {...state, members: [...others, of].sort()};
     }
-    case K.Left:
+    case RecordKind.Left:
       return {...state, members: members.filter(member => member !== of)};
-    case K.MoveStarted:
+    case RecordKind.MoveStarted:
       if (move || record.epoch !== state.epoch) return state;
       return {
         ...state,
         move: {startedAt: offset, toPool: record.pool!, awaiting: members},
       };
-    case K.Acknowledged: {
+    case RecordKind.Acknowledged: {
       if (!move || !members.includes(of)) return state;
-      if (!isNamed && mutation !== M.AcknowledgeAnyMove) return state;
+      if (!isNamed && mutation !== MutationName.AcknowledgeAnyMove)
+        return state;
       const awaiting = move.awaiting.filter(member => member !== of);
       return {...state, move: {...move, awaiting}};
     }
-    case K.MoveAssigned:
+    case RecordKind.MoveAssigned:
       if (!move || !isNamed || !isDrained(state, mutation)) return state;
       return {...state, pool: move.toPool, epoch: state.epoch + 1, move: null};
-    case K.MoveAborted:
+    case RecordKind.MoveAborted:
       return move && isNamed ? {...state, move: null} : state;
   }
 }
@@ -174,7 +175,7 @@
   {move, members}: FoldedOwnership,
   mutation: string | undefined,
 ): boolean {
-  if (mutation === M.AssignUnacknowledged) return true;
+  if (mutation === MutationName.AssignUnacknowledged) return true;
   return !move!.awaiting.some(member => members.includes(member));
 }
 
@@ -185,97 +186,120 @@
 > {
   readonly name: string;
   readonly bounds: string;
-  readonly initial: OwnershipState;
+  readonly initialState: OwnershipState;
   readonly invariants: ReadonlyArray<Invariant<OwnershipState>> = [
     {
-      promise: Promised.OnePool,
-      name: ONE_POOL,
+      guarantee: Guarantee.SinglePoolPerVm,
+      name: SINGLE_POOL_PER_VM,
       holds: ({daemons}) => {
-        const pools = daemons.map(({carries}) => carries).filter(Boolean);
+        const pools = daemons
+          .map(({requestPool: carries}) => carries)
+          .filter(Boolean);
         return new Set(pools).size <= 1;
       },
     },
   ];
 
   constructor(
-    {starts, aborts, crashes}: OwnershipBounds,
+    {moves: starts, aborts, crashes}: OwnershipBounds,
     private readonly mutation: string | undefined,
   ) {
     this.name = `ownership (${starts} moves, ${aborts} aborts, ${crashes} crashes)`;
     this.bounds = `1 VM, 2 pools, 2 daemons, ${starts} moves, ${aborts} aborts, ${crashes} crashes, any record of a daemon late`;
-    this.initial = {
-      log: NAMES.map(name => ({kind: K.Joined, of: `${name}1`})),
-      daemons: NAMES.map(name => ({
+    this.initialState = {
+      log: DAEMON_NAMES.map(name => ({
+        kind: RecordKind.Joined,
+        incarnation: `${name}1`,
+      })),
+      daemons: DAEMON_NAMES.map(name => ({
         incarnation: `${name}1`,
         isUp: true,
-        read: NAMES.length,
-        carries: '',
-        acknowledged: -1,
-        saying: null,
+        nextOffset: DAEMON_NAMES.length,
+        requestPool: '',
+        acknowledgedMove: -1,
+        pendingRecord: null,
       })),
-      starts,
-      aborts,
-      crashes,
+      movesLeft: starts,
+      abortsLeft: aborts,
+      crashesLeft: crashes,
     };
   }
 
-  describe({type, of}: OwnershipEvent): string {
-    return of < 0 ? `planner: ${type}` : `daemon ${NAMES[of]}: ${type}`;
+  describe({type, daemonIndex: of}: OwnershipEvent): string {
+    return of < 0 ? `planner: ${type}` : `daemon ${DAEMON_NAMES[of]}: ${type}`;
   }
 
-  events(state: OwnershipState): OwnershipEvent[] {
+  enabledEvents(state: OwnershipState): OwnershipEvent[] {
     const events: OwnershipEvent[] = [];
     const add = (type: OwnershipEventType, of: number, when: boolean) => {
-      if (when) events.push({type, of});
+      if (when) events.push({type, daemonIndex: of});
     };
     const folded = this.fold(state.log);
     state.daemons.forEach((daemon, of) => {
-      const known = this.fold(state.log.slice(0, daemon.read));
-      const {isUp, carries, saying} = daemon;
-      add(T.Read, of, isUp && daemon.read < state.log.length);
-      add(T.Dispatch, of, carries === '' && this.mayRoute(daemon, known));
-      add(T.Answer, of, carries !== '');
-      add(T.Acknowledge, of, this.mayAcknowledge(daemon, known));
-      add(T.Land, of, saying !== null);
-      add(T.Crash, of, isUp && state.crashes > 0);
-      add(T.Restart, of, !isUp);
+      const known = this.fold(state.log.slice(0, daemon.nextOffset));
+      const {isUp, requestPool: carries, pendingRecord: saying} = daemon;
+      add(EventType.Read, of, isUp && daemon.nextOffset < state.log.length);
+      add(
+        EventType.Dispatch,
+        of,
+        carries === '' && this.mayRoute(daemon, known),
+      );
+      add(EventType.ReceiveResponse, of, carries !== '');
+      add(EventType.Acknowledge, of, this.mayAcknowledge(daemon, known));
+      add(EventType.Append, of, saying !== null);
+      add(EventType.Crash, of, isUp && state.crashesLeft > 0);
+      add(EventType.Restart, of, !isUp);
       const isMember = folded.members.includes(daemon.incarnation);
-      const mayRemove = !isUp || this.mutation === M.RemoveTheSilent;
-      add(T.Remove, of, isMember && mayRemove);
+      const mayRemove =
+        !isUp || this.mutation === MutationName.RemoveRunningMembers;
+      add(EventType.RemoveMember, of, isMember && mayRemove);
     });
-    add(T.StartMove, -1, state.starts > 0 && folded.move === null);
+    add(EventType.StartMove, -1, state.movesLeft > 0 && folded.move === null);
     add(
-      T.AssignMove,
+      EventType.AssignMove,
       -1,
       folded.move !== null && isDrained(folded, this.mutation),
     );
-    add(T.AbortMove, -1, state.aborts > 0 && folded.move !== null);
+    add(EventType.AbortMove, -1, state.abortsLeft > 0 && folded.move !== null);
     return events;
   }
 
-  step(state: OwnershipState, {type, of}: OwnershipEvent): OwnershipState {
+  step(
+    state: OwnershipState,
+    {type, daemonIndex: of}: OwnershipEvent,
+  ): OwnershipState {
     const folded = this.fold(state.log);
     const startedAt = folded.move?.startedAt;
     switch (type) {
-      case T.StartMove: {
+      case EventType.StartMove: {
         const pool = POOLS.find(other => other !== folded.pool);
         const {epoch} = folded;
-        const started = append(state, {kind: K.MoveStarted, pool, epoch});
-        return {...started, starts: state.starts - 1};
+        const started = append(state, {
+          kind: RecordKind.MoveStarted,
+          pool,
+          epoch,
+        });
+        return {...started, movesLeft: state.movesLeft - 1};
       }
-      case T.AssignMove:
-        return append(state, {kind: K.MoveAssigned, startedAt});
-      case T.AbortMove: {
-        const aborted = append(state, {kind: K.MoveAborted, startedAt});
-        return {...aborted, aborts: state.aborts - 1};
+      case EventType.AssignMove:
+        return append(state, {kind: RecordKind.MoveAssigned, startedAt});
+      case EventType.AbortMove: {
+        const aborted = append(state, {
+          kind: RecordKind.MoveAborted,
+          startedAt,
+        });
+        return {...aborted, abortsLeft: state.abortsLeft - 1};
       }
-      case T.Remove: {
+      case EventType.RemoveMember: {
         const {incarnation} = state.daemons[of];
-        return append(state, {kind: K.Left, of: incarnation});
+        return append(state, {kind: RecordKind.Left, incarnation: incarnation});
       }
-      case T.Crash: {
-        const gone = {isUp: false, carries: '', saying: null};
-        return {...withDaemon(state, of, gone), crashes: state.crashes - 1};
+      case EventType.Crash: {
+        const gone = {isUp: false, requestPool: '', pendingRecord: null};
+        return {
+          ...withDaemon(state, of, gone),
+          crashesLeft: state.crashesLeft - 1,
+        };
       }
       default:
         return this.stepDaemon(state, type, of);
@@ -288,25 +312,28 @@
     of: number,
   ): OwnershipState {
     const daemon = state.daemons[of];
-    const known = this.fold(state.log.slice(0, daemon.read));
+    const known = this.fold(state.log.slice(0, daemon.nextOffset));
     switch (type) {
-      case T.Read:
-        return withDaemon(state, of, {read: daemon.read + 1});
-      case T.Dispatch:
-        return withDaemon(state, of, {carries: known.pool});
-      case T.Answer:
-        return withDaemon(state, of, {carries: ''});
-      case T.Acknowledge:
+      case EventType.Read:
+        return withDaemon(state, of, {nextOffset: daemon.nextOffset + 1});
+      case EventType.Dispatch:
+        return withDaemon(state, of, {requestPool: known.pool});
+      case EventType.ReceiveResponse:
+        return withDaemon(state, of, {requestPool: ''});
+      case EventType.Acknowledge:
         return withDaemon(state, of, {
-          acknowledged: known.move!.startedAt,
-          saying: {
-            kind: K.Acknowledged,
-            of: daemon.incarnation,
+          acknowledgedMove: known.move!.startedAt,
+          pendingRecord: {
+            kind: RecordKind.Acknowledged,
+            incarnation: daemon.incarnation,
             startedAt: known.move!.startedAt,
           },
         });
-      case T.Land:
-        return append(withDaemon(state, of, {saying: null}), daemon.saying!);
+      case EventType.Append:
+        return append(
+          withDaemon(state, of, {pendingRecord: null}),
+          daemon.pendingRecord!,
+        );
       default:
         return restart(state, of);
     }
@@ -316,16 +343,23 @@
     if (!daemon.isUp || known.move) return false;
     // A daemon that is no member in its own fold is awaited by no move.
     const isJoined = known.members.includes(daemon.incarnation);
-    return isJoined || this.mutation === M.RouteBeforeJoined;
+    return isJoined || this.mutation === MutationName.RouteBeforeJoined;
   }
 
   private mayAcknowledge(
-    {isUp, incarnation, carries, acknowledged, saying}: OwnershipDaemon,
+    {
+      isUp,
+      incarnation,
+      requestPool: carries,
+      acknowledgedMove: acknowledged,
+      pendingRecord: saying,
+    }: OwnershipDaemon,
     {move}: FoldedOwnership,
   ): boolean {
     if (!isUp || saying !== null || !move) return false;
     if (move.startedAt === acknowledged) return false;
-    const isIdle = carries === '' || this.mutation === M.AcknowledgeEarly;
+    const isIdle =
+      carries === '' || this.mutation === MutationName.AcknowledgeEarly;
     return isIdle && move.awaiting.includes(incarnation);
   }
 
@@ -347,9 +381,9 @@
   return withDaemon(state, of, {
     incarnation: successor,
     isUp: true,
-    read: 0,
-    acknowledged: -1,
-    saying: {kind: K.Joined, of: successor},
+    nextOffset: 0,
+    acknowledgedMove: -1,
+    pendingRecord: {kind: RecordKind.Joined, incarnation: successor},
   });
 }
 
@@ -358,47 +392,48 @@
   of: number,
   change: Partial<OwnershipDaemon>,
 ): OwnershipState {
-  const daemons = changeAt(state.daemons, of, change);
+  const daemons = mergeAt(state.daemons, of, change);
   return {...state, daemons};
 }
 
 const MOVE_MUTATIONS: readonly Mutation[] = [
   {
-    name: M.AssignUnacknowledged,
-    without: 'waiting for the acknowledgements before the new pool gets the VM',
-    breaks: ONE_POOL,
+    name: MutationName.AssignUnacknowledged,
+    removedSafeguard:
+      'waiting for the acknowledgements before the new pool gets the VM',
+    brokenInvariant: SINGLE_POOL_PER_VM,
   },
   {
-    name: M.AcknowledgeEarly,
-    without: 'letting requests end before a daemon acknowledges',
-    breaks: ONE_POOL,
+    name: MutationName.AcknowledgeEarly,
+    removedSafeguard: 'letting requests end before a daemon acknowledges',
+    brokenInvariant: SINGLE_POOL_PER_VM,
   },
   {
-    name: M.AcknowledgeAnyMove,
-    without: 'the identity of the move in an acknowledgement',
-    breaks: ONE_POOL,
+    name: MutationName.AcknowledgeAnyMove,
+    removedSafeguard: 'the identity of the move in an acknowledgement',
+    brokenInvariant: SINGLE_POOL_PER_VM,
   },
 ];
 
 const CRASH_MUTATIONS: readonly Mutation[] = [
   {
-    name: M.RouteBeforeJoined,
-    without: 'reading back its own joining before a daemon routes',
-    breaks: ONE_POOL,
+    name: MutationName.RouteBeforeJoined,
+    removedSafeguard: 'reading back its own joining before a daemon routes',
+    brokenInvariant: SINGLE_POOL_PER_VM,
   },
   {
-    name: M.RemoveTheSilent,
-    without: 'taking out only daemons that are gone',
-    breaks: ONE_POOL,
+    name: MutationName.RemoveRunningMembers,
+    removedSafeguard: 'taking out only daemons that are gone',
+    brokenInvariant: SINGLE_POOL_PER_VM,
   },
 ];
 
 /** Ownership of one VM while it moves, within the given bounds. */
-export function ownershipWithin(
+export function ownershipSpecifications(
   bounds: OwnershipBounds,
-): Subject<OwnershipState, OwnershipEvent> {
+): SpecificationFactory<OwnershipState, OwnershipEvent> {
   return {
     mutations: bounds.crashes > 0 ? CRASH_MUTATIONS : MOVE_MUTATIONS,
-    make: mutation => new OwnershipSpecification(bounds, mutation),
+    create: mutation => new OwnershipSpecification(bounds, mutation),
   };
 }
--- a/packages/specification/src/run-model.ts
+++ b/packages/specification/src/run-model.ts
@@ -1,20 +1,20 @@
-import {sortedBag} from './bag.js';
+import {inCanonicalOrder} from './canonical-order.js';
 import {
-  changeCoordinator,
-  changeWorker,
-  fence,
+  updateCoordinator,
+  updateWorker,
+  markFenced,
   withoutOrder,
-} from './order-state.js';
+} from './coordinator-worker-state.js';
 import {
-  Promised,
+  Guarantee,
   type Invariant,
   type Mutation,
   type Specification,
-  type Subject,
+  type SpecificationFactory,
 } from './specification.js';
 
 /** What a coordinator believes of the task's last run. */
-export enum RunBelief {
+export enum AssumedRunState {
   None = 'none',
   /** In the log, the order not sent yet. */
   Stored = 'stored',
@@ -27,7 +27,7 @@
 /** A coordinator of one term. */
 export interface RunCoordinator {
   readonly term: number;
-  readonly belief: RunBelief;
+  readonly assumedRunState: AssumedRunState;
   readonly run: number;
   readonly worker: number;
   /** It has read the task's end as done. */
@@ -39,12 +39,12 @@
 /** A worker with its highest token and the run that it would refuse. */
 export interface RunWorker {
   readonly token: number;
-  readonly barred: number;
+  readonly refusedUpToRun: number;
   /** Run that is alive; 0 for none. */
-  readonly alive: number;
+  readonly activeRun: number;
   /** Run that has ended as done and is not acknowledged; 0 for none. */
-  readonly ended: number;
-  readonly cut: boolean;
+  readonly unacknowledgedRun: number;
+  readonly isPartitioned: boolean;
 }
 
 /** An order to start that may arrive at any time. */
@@ -53,7 +53,7 @@
   readonly run: number;
   readonly worker: number;
   /** The lease that it carries has run out. */
-  readonly late: boolean;
+  readonly isLeaseExpired: boolean;
 }
 
 /** The whole state: one task, two workers, two terms. */
@@ -65,38 +65,38 @@
   readonly coordinators: readonly RunCoordinator[];
   readonly workers: readonly RunWorker[];
   readonly orders: readonly RunOrder[];
-  readonly cutsLeft: number;
-  readonly startedAfterDone: boolean;
+  readonly partitionsLeft: number;
+  readonly hasStartedAfterDone: boolean;
 }
 
 /** What may happen. */
 export enum RunEventType {
   /** A coordinator stores a run on a worker. */
-  Store = 'store',
-  Send = 'send',
-  Arrive = 'arrive',
-  Lose = 'lose',
+  StoreRun = 'store',
+  SendOrder = 'send',
+  DeliverOrder = 'arrive',
+  LoseOrder = 'lose',
   /** A coordinator looks at a worker that answers. */
-  Look = 'look',
+  PollWorker = 'look',
   /** A stop that is answered. */
-  Stop = 'stop',
+  StopRun = 'stop',
   Finish = 'finish',
   /** A done end that was read is stored, then acknowledged. */
   StoreEnd = 'store end',
   TakeOver = 'take over',
-  Cut = 'cut',
-  Heal = 'heal',
+  Partition = 'cut',
+  HealPartition = 'heal',
   /** Time passes: a lease on a worker that is cut off runs out. */
-  Lapse = 'lapse',
+  ExpireLease = 'lapse',
   /** A coordinator knows that the lease on a worker is over. */
-  LeaseOver = 'lease over',
+  LearnLeaseExpiry = 'lease over',
 }
 
 /** One thing that happens. */
 export interface RunEvent {
   readonly type: RunEventType;
   /** Coordinator, or index of an order. */
-  readonly of: number;
+  readonly coordinatorOrOrder: number;
   readonly worker: number;
 }
 
@@ -104,120 +104,123 @@
 export enum RunMutation {
   SendBeforeStore = 'send-before-store',
   UnansweredIsNotRun = 'unanswered-is-not-run',
-  SilenceIsDeath = 'silence-is-death',
+  NoLeaseWait = 'silence-is-death',
   NoFence = 'no-fence',
-  NoBar = 'no-bar',
+  NoStoppedRunRefusal = 'no-bar',
 }
 
 const WORKERS = [0, 1];
 const MAXIMUM_RUN = 2;
 const MAXIMUM_TERM = 2;
-const AT_MOST_ONE = 'never two runs of the task at the same time';
-const NOT_AFTER_DONE = 'no run begins after an end as done was acknowledged';
-const T = RunEventType;
-const M = RunMutation;
-const B = RunBelief;
+const AT_MOST_ONE_ACTIVE_RUN = 'never two runs of the task at the same time';
+const NO_RUN_AFTER_DONE = 'no run begins after an end as done was acknowledged';
+const EventType = RunEventType;
+const MutationName = RunMutation;
+const B = AssumedRunState;
 
 /** The rule for when a task may start, over leases, late orders and a change of coordinator. */
 class RunSpecification implements Specification<RunState, RunEvent> {
   readonly name = 'run (2 workers, 2 terms, 2 runs)';
   readonly bounds =
     '1 task, 2 workers, 2 terms, 2 runs, 1 cut; orders late or lost in any order';
-  readonly initial: RunState = {
+  readonly initialState: RunState = {
     storedRun: 0,
     storedWorker: -1,
     storedDone: false,
     term: 1,
-    coordinators: [coordinatorOf(1, B.None, 0, -1, false)],
+    coordinators: [createCoordinator(1, B.None, 0, -1, false)],
     workers: WORKERS.map(() => ({
       token: 0,
-      barred: 0,
-      alive: 0,
-      ended: 0,
-      cut: false,
+      refusedUpToRun: 0,
+      activeRun: 0,
+      unacknowledgedRun: 0,
+      isPartitioned: false,
     })),
     orders: [],
-    cutsLeft: 1,
-    startedAfterDone: false,
+    partitionsLeft: 1,
+    hasStartedAfterDone: false,
   };
   readonly invariants: ReadonlyArray<Invariant<RunState>> = [
     {
-      promise: Promised.AtMostOnce,
-      name: AT_MOST_ONE,
-      holds: ({workers}) => workers.filter(one => one.alive > 0).length <= 1,
+      guarantee: Guarantee.AtMostOnce,
+      name: AT_MOST_ONE_ACTIVE_RUN,
+      holds: ({workers}) =>
+        workers.filter(one => one.activeRun > 0).length <= 1,
     },
     {
-      promise: Promised.AtMostOnce,
-      name: NOT_AFTER_DONE,
-      holds: ({startedAfterDone}) => !startedAfterDone,
+      guarantee: Guarantee.AtMostOnce,
+      name: NO_RUN_AFTER_DONE,
+      holds: ({hasStartedAfterDone: startedAfterDone}) => !startedAfterDone,
     },
   ];
 
   constructor(private readonly mutation: string | undefined) {}
 
-  describe({type, of, worker}: RunEvent): string {
+  describe({type, coordinatorOrOrder: of, worker}: RunEvent): string {
     const where = worker >= 0 ? ` at worker ${worker}` : '';
     return `${type} (${of})${where}`;
   }
 
-  events(state: RunState): RunEvent[] {
+  enabledEvents(state: RunState): RunEvent[] {
     const events: RunEvent[] = [];
     const add = (type: RunEventType, of: number, worker: number) =>
-      events.push({type, of, worker});
+      events.push({type, coordinatorOrOrder: of, worker});
     state.coordinators.forEach((coordinator, of) =>
       this.addCoordinatorEvents(state, coordinator, of, add),
     );
     state.orders.forEach((order, of) => {
-      if (!state.workers[order.worker].cut) add(T.Arrive, of, order.worker);
-      add(T.Lose, of, order.worker);
+      if (!state.workers[order.worker].isPartitioned)
+        add(EventType.DeliverOrder, of, order.worker);
+      add(EventType.LoseOrder, of, order.worker);
     });
     state.workers.forEach((worker, index) => {
-      if (worker.alive > 0) add(T.Finish, -1, index);
-      if (!worker.cut && state.cutsLeft > 0) add(T.Cut, -1, index);
-      if (worker.cut) {
-        add(T.Heal, -1, index);
-        add(T.Lapse, -1, index);
+      if (worker.activeRun > 0) add(EventType.Finish, -1, index);
+      if (!worker.isPartitioned && state.partitionsLeft > 0)
+        add(EventType.Partition, -1, index);
+      if (worker.isPartitioned) {
+        add(EventType.HealPartition, -1, index);
+        add(EventType.ExpireLease, -1, index);
       }
     });
-    if (state.term < MAXIMUM_TERM) add(T.TakeOver, -1, -1);
+    if (state.term < MAXIMUM_TERM) add(EventType.TakeOver, -1, -1);
     return events;
   }
 
   step(state: RunState, event: RunEvent): RunState {
     switch (event.type) {
-      case T.Store:
+      case EventType.StoreRun:
         return this.store(state, event);
-      case T.Send:
+      case EventType.SendOrder:
         return this.send(state, event);
-      case T.Arrive:
-        return this.arrive(state, event);
-      case T.Lose:
-        return withoutOrder(state, event.of);
-      case T.Look:
-        return this.look(state, event);
-      case T.Stop:
+      case EventType.DeliverOrder:
+        return this.deliverOrder(state, event);
+      case EventType.LoseOrder:
+        return withoutOrder(state, event.coordinatorOrOrder);
+      case EventType.PollWorker:
+        return this.pollWorker(state, event);
+      case EventType.StopRun:
         return this.stop(state, event);
-      case T.Finish:
-        return changeWorker(state, event.worker, worker => ({
+      case EventType.Finish:
+        return updateWorker(state, event.worker, worker => ({
           ...worker,
-          alive: 0,
-          ended: worker.alive,
+          activeRun: 0,
+          unacknowledgedRun: worker.activeRun,
         }));
-      case T.StoreEnd:
+      case EventType.StoreEnd:
         return this.storeEnd(state, event);
-      case T.TakeOver:
+      case EventType.TakeOver:
         return takeOver(state);
-      case T.Cut:
+      case EventType.Partition:
         return {
-          ...changeWorker(state, event.worker, cutOff(true)),
-          cutsLeft: state.cutsLeft - 1,
+          ...updateWorker(state, event.worker, withPartition(true)),
+          partitionsLeft: state.partitionsLeft - 1,
         };
-      case T.Heal:
-        return changeWorker(state, event.worker, cutOff(false));
-      case T.Lapse:
-        return lapse(state, event.worker);
-      case T.LeaseOver:
-        return changeCoordinator(state, event.of, forgetRun);
+      case EventType.HealPartition:
+        return updateWorker(state, event.worker, withPartition(false));
+      case EventType.ExpireLease:
+        return expireLease(state, event.worker);
+      case EventType.LearnLeaseExpiry:
+        return updateCoordinator(state, event.coordinatorOrOrder, clearRun);
     }
   }
 
@@ -228,149 +231,167 @@
     add: (type: RunEventType, of: number, worker: number) => void,
   ): void {
     if (coordinator.fenced) return;
-    const {belief, worker, run} = coordinator;
+    const {assumedRunState: belief, worker, run} = coordinator;
     if (coordinator.knowsDone) {
-      if (!state.storedDone) add(T.StoreEnd, of, worker);
+      if (!state.storedDone) add(EventType.StoreEnd, of, worker);
       return;
     }
     if (belief === B.None) {
       if (run < MAXIMUM_RUN)
-        for (const target of WORKERS) add(T.Store, of, target);
+        for (const target of WORKERS) add(EventType.StoreRun, of, target);
       return;
     }
-    if (belief === B.Stored) add(T.Send, of, worker);
-    if (this.isLeaseOver(state, coordinator)) add(T.LeaseOver, of, worker);
-    if (state.workers[worker].cut) return;
+    if (belief === B.Stored) add(EventType.SendOrder, of, worker);
+    if (this.isLeaseExpired(state, coordinator))
+      add(EventType.LearnLeaseExpiry, of, worker);
+    if (state.workers[worker].isPartitioned) return;
     if (belief !== B.Stored) {
-      add(T.Look, of, worker);
-      add(T.Stop, of, worker);
+      add(EventType.PollWorker, of, worker);
+      add(EventType.StopRun, of, worker);
     }
   }
 
   /** Nothing that was started on the worker, or is on its way there, can be alive. */
-  private isLeaseOver(
+  private isLeaseExpired(
     state: RunState,
-    {belief, worker}: RunCoordinator,
+    {assumedRunState: belief, worker}: RunCoordinator,
   ): boolean {
-    if (belief === B.Stored || !state.workers[worker].cut) return false;
-    if (this.mutation === M.SilenceIsDeath) return true;
+    if (belief === B.Stored || !state.workers[worker].isPartitioned)
+      return false;
+    if (this.mutation === MutationName.NoLeaseWait) return true;
     const coming = state.orders.some(
-      order => order.worker === worker && !order.late,
+      order => order.worker === worker && !order.isLeaseExpired,
     );
     // A paused coordinator may still send an order whose lease began while its term was good.
     const pausedSender = state.coordinators.some(
-      other => other.belief === B.Stored && other.worker === worker,
+      other => other.assumedRunState === B.Stored && other.worker === worker,
     );
-    return state.workers[worker].alive === 0 && !coming && !pausedSender;
+    return state.workers[worker].activeRun === 0 && !coming && !pausedSender;
   }
 
-  private store(state: RunState, {of, worker}: RunEvent): RunState {
+  private store(
+    state: RunState,
+    {coordinatorOrOrder: of, worker}: RunEvent,
+  ): RunState {
     const coordinator = state.coordinators[of];
     const run = coordinator.run + 1;
-    if (this.mutation === M.SendBeforeStore)
+    if (this.mutation === MutationName.SendBeforeStore)
       return this.send(
-        changeCoordinator(state, of, one => ({
+        updateCoordinator(state, of, one => ({
           ...one,
-          belief: B.Stored,
+          assumedRunState: B.Stored,
           run,
           worker,
         })),
-        {type: T.Send, of, worker},
+        {type: EventType.SendOrder, coordinatorOrOrder: of, worker},
       );
     if (coordinator.term < state.term)
-      return changeCoordinator(state, of, fence);
-    return changeCoordinator(
+      return updateCoordinator(state, of, markFenced);
+    return updateCoordinator(
       {...state, storedRun: run, storedWorker: worker},
       of,
-      one => ({...one, belief: B.Stored, run, worker}),
+      one => ({...one, assumedRunState: B.Stored, run, worker}),
     );
   }
 
-  private send(state: RunState, {of}: RunEvent): RunState {
+  private send(state: RunState, {coordinatorOrOrder: of}: RunEvent): RunState {
     const {term, run, worker} = state.coordinators[of];
-    const order: RunOrder = {term, run, worker, late: false};
-    return changeCoordinator(
-      {...state, orders: sortedBag([...state.orders, order])},
+    const order: RunOrder = {term, run, worker, isLeaseExpired: false};
+    return updateCoordinator(
+      {...state, orders: inCanonicalOrder([...state.orders, order])},
       of,
-      one => ({...one, belief: B.Sent}),
+      one => ({...one, assumedRunState: B.Sent}),
     );
   }
 
-  private arrive(state: RunState, {of}: RunEvent): RunState {
+  private deliverOrder(
+    state: RunState,
+    {coordinatorOrOrder: of}: RunEvent,
+  ): RunState {
     const order = state.orders[of];
     const next = withoutOrder(state, of);
     const worker = state.workers[order.worker];
-    const isFenced = this.mutation !== M.NoFence && order.term < worker.token;
-    const isBarred = this.mutation !== M.NoBar && order.run <= worker.barred;
-    if (isFenced || order.late || isBarred) return next;
-    const started = changeWorker(next, order.worker, one => ({
+    const isFenced =
+      this.mutation !== MutationName.NoFence && order.term < worker.token;
+    const isBarred =
+      this.mutation !== MutationName.NoStoppedRunRefusal &&
+      order.run <= worker.refusedUpToRun;
+    if (isFenced || order.isLeaseExpired || isBarred) return next;
+    const started = updateWorker(next, order.worker, one => ({
       ...one,
       token: Math.max(one.token, order.term),
-      barred: Math.max(one.barred, order.run),
-      alive: order.run,
+      refusedUpToRun: Math.max(one.refusedUpToRun, order.run),
+      activeRun: order.run,
     }));
     return {
       ...started,
-      startedAfterDone: state.startedAfterDone || state.storedDone,
+      hasStartedAfterDone: state.hasStartedAfterDone || state.storedDone,
     };
   }
 
-  private look(state: RunState, {of}: RunEvent): RunState {
-    const {term, worker, run, belief} = state.coordinators[of];
+  private pollWorker(
+    state: RunState,
+    {coordinatorOrOrder: of}: RunEvent,
+  ): RunState {
+    const {term, worker, run, assumedRunState: belief} = state.coordinators[of];
     const seen = state.workers[worker];
-    if (term < seen.token) return changeCoordinator(state, of, fence);
-    const shown = changeWorker(state, worker, one => ({...one, token: term}));
-    if (seen.ended === run && run > 0)
-      return changeCoordinator(shown, of, one => ({...one, knowsDone: true}));
-    if (seen.alive === run) return shown;
+    if (term < seen.token) return updateCoordinator(state, of, markFenced);
+    const shown = updateWorker(state, worker, one => ({...one, token: term}));
+    if (seen.unacknowledgedRun === run && run > 0)
+      return updateCoordinator(shown, of, one => ({...one, knowsDone: true}));
+    if (seen.activeRun === run) return shown;
     // Neither alive nor ended: a recovered run never will be, since the token is shown. One that we
     // have sent may still arrive.
     const never =
-      belief === B.Recovered || this.mutation === M.UnansweredIsNotRun;
-    return never ? changeCoordinator(shown, of, forgetRun) : shown;
+      belief === B.Recovered ||
+      this.mutation === MutationName.UnansweredIsNotRun;
+    return never ? updateCoordinator(shown, of, clearRun) : shown;
   }
 
-  private stop(state: RunState, {of}: RunEvent): RunState {
+  private stop(state: RunState, {coordinatorOrOrder: of}: RunEvent): RunState {
     const {term, worker, run} = state.coordinators[of];
     const seen = state.workers[worker];
-    if (term < seen.token) return changeCoordinator(state, of, fence);
-    const stopped = changeWorker(state, worker, one => ({
+    if (term < seen.token) return updateCoordinator(state, of, markFenced);
+    const stopped = updateWorker(state, worker, one => ({
       ...one,
       token: term,
-      barred: Math.max(one.barred, run),
-      alive: one.alive === run ? 0 : one.alive,
+      refusedUpToRun: Math.max(one.refusedUpToRun, run),
+      activeRun: one.activeRun === run ? 0 : one.activeRun,
     }));
-    if (seen.ended === run)
-      return changeCoordinator(stopped, of, one => ({...one, knowsDone: true}));
-    return changeCoordinator(stopped, of, forgetRun);
+    if (seen.unacknowledgedRun === run)
+      return updateCoordinator(stopped, of, one => ({...one, knowsDone: true}));
+    return updateCoordinator(stopped, of, clearRun);
   }
 
-  private storeEnd(state: RunState, {of, worker}: RunEvent): RunState {
+  private storeEnd(
+    state: RunState,
+    {coordinatorOrOrder: of, worker}: RunEvent,
+  ): RunState {
     if (state.coordinators[of].term < state.term)
-      return changeCoordinator(state, of, fence);
-    const acknowledged = changeWorker(state, worker, one => ({
+      return updateCoordinator(state, of, markFenced);
+    const acknowledged = updateWorker(state, worker, one => ({
       ...one,
-      ended: 0,
+      unacknowledgedRun: 0,
     }));
     return {...acknowledged, storedDone: true, storedWorker: -1};
   }
 }
 
-function coordinatorOf(
+function createCoordinator(
   term: number,
-  belief: RunBelief,
+  belief: AssumedRunState,
   run: number,
   worker: number,
   knowsDone: boolean,
 ): RunCoordinator {
-  return {term, belief, run, worker, knowsDone, fenced: false};
+  return {term, assumedRunState: belief, run, worker, knowsDone, fenced: false};
 }
 
 /** The next coordinator closes the log to the one before, and reads it. */
 function takeOver(state: RunState): RunState {
   const term = state.term + 1;
   const belief = state.storedWorker >= 0 ? B.Recovered : B.None;
-  const next = coordinatorOf(
+  const next = createCoordinator(
     term,
     belief,
     state.storedRun,
@@ -381,60 +402,61 @@
 }
 
 /** The lease on a worker that is cut off runs out, and with it all orders that carry it. */
-function lapse(state: RunState, worker: number): RunState {
-  const lapsed = changeWorker(state, worker, one => ({
+function expireLease(state: RunState, worker: number): RunState {
+  const lapsed = updateWorker(state, worker, one => ({
     ...one,
-    alive: 0,
-    ended: 0,
+    activeRun: 0,
+    unacknowledgedRun: 0,
   }));
   return {
     ...lapsed,
-    orders: sortedBag(
+    orders: inCanonicalOrder(
       state.orders.map(order =>
-        order.worker === worker ? {...order, late: true} : order,
+        order.worker === worker ? {...order, isLeaseExpired: true} : order,
       ),
     ),
   };
 }
 
-function cutOff(cut: boolean): (worker: RunWorker) => RunWorker {
-  return worker => ({...worker, cut});
+function withPartition(cut: boolean): (worker: RunWorker) => RunWorker {
+  return worker => ({...worker, isPartitioned: cut});
 }
 
-function forgetRun(coordinator: RunCoordinator): RunCoordinator {
-  return {...coordinator, belief: B.None, worker: -1};
+function clearRun(coordinator: RunCoordinator): RunCoordinator {
+  return {...coordinator, assumedRunState: B.None, worker: -1};
 }
 
 const MUTATIONS: readonly Mutation[] = [
   {
-    name: M.SendBeforeStore,
-    without: 'a run is stored before its order is sent',
-    breaks: AT_MOST_ONE,
+    name: MutationName.SendBeforeStore,
+    removedSafeguard: 'a run is stored before its order is sent',
+    brokenInvariant: AT_MOST_ONE_ACTIVE_RUN,
   },
   {
-    name: M.UnansweredIsNotRun,
-    without: 'an order without an answer counts until a stop is answered',
-    breaks: AT_MOST_ONE,
+    name: MutationName.UnansweredIsNotRun,
+    removedSafeguard:
+      'an order without an answer counts until a stop is answered',
+    brokenInvariant: AT_MOST_ONE_ACTIVE_RUN,
   },
   {
-    name: M.SilenceIsDeath,
-    without: 'the lease of a silent worker is waited out',
-    breaks: AT_MOST_ONE,
+    name: MutationName.NoLeaseWait,
+    removedSafeguard: 'the lease of a silent worker is waited out',
+    brokenInvariant: AT_MOST_ONE_ACTIVE_RUN,
   },
   {
-    name: M.NoFence,
-    without: 'a worker refuses orders of an earlier term',
-    breaks: AT_MOST_ONE,
+    name: MutationName.NoFence,
+    removedSafeguard: 'a worker refuses orders of an earlier term',
+    brokenInvariant: AT_MOST_ONE_ACTIVE_RUN,
   },
   {
-    name: M.NoBar,
-    without: 'a worker refuses a run that it was told to stop',
-    breaks: AT_MOST_ONE,
+    name: MutationName.NoStoppedRunRefusal,
+    removedSafeguard: 'a worker refuses a run that it was told to stop',
+    brokenInvariant: AT_MOST_ONE_ACTIVE_RUN,
   },
 ];
 
 /** When a task may start. */
-export const RUNS: Subject<RunState, RunEvent> = {
+export const RUN_SPECIFICATIONS: SpecificationFactory<RunState, RunEvent> = {
   mutations: MUTATIONS,
-  make: mutation => new RunSpecification(mutation),
+  create: mutation => new RunSpecification(mutation),
 };
--- a/packages/specification/src/specification.ts
+++ b/packages/specification/src/specification.ts
@@ -1,17 +1,17 @@
 import type {EventObject} from 'xstate';
 
 /** The promises of docs/design that the specification is held against. */
-export enum Promised {
+export enum Guarantee {
   BudgetHeld = 'P1',
-  OnePool = 'P2',
-  NotRunIsTrue = 'P4',
+  SinglePoolPerVm = 'P2',
+  NotRunIsReliable = 'P4',
   AtMostOnce = 'P5',
-  NeverBack = 'P8',
+  NoVersionRollback = 'P8',
 }
 
 /** What must be true in every state. */
 export interface Invariant<State> {
-  readonly promise: Promised;
+  readonly guarantee: Guarantee;
   readonly name: string;
   holds(state: State): boolean;
 }
@@ -20,9 +20,9 @@
 export interface Mutation {
   readonly name: string;
   /** The safeguard that is missing. */
-  readonly without: string;
+  readonly removedSafeguard: string;
   /** Name of the invariant that breaks. */
-  readonly breaks: string;
+  readonly brokenInvariant: string;
 }
 
 /** A small transition system: plain canonical states, bounded, deterministic steps. */
@@ -30,9 +30,9 @@
   readonly name: string;
   /** What it covers and within which bounds. */
   readonly bounds: string;
-  readonly initial: State;
+  readonly initialState: State;
   /** Everything that may happen next. */
-  events(state: State): readonly Event[];
+  enabledEvents(state: State): readonly Event[];
   step(state: State, event: Event): State;
   /** One line for a trace. */
   describe(event: Event): string;
@@ -40,7 +40,7 @@
 }
 
 /** A specification and its mutations, each made by name; no name gives the whole one. */
-export interface Subject<State, Event extends EventObject> {
+export interface SpecificationFactory<State, Event extends EventObject> {
   readonly mutations: readonly Mutation[];
-  make(mutation?: string): Specification<State, Event>;
+  create(mutation?: string): Specification<State, Event>;
 }
--- a/packages/stand-ins/src/bin/gentiandoor-stand-ins.ts
+++ b/packages/stand-ins/src/bin/gentiandoor-stand-ins.ts
@@ -2,14 +2,14 @@
 import sade from 'sade';
 import {SystemClock, toError} from '@gentiandoor/kernel';
 import {ListedState} from '@gentiandoor/shared-state';
-import {MemoryLeases, type TaskBehaviour} from '../memory-leases.js';
+import {MemoryLeaseClient, type TaskBehaviour} from '../memory-lease-client.js';
 import {MemoryLog} from '../memory-log.js';
 import {MemoryVmActions} from '../memory-vm-actions.js';
 import {MemoryVmList} from '../memory-vm-list.js';
-import {PlatformLeasePaths} from '../platform-lease-paths.js';
+import {PlatformLeaseRoutes} from '../platform-lease-routes.js';
 import {PlatformServer} from '../platform-server.js';
-import {RebootingVms} from '../rebooting-vms.js';
-import {TargetServer, type RunRequest} from '../target-server.js';
+import {TargetRebootingVmActions} from '../target-rebooting-vm-actions.js';
+import {TargetServer, type ExecutedRequest} from '../target-server.js';
 
 const BOOT_MILLISECONDS = 400;
 const TASK_BEHAVIOUR: TaskBehaviour = {
@@ -30,9 +30,9 @@
   const targets = new Map<string, TargetServer>();
   const actions = new MemoryVmActions(clock, list);
   actions.bootMilliseconds = BOOT_MILLISECONDS;
-  const paths = new PlatformLeasePaths(
-    new MemoryLeases(clock, () => TASK_BEHAVIOUR),
-    new RebootingVms(clock, actions, targets),
+  const paths = new PlatformLeaseRoutes(
+    new MemoryLeaseClient(clock, () => TASK_BEHAVIOUR),
+    new TargetRebootingVmActions(clock, actions, targets),
   );
   const platform = new PlatformServer(new MemoryLog(clock), list, paths);
   const address = await platform.start(options.listen);
@@ -40,7 +40,7 @@
   for (const item of (options.vms ?? '').split(',').filter(Boolean)) {
     const [id, dataCentre, rack] = item.split(':');
     const target = new TargetServer(id);
-    target.keepsRuns = false;
+    target.recordsRequests = false;
     if (options['print-runs']) target.onRun = run => printRun(id, run);
     await target.start('127.0.0.1:0');
     targets.set(id, target);
@@ -55,7 +55,7 @@
   }
 }
 
-function printRun(id: string, run: RunRequest): void {
+function printRun(id: string, run: ExecutedRequest): void {
   process.stdout.write(`ran ${id} ${run.method} ${run.path}\n`);
 }
 
--- a/packages/stand-ins/src/faulty-log.ts
+++ b/packages/stand-ins/src/faulty-log.ts
@@ -1,5 +1,5 @@
 import {
-  LogFailure,
+  PlatformLogFailure,
   PlatformLogError,
   sleep,
   type Clock,
@@ -13,18 +13,18 @@
 } from '@gentiandoor/shared-state';
 
 /** Faults on the way between one daemon and the log, switched on by name. */
-export enum LogPathFault {
+export enum LogConnectionFault {
   /** Calls are refused: nothing reaches the log. */
   Cut = 'cut',
   /** Calls go through, answers do not come back. */
-  LostAnswers = 'lost_answers',
+  LostResponses = 'lost_answers',
   /** Calls get no answer until the path is asked to let go. */
   Silent = 'silent',
 }
 
 /** One daemon's way to a log. */
 export class FaultyLog implements PlatformLog {
-  readonly faults = new Set<LogPathFault>();
+  readonly faults = new Set<LogConnectionFault>();
   /** Added to each call, before it reaches the log and again before its answer comes. */
   delayMilliseconds = 0;
   /** Calls that a silent path holds until this time runs out. */
@@ -62,18 +62,27 @@
     await this.pass(signal);
     const answer = await action();
     await this.pass(signal);
-    if (!this.faults.has(LogPathFault.LostAnswers)) return answer;
-    throw new PlatformLogError(LogFailure.NoAnswer, 'the answer was lost');
+    if (!this.faults.has(LogConnectionFault.LostResponses)) return answer;
+    throw new PlatformLogError(
+      PlatformLogFailure.NoResponse,
+      'the answer was lost',
+    );
   }
 
   private async pass(signal?: AbortSignal): Promise<void> {
     if (this.delayMilliseconds > 0)
       await sleep(this.clock, this.delayMilliseconds, signal);
-    if (this.faults.has(LogPathFault.Silent)) {
+    if (this.faults.has(LogConnectionFault.Silent)) {
       await sleep(this.clock, this.silenceMilliseconds, signal);
-      throw new PlatformLogError(LogFailure.NoAnswer, 'no answer came');
+      throw new PlatformLogError(
+        PlatformLogFailure.NoResponse,
+        'no answer came',
+      );
     }
-    if (this.faults.has(LogPathFault.Cut))
-      throw new PlatformLogError(LogFailure.Refused, 'the log is cut off');
+    if (this.faults.has(LogConnectionFault.Cut))
+      throw new PlatformLogError(
+        PlatformLogFailure.Refused,
+        'the log is cut off',
+      );
   }
 }
--- a/packages/stand-ins/src/fleet-example.ts
+++ b/packages/stand-ins/src/fleet-example.ts
@@ -2,10 +2,10 @@
 import {
   RecordKind,
   applyPayload,
-  digestOf,
+  sha256Hex,
   emptyFleetState,
   encodeRecord,
-  makeOperatorKeys,
+  generateOperatorKeys,
   parseBundle,
   signBundle,
   type FleetRecord,
@@ -217,17 +217,17 @@
 }
 
 /** Operator that proposes the example bundles. */
-export const EXAMPLE_AUTHOR = makeOperatorKeys();
+export const EXAMPLE_AUTHOR = generateOperatorKeys();
 /** Operator whose sign-off counts before the first bundle. */
-export const EXAMPLE_OPERATOR = makeOperatorKeys();
+export const EXAMPLE_OPERATOR = generateOperatorKeys();
 
 /** Operators trusted before the first bundle of an example. */
-export const EXAMPLE_TRUST = {kerry: EXAMPLE_OPERATOR.publicKey};
+export const EXAMPLE_TRUSTED_OPERATORS = {kerry: EXAMPLE_OPERATOR.publicKey};
 
 /** The two records that bring a bundle's text into force. */
 export function rollOutRecords(text: string): FleetRecord[] {
   const {version} = parseBundle(text);
-  const digest = digestOf(text);
+  const digest = sha256Hex(text);
   return [
     {
       kind: RecordKind.BundleProposed,
@@ -266,13 +266,16 @@
 }
 
 /** Applies one record through the real fold. */
-export function fold(state: FleetState, record: FleetRecord): FoldOutcome {
+export function foldRecord(
+  state: FleetState,
+  record: FleetRecord,
+): FoldOutcome {
   return applyPayload(state, encodeRecord(record));
 }
 
 /** A state with an example's bundle in force and its daemons joined, one a data centre. */
 export function exampleState(deployment: ExampleDeployment): FleetState {
-  const state = emptyFleetState(EXAMPLE_TRUST);
+  const state = emptyFleetState(EXAMPLE_TRUSTED_OPERATORS);
   const records = [
     ...rollOutRecords(exampleBundle(deployment)),
     ...deployment.dataCentres.map((name, n) =>
@@ -280,7 +283,7 @@
     ),
   ];
   for (const record of records) {
-    const {rejection} = fold(state, record);
+    const {rejection} = foldRecord(state, record);
     if (rejection) throw new Error(`example: ${rejection.detail}`);
   }
   return state;
--- a/packages/stand-ins/src/memory-leases.ts
+++ b/packages/stand-ins/src/memory-lease-client.ts
@@ -12,7 +12,7 @@
   /** Every call is refused. */
   Outage = 'outage',
   /** Calls take effect, their answers are lost. */
-  LostAnswers = 'lost_answers',
+  LostResponses = 'lost_answers',
 }
 
 /** What a task does once it runs. */
@@ -37,12 +37,12 @@
 const NOTHING: TaskSize = {processors: 0, memoryGigabytes: 0, accelerators: 0};
 
 /** The platform's task leases in memory: ids are kept, usage lags, leases lapse. */
-export class MemoryLeases implements LeaseClient {
+export class MemoryLeaseClient implements LeaseClient {
   readonly faults = new Set<LeaseFault>();
   /** Age of the usage in reports. */
   usageLagMilliseconds = 30_000;
   /** Real starts by task id: more than one is a second run. */
-  readonly runs = new Map<string, number>();
+  readonly startCounts = new Map<string, number>();
   private readonly tasks = new Map<string, Task>();
   private readonly barred = new Set<string>();
 
@@ -99,7 +99,10 @@
   }
 
   private run(request: TaskRequest): void {
-    this.runs.set(request.id, (this.runs.get(request.id) ?? 0) + 1);
+    this.startCounts.set(
+      request.id,
+      (this.startCounts.get(request.id) ?? 0) + 1,
+    );
     this.tasks.set(request.id, {
       request,
       behaviour: this.behaviourOf(request),
@@ -148,7 +151,7 @@
   private answer(id: string): TaskReport {
     const isUnknown = !this.tasks.has(id) && !this.barred.has(id);
     if (isUnknown) throw new Error(`no task ${id}`);
-    if (this.faults.has(LeaseFault.LostAnswers))
+    if (this.faults.has(LeaseFault.LostResponses))
       throw new Error('the answer was lost');
     return this.describe(id);
   }
--- a/packages/stand-ins/src/memory-log.ts
+++ b/packages/stand-ins/src/memory-log.ts
@@ -1,4 +1,8 @@
-import {LogFailure, PlatformLogError, type Clock} from '@gentiandoor/kernel';
+import {
+  PlatformLogFailure,
+  PlatformLogError,
+  type Clock,
+} from '@gentiandoor/kernel';
 import {
   LogGapError,
   type AppendPosition,
@@ -13,7 +17,7 @@
   /** Every call is refused. */
   Outage = 'outage',
   /** Appends take effect, their answers are lost. */
-  LostAnswers = 'lost_answers',
+  LostResponses = 'lost_answers',
 }
 
 /** Bounds of the log. */
@@ -65,8 +69,11 @@
     target.records.push(...payloads);
     this.retain(target);
     for (const wake of [...target.waiters]) wake();
-    if (this.faults.has(LogFault.LostAnswers)) {
-      throw new PlatformLogError(LogFailure.NoAnswer, 'the answer was lost');
+    if (this.faults.has(LogFault.LostResponses)) {
+      throw new PlatformLogError(
+        PlatformLogFailure.NoResponse,
+        'the answer was lost',
+      );
     }
     return {firstOffset};
   }
@@ -117,7 +124,7 @@
 
   private refuseWhenOut(): void {
     if (!this.faults.has(LogFault.Outage)) return;
-    throw new PlatformLogError(LogFailure.Refused, 'the log is out');
+    throw new PlatformLogError(PlatformLogFailure.Refused, 'the log is out');
   }
 
   private countAppend(): void {
@@ -127,7 +134,7 @@
     );
     if (this.recentAppends.length >= this.options.appendsPerSecond) {
       throw new PlatformLogError(
-        LogFailure.Refused,
+        PlatformLogFailure.Refused,
         'too many appends this second',
       );
     }
--- a/packages/stand-ins/src/memory-peer-network.ts
+++ b/packages/stand-ins/src/memory-peer-network.ts
@@ -23,7 +23,7 @@
   }
 
   /** Cuts two data centres off from each other. */
-  cut(left: string, right: string): void {
+  partition(left: string, right: string): void {
     this.cuts.add(cutKey(left, right));
   }
 
@@ -71,7 +71,7 @@
     return links.take(this.self, topic, message);
   }
 
-  handle(topic: PeerTopic, handler: PeerHandler): void {
+  setHandler(topic: PeerTopic, handler: PeerHandler): void {
     this.handlers.set(topic, handler);
   }
 
--- a/packages/stand-ins/src/memory-vm-actions.ts
+++ b/packages/stand-ins/src/memory-vm-actions.ts
@@ -21,9 +21,9 @@
   /** VMs that do not come back from a reboot. */
   readonly neverReturn = new Set<string>();
   /** Whether every call is refused. */
-  isOut = false;
+  isUnavailable = false;
   /** Actions done, in order. */
-  readonly done: VmActionRequest[] = [];
+  readonly startedActions: VmActionRequest[] = [];
   private readonly actions = new Map<string, Action>();
 
   constructor(
@@ -31,8 +31,8 @@
     private readonly list: MemoryVmList,
   ) {}
 
-  async ask(request: VmActionRequest): Promise<VmActionState> {
-    if (this.isOut) throw new Error('the platform is out');
+  async requestAction(request: VmActionRequest): Promise<VmActionState> {
+    if (this.isUnavailable) throw new Error('the platform is out');
     const known = this.actions.get(request.id);
     if (known) return known.state;
     const action: Action = {
@@ -41,7 +41,7 @@
       state: VmActionState.Running,
     };
     this.actions.set(request.id, action);
-    this.done.push(request);
+    this.startedActions.push(request);
     const vm = this.list.visible().find(({id}) => id === request.vm);
     this.list.remove(request.vm);
     this.clock.schedule(this.bootMilliseconds, () => this.end(action, vm));
--- a/packages/stand-ins/src/memory-vm-list.ts
+++ b/packages/stand-ins/src/memory-vm-list.ts
@@ -24,7 +24,7 @@
   }
 
   /** Marks a VM as leaving. */
-  leave(id: string): void {
+  markLeaving(id: string): void {
     const vm = this.latest(id);
     if (vm) this.change(id, {...vm, state: ListedState.Leaving});
   }
--- a/packages/stand-ins/src/platform-lease-paths.ts
+++ b/packages/stand-ins/src/platform-lease-routes.ts
@@ -15,7 +15,7 @@
 }
 
 /** The HTTP paths of task leases and VM actions, for the platform's server. */
-export class PlatformLeasePaths {
+export class PlatformLeaseRoutes {
   constructor(
     private readonly leases: LeaseClient,
     private readonly actions: VmActions,
@@ -42,7 +42,9 @@
     const call = body as TaskCall;
     switch (path) {
       case '/vm-actions':
-        return {state: await this.actions.ask(body as VmActionRequest)};
+        return {
+          state: await this.actions.requestAction(body as VmActionRequest),
+        };
       case '/tasks/start':
         return this.leases.start(body as TaskRequest);
       case '/tasks/renew':
--- a/packages/stand-ins/src/platform-server.ts
+++ b/packages/stand-ins/src/platform-server.ts
@@ -2,7 +2,7 @@
 import {buffer} from 'node:stream/consumers';
 import Koa from 'koa';
 import {Packr} from 'msgpackr';
-import {LogFailure, PlatformLogError} from '@gentiandoor/kernel';
+import {PlatformLogFailure, PlatformLogError} from '@gentiandoor/kernel';
 import {
   LogGapError,
   StreamName,
@@ -10,7 +10,7 @@
 } from '@gentiandoor/shared-state';
 import {closeServer, listen} from './http-listener.js';
 import type {MemoryVmList} from './memory-vm-list.js';
-import type {PlatformLeasePaths} from './platform-lease-paths.js';
+import type {PlatformLeaseRoutes} from './platform-lease-routes.js';
 import {VmListHistory} from './vm-list-history.js';
 
 const packr = new Packr({useRecords: false});
@@ -24,7 +24,7 @@
   constructor(
     readonly log: PlatformLog,
     readonly list: MemoryVmList,
-    private readonly leasePaths?: PlatformLeasePaths,
+    private readonly leaseRoutes?: PlatformLeaseRoutes,
   ) {
     const koa = new Koa();
     koa.use(context => this.answer(context));
@@ -41,7 +41,7 @@
   }
 
   private async answer(context: Koa.Context): Promise<void> {
-    if (await this.leasePaths?.answer(context)) return;
+    if (await this.leaseRoutes?.answer(context)) return;
     const stream = /^\/streams\/([^/]+)\/records$/.exec(context.path)?.[1];
     if (context.path === '/vms') {
       context.body = this.history.answer(
@@ -70,7 +70,7 @@
       context.body = packr.pack(body);
     } catch (error) {
       if (!(error instanceof PlatformLogError)) throw error;
-      if (error.failure === LogFailure.NoAnswer) {
+      if (error.failure === PlatformLogFailure.NoResponse) {
         context.req.destroy();
         return;
       }
--- a/packages/stand-ins/src/raw-faults.ts
+++ b/packages/stand-ins/src/raw-target-behaviour.ts
@@ -2,7 +2,7 @@
 import type {RawRequest} from './raw-target.js';
 
 /** What a raw target does with a request. */
-export enum RawFault {
+export enum RawTargetBehaviour {
   /** Answers 200 with the body "whole". */
   None = 'none',
   /** Takes requests and answers nothing. */
@@ -58,54 +58,67 @@
 const WHOLE = 'HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole';
 
 /** Faults that send fixed bytes and leave the connection open. */
-const FIXED_ANSWERS: Readonly<Partial<Record<RawFault, string>>> = {
-  [RawFault.None]: WHOLE,
-  [RawFault.EarlyAnswer]: WHOLE,
-  [RawFault.SilentInBody]: 'HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\npart',
-  [RawFault.LongBody]: 'HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole+more',
-  [RawFault.TwoAnswers]: `${WHOLE}HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\nsecond`,
-  [RawFault.LengthAndChunks]:
+const FIXED_ANSWERS: Readonly<Partial<Record<RawTargetBehaviour, string>>> = {
+  [RawTargetBehaviour.None]: WHOLE,
+  [RawTargetBehaviour.EarlyAnswer]: WHOLE,
+  [RawTargetBehaviour.SilentInBody]:
+    'HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\npart',
+  [RawTargetBehaviour.LongBody]:
+    'HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole+more',
+  [RawTargetBehaviour.TwoAnswers]: `${WHOLE}HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\nsecond`,
+  [RawTargetBehaviour.LengthAndChunks]:
     'HTTP/1.1 200 OK\r\ncontent-length: 3\r\ntransfer-encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n',
-  [RawFault.TwoLengths]:
+  [RawTargetBehaviour.TwoLengths]:
     'HTTP/1.1 200 OK\r\ncontent-length: 3\r\ncontent-length: 5\r\n\r\nwhole',
-  [RawFault.Garbage]: 'no HTTP at all\r\n\r\n',
-  [RawFault.OversizedHead]: `HTTP/1.1 200 OK\r\nx-long: ${'x'.repeat(100_000)}\r\ncontent-length: 0\r\n\r\n`,
-  [RawFault.Upgrade]:
+  [RawTargetBehaviour.Garbage]: 'no HTTP at all\r\n\r\n',
+  [RawTargetBehaviour.OversizedHead]: `HTTP/1.1 200 OK\r\nx-long: ${'x'.repeat(100_000)}\r\ncontent-length: 0\r\n\r\n`,
+  [RawTargetBehaviour.Upgrade]:
     'HTTP/1.1 101 Switching Protocols\r\nconnection: upgrade\r\nupgrade: other\r\n\r\n',
-  [RawFault.Interim]: `HTTP/1.1 103 Early Hints\r\nlink: </x>\r\n\r\n${WHOLE}`,
-  [RawFault.Trailers]:
+  [RawTargetBehaviour.Interim]: `HTTP/1.1 103 Early Hints\r\nlink: </x>\r\n\r\n${WHOLE}`,
+  [RawTargetBehaviour.Trailers]:
     'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\ntrailer: x-sum\r\n\r\n5\r\nwhole\r\n0\r\nx-sum: 17\r\ngentiandoor-run: no\r\n\r\n',
-  [RawFault.Busy]:
+  [RawTargetBehaviour.Busy]:
     'HTTP/1.1 503 Busy\r\ngentiandoor-run: no\r\nretry-after: 7\r\ncontent-length: 4\r\n\r\nbusy',
-  [RawFault.KeepAliveHint]:
+  [RawTargetBehaviour.KeepAliveHint]:
     'HTTP/1.1 200 OK\r\nkeep-alive: timeout=2\r\ncontent-length: 5\r\n\r\nwhole',
-  [RawFault.Leaving]:
+  [RawTargetBehaviour.Leaving]:
     'HTTP/1.1 200 OK\r\ngentiandoor-leaving: yes\r\ncontent-length: 5\r\n\r\nwhole',
-  [RawFault.SpoofedHeaders]:
+  [RawTargetBehaviour.SpoofedHeaders]:
     'HTTP/1.1 200 OK\r\ngentiandoor-run: no\r\ngentiandoor-replayed: yes\r\nconnection: x-hop\r\nx-hop: 1\r\nx-kept: 1\r\nproxy-authenticate: basic\r\ncontent-length: 5\r\n\r\nwhole',
 };
 
 /** Faults that send some bytes and then reset or close. */
 const CUT_ANSWERS: Readonly<
-  Partial<Record<RawFault, {readonly bytes: string; readonly reset: boolean}>>
+  Partial<
+    Record<
+      RawTargetBehaviour,
+      {readonly bytes: string; readonly reset: boolean}
+    >
+  >
 > = {
-  [RawFault.ResetOnRequest]: {bytes: '', reset: true},
-  [RawFault.CloseOnRequest]: {bytes: '', reset: false},
-  [RawFault.ResetInHead]: {bytes: 'HTTP/1.1 200 OK\r\ncont', reset: true},
-  [RawFault.ResetInBody]: {
+  [RawTargetBehaviour.ResetOnRequest]: {bytes: '', reset: true},
+  [RawTargetBehaviour.CloseOnRequest]: {bytes: '', reset: false},
+  [RawTargetBehaviour.ResetInHead]: {
+    bytes: 'HTTP/1.1 200 OK\r\ncont',
+    reset: true,
+  },
+  [RawTargetBehaviour.ResetInBody]: {
     bytes: 'HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\npart',
     reset: true,
   },
-  [RawFault.CloseInBody]: {
+  [RawTargetBehaviour.CloseInBody]: {
     bytes: 'HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\npart',
     reset: false,
   },
-  [RawFault.CloseInChunks]: {
+  [RawTargetBehaviour.CloseInChunks]: {
     bytes: 'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\npart\r\n',
     reset: false,
   },
-  [RawFault.NoLength]: {bytes: 'HTTP/1.1 200 OK\r\n\r\npart', reset: false},
-  [RawFault.AnnouncedClose]: {
+  [RawTargetBehaviour.NoLength]: {
+    bytes: 'HTTP/1.1 200 OK\r\n\r\npart',
+    reset: false,
+  },
+  [RawTargetBehaviour.AnnouncedClose]: {
     bytes:
       'HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 5\r\n\r\nwhole',
     reset: false,
@@ -113,8 +126,8 @@
 };
 
 /** Answers a request as the fault says. */
-export function answerWith(
-  fault: RawFault,
+export function respondWith(
+  fault: RawTargetBehaviour,
   request: RawRequest,
   socket: Socket,
 ): void {
--- a/packages/stand-ins/src/raw-target.ts
+++ b/packages/stand-ins/src/raw-target.ts
@@ -1,6 +1,6 @@
 import net from 'node:net';
 import {splitAddress} from '@gentiandoor/kernel';
-import {RawFault, answerWith} from './raw-faults.js';
+import {RawTargetBehaviour, respondWith} from './raw-target-behaviour.js';
 
 const HEAD_END = '\r\n\r\n';
 const LAST_CHUNK = '\r\n0\r\n\r\n';
@@ -22,7 +22,7 @@
   receivedBytes = 0;
   /** Connections accepted. */
   connections = 0;
-  fault = RawFault.None;
+  behaviour = RawTargetBehaviour.None;
   address = '';
   private readonly sockets = new Set<net.Socket>();
   private readonly server = net.createServer(socket => this.serve(socket));
@@ -77,7 +77,7 @@
         if (!taken) return;
         unread = unread.slice(taken.length);
         this.received.push(taken.request);
-        answerWith(this.fault, taken.request, socket);
+        respondWith(this.behaviour, taken.request, socket);
       }
     });
   }
@@ -91,7 +91,9 @@
     const head = bytes.slice(0, headEnd);
     const start = headEnd + HEAD_END.length;
     const end =
-      this.fault === RawFault.EarlyAnswer ? start : bodyEnd(head, bytes, start);
+      this.behaviour === RawTargetBehaviour.EarlyAnswer
+        ? start
+        : bodyEnd(head, bytes, start);
     if (end === undefined) return undefined;
     const body = bytes.slice(start, end);
     return {request: {head, body, connection}, length: end};
--- a/packages/stand-ins/src/forgetful-path.ts
+++ b/packages/stand-ins/src/silent-drop-proxy.ts
@@ -5,7 +5,7 @@
  * A TCP path with a delay, that can forget its open connections: from then on nothing passes on those in
  * either direction and neither end is told, while new ones work.
  */
-export class ForgetfulPath {
+export class SilentDropProxy {
   address = '';
   private generation = 0;
   private readonly sockets = new Set<net.Socket>();
@@ -34,7 +34,7 @@
   }
 
   /** Forgets all connections that are open now. */
-  forget(): void {
+  dropOpenConnections(): void {
     this.generation++;
   }
 
--- a/packages/stand-ins/src/rebooting-vms.ts
+++ b/packages/stand-ins/src/target-rebooting-vm-actions.ts
@@ -11,7 +11,7 @@
  * Reboots that really end the target's process side: its server and all of its connections close
  * at once, as a reboot does, so that a stop which was not graceful shows as cut answers.
  */
-export class RebootingVms implements VmActions {
+export class TargetRebootingVmActions implements VmActions {
   private readonly seen = new Set<string>();
 
   constructor(
@@ -20,8 +20,8 @@
     private readonly targets: ReadonlyMap<string, TargetServer>,
   ) {}
 
-  async ask(request: VmActionRequest): Promise<VmActionState> {
-    const state = await this.actions.ask(request);
+  async requestAction(request: VmActionRequest): Promise<VmActionState> {
+    const state = await this.actions.requestAction(request);
     if (!this.seen.has(request.id)) {
       this.seen.add(request.id);
       void this.reboot(request.vm);
--- a/packages/stand-ins/src/target-server.ts
+++ b/packages/stand-ins/src/target-server.ts
@@ -16,7 +16,7 @@
 }
 
 /** A request that a target ran. */
-export interface RunRequest {
+export interface ExecutedRequest {
   readonly method: string;
   readonly path: string;
   readonly key: string | undefined;
@@ -28,11 +28,11 @@
 /** A VM's service: answers after a latency, counts what it ran. */
 export class TargetServer {
   readonly faults = new Set<TargetFault>();
-  readonly ran: RunRequest[] = [];
+  readonly executedRequests: ExecutedRequest[] = [];
   /** False for long loads, whose runs would fill the memory. */
-  keepsRuns = true;
+  recordsRequests = true;
   /** Told of each request that this target runs. */
-  onRun: (run: RunRequest) => void = () => undefined;
+  onRun: (run: ExecutedRequest) => void = () => undefined;
   latencyMilliseconds = 0;
   address = '';
   private readonly server: http.Server;
@@ -71,7 +71,7 @@
       body: Buffer.concat(chunks).toString('utf8'),
     };
     this.onRun(run);
-    if (this.keepsRuns) this.ran.push(run);
+    if (this.recordsRequests) this.executedRequests.push(run);
     if (this.faults.has(TargetFault.Silent)) return;
     if (this.faults.has(TargetFault.FailEverything)) {
       response.writeHead(500).end('failed');
--- a/packages/stand-ins/src/vm-list-history.ts
+++ b/packages/stand-ins/src/vm-list-history.ts
@@ -2,7 +2,7 @@
 import type {ListedVm} from '@gentiandoor/shared-state';
 
 /** What changed in the list since a version, or all of it. */
-export interface VmListAnswer {
+export interface VmListResponse {
   readonly version: number;
   /** True when `vms` is the whole list. */
   readonly whole: boolean;
@@ -24,7 +24,7 @@
   answer(
     visible: readonly ListedVm[],
     since: number | undefined,
-  ): VmListAnswer {
+  ): VmListResponse {
     this.note(visible);
     const {version} = this;
     if (since === undefined || since < this.oldestVersion || since > version) {
