--- a/packages/coordinator/src/append-health.ts
+++ b/packages/coordinator/src/append-health.ts
@@ -1,46 +1,49 @@
 import type {Clock} from '@gentiandoor/kernel';
 
-/** Whether this daemon's appends succeed, whichever partition they go to. */
+/** Tracks whether this daemon's appends to the store succeed, across all partitions. */
 export class AppendHealth {
-  private failingFrom: number | undefined;
+  private failingSince: number | undefined;
   private failedAt = -Infinity;
-  private isProbed = false;
+  private isProbing = false;
 
   constructor(private readonly clock: Clock) {}
 
-  /** The newest append failed. */
+  /** Whether the latest append failed. */
   get isFailing(): boolean {
-    return this.failingFrom !== undefined;
+    return this.failingSince !== undefined;
   }
 
-  /** How long appends have failed without a success between; 0 while they succeed. */
+  /** How long appends have failed without a success in between; 0 while they succeed. */
   get failingMilliseconds(): number {
-    if (this.failingFrom === undefined) return 0;
-    return this.clock.monotonicMilliseconds() - this.failingFrom;
+    if (this.failingSince === undefined) return 0;
+    return this.clock.monotonicMilliseconds() - this.failingSince;
   }
 
-  /** Time since the newest append that failed; infinite before the first. */
+  /** Time since the latest failed append; infinite before the first failure. */
   get sinceFailureMilliseconds(): number {
     return this.clock.monotonicMilliseconds() - this.failedAt;
   }
 
-  /** Whether the caller may find out if appends succeed again; one at a time may, until `endProbe`. */
+  /**
+   * Returns whether the caller may probe the store; only one probe runs at a time, until
+   * `endProbe`.
+   */
   beginProbe(): boolean {
-    if (this.isProbed) return false;
-    this.isProbed = true;
+    if (this.isProbing) return false;
+    this.isProbing = true;
     return true;
   }
 
   endProbe(): void {
-    this.isProbed = false;
+    this.isProbing = false;
   }
 
   noteSuccess(): void {
-    this.failingFrom = undefined;
+    this.failingSince = undefined;
   }
 
   noteFailure(): void {
     this.failedAt = this.clock.monotonicMilliseconds();
-    this.failingFrom ??= this.failedAt;
+    this.failingSince ??= this.failedAt;
   }
 }
--- a/packages/coordinator/src/auto-reset-event.ts
+++ b/packages/coordinator/src/auto-reset-event.ts
@@ -1,6 +1,6 @@
 import {type Clock, type Timer} from '@gentiandoor/kernel';
 
-/** Wakes one waiting task; a notification without a waiter is kept for the next wait. */
+/** Wakes one waiter; a notification that finds no waiter is kept for the next `wait`. */
 export class AutoResetEvent {
   private notified = false;
   private wake: (() => void) | undefined;
@@ -12,7 +12,7 @@
     this.wake?.();
   }
 
-  /** Resolves at a notification, or after `timeoutMilliseconds`. */
+  /** Resolves on a notification or after `timeoutMilliseconds`. */
   async wait(timeoutMilliseconds?: number): Promise<void> {
     if (!this.notified) await this.nextNotification(timeoutMilliseconds);
     this.notified = false;
--- a/packages/coordinator/src/batching-appender.ts
+++ b/packages/coordinator/src/batching-appender.ts
@@ -3,12 +3,12 @@
 import type {AppendHealth} from './append-health.js';
 import {AppendOutcome, type LogStream, type RecordLog} from './record-log.js';
 
-/** What became of a record that was handed in for appending. */
+/** Outcome of a record passed to `BatchingAppender.append`. */
 export enum BatchedAppendOutcome {
   Appended = 'kept',
-  /** It is certain that the record was not and will not be appended. */
+  /** The record was certainly not appended and never will be. */
   NotAppended = 'not_kept',
-  /** It may have been appended, and may still be. */
+  /** The record may have been appended, or may still be. */
   Unknown = 'unknown',
 }
 
@@ -16,7 +16,7 @@
 const MAXIMUM_BATCH_BYTES = 1_000_000;
 const RETRY_MILLISECONDS = 60;
 
-/** Where records are appended. */
+/** Stream and partition that records are appended to. */
 export interface AppendTarget {
   readonly stream: LogStream;
   readonly partition: number;
@@ -24,24 +24,25 @@
 
 interface WaitingRecord {
   readonly record: KeyedRecord;
-  /** Refused for certain after this. */
+  /** A record still unsent at this time resolves as not appended. */
   readonly unsentDeadline: number;
-  /** Left in doubt after this. */
+  /** A record still in doubt at this time resolves as unknown. */
   readonly outcomeDeadline: number;
   readonly resolve: (outcome: BatchedAppendOutcome) => void;
-  /** An append that carried it got no answer. */
+  /** Whether an append that included it ended without a response. */
   inDoubt: boolean;
 }
 
 /**
- * Appends records of many callers with one call at a time: while one is under way the next ones
- * gather. A record may be appended twice when an answer was lost; readers take the same key twice.
+ * Appends records of many callers with one call at a time; records that arrive while a call is in
+ * flight form the next batch. If a response is lost, a record may be appended twice: readers must
+ * tolerate duplicate keys.
  */
 export class BatchingAppender {
   private queue: WaitingRecord[] = [];
   private running = false;
 
-  /** `health`: shared by all appenders that go the same way to the store. */
+  /** `health` is shared by all appenders that reach the store over the same path. */
   constructor(
     private readonly log: RecordLog,
     private readonly target: AppendTarget,
@@ -50,40 +51,50 @@
   ) {}
 
   /**
-   * Appends a record. `patienceMilliseconds` bounds the wait while nothing was sent;
-   * `boundMilliseconds` bounds it while the outcome is in doubt.
+   * Appends a record. `unsentTimeoutMilliseconds` limits the wait while the record is unsent;
+   * `outcomeTimeoutMilliseconds` limits the wait while its outcome is in doubt.
    */
   append(
     record: KeyedRecord,
-    patienceMilliseconds: number,
-    boundMilliseconds: number,
+    unsentTimeoutMilliseconds: number,
+    outcomeTimeoutMilliseconds: number,
   ): Promise<BatchedAppendOutcome> {
     const now = this.clock.monotonicMilliseconds();
     return new Promise(resolve => {
       const waiting: WaitingRecord = {
         record,
-        unsentDeadline: now + Math.min(patienceMilliseconds, boundMilliseconds),
-        outcomeDeadline: now + boundMilliseconds,
+        unsentDeadline:
+          now + Math.min(unsentTimeoutMilliseconds, outcomeTimeoutMilliseconds),
+        outcomeDeadline: now + outcomeTimeoutMilliseconds,
         resolve,
         inDoubt: false,
       };
       this.queue.push(waiting);
-      this.clock.schedule(patienceMilliseconds, () => this.refuse(waiting));
-      this.clock.schedule(boundMilliseconds, () => this.giveUp(waiting));
+      this.clock.schedule(unsentTimeoutMilliseconds, () =>
+        this.rejectUnsent(waiting),
+      );
+      this.clock.schedule(outcomeTimeoutMilliseconds, () =>
+        this.resolveAtDeadline(waiting),
+      );
       if (!this.running) void this.run();
     });
   }
 
-  /** A record that waits behind an append that hangs was never sent: its caller is told at once. */
-  private refuse(waiting: WaitingRecord): void {
+  /**
+   * Rejects a record queued behind a hanging append: it was never sent, so its caller can be told
+   * at once.
+   */
+  private rejectUnsent(waiting: WaitingRecord): void {
     const index = this.queue.indexOf(waiting);
     if (index < 0 || waiting.inDoubt) return;
     this.queue.splice(index, 1);
     waiting.resolve(BatchedAppendOutcome.NotAppended);
   }
 
-  /** An append that hangs must not hold the answer past the time that the caller waits. */
-  private giveUp(waiting: WaitingRecord): void {
+  /**
+   * Resolves a record at its deadline, so that a hanging append cannot delay the caller further.
+   */
+  private resolveAtDeadline(waiting: WaitingRecord): void {
     const index = this.queue.indexOf(waiting);
     if (index >= 0) this.queue.splice(index, 1);
     const isUnsent = index >= 0 && !waiting.inDoubt;
@@ -119,7 +130,7 @@
       this.health.noteFailure();
       const inDoubt = result.outcome === AppendOutcome.Unknown;
       this.queue.unshift(
-        ...batch.filter(waiting => this.staysAfterFailure(waiting, inDoubt)),
+        ...batch.filter(waiting => this.keepAfterFailure(waiting, inDoubt)),
       );
       if (this.queue.length > 0) await sleep(this.clock, RETRY_MILLISECONDS);
     }
@@ -127,8 +138,8 @@
   }
 
   private takeBatch(isProbe: boolean): WaitingRecord[] {
-    // While the store fails, one record is enough to find out whether it is back: the others stay
-    // unsent, so that their callers can be told for certain that they were not taken.
+    // While the store fails, a single record is enough to probe it. The others stay unsent, so
+    // that their callers can be told for certain that they were not appended.
     if (isProbe) return this.queue.splice(0, 1);
     let bytes = 0;
     let count = 0;
@@ -140,13 +151,13 @@
     return this.queue.splice(0, count);
   }
 
-  private staysAfterFailure(waiting: WaitingRecord, inDoubt: boolean): boolean {
+  private keepAfterFailure(waiting: WaitingRecord, inDoubt: boolean): boolean {
     waiting.inDoubt ||= inDoubt;
     const now = this.clock.monotonicMilliseconds();
-    const until = waiting.inDoubt
+    const deadline = waiting.inDoubt
       ? waiting.outcomeDeadline
       : waiting.unsentDeadline;
-    if (now + RETRY_MILLISECONDS < until) return true;
+    if (now + RETRY_MILLISECONDS < deadline) return true;
     waiting.resolve(
       waiting.inDoubt
         ? BatchedAppendOutcome.Unknown
--- a/packages/coordinator/src/best-effort-throttle.ts
+++ b/packages/coordinator/src/best-effort-throttle.ts
@@ -6,50 +6,59 @@
   type OrderResult,
 } from './worker-gateway.js';
 
-/** Steps of speed under this are not worth a call. */
+/** Speed changes smaller than this are not worth a call to the worker. */
 const MINIMUM_SPEED_STEP_PERCENT = 10;
 const FULL_PERCENT = 100;
 
-/** Sends the order that lets a run work at a share of its speed. */
+/** Orders a worker to run a task at `percent` of its full speed. */
 export type ThrottleOrder = (
   run: LiveRun,
   percent: number,
 ) => Promise<OrderResult>;
 
-/** Slows best-effort tasks on one worker down where what serves beside them is over its target. */
+/**
+ * Slows down best-effort tasks on one worker when serving tasks on it miss their response time
+ * target.
+ */
 export class BestEffortThrottle {
-  private readonly pace = new BestEffortSpeedController();
+  private readonly speedController = new BestEffortSpeedController();
 
-  constructor(private readonly order: ThrottleOrder) {}
+  constructor(private readonly sendOrder: ThrottleOrder) {}
 
-  /** Takes the figures of one poll. */
+  /** Adjusts the speed of best-effort runs to the load reported by one poll. */
   adjust(
     running: readonly ListedRun[],
     runs: ReadonlyMap<string, LiveRun>,
   ): void {
     const bestEffort: LiveRun[] = [];
-    let worst = 0;
+    let worstLoadRatio = 0;
     for (const listed of running) {
       const run = runs.get(listed.task);
       if (!run) continue;
       const step = run.executableTask.specification;
       if (step.bestEffort) bestEffort.push(run);
       else if (step.targetMilliseconds > 0)
-        worst = Math.max(worst, listed.load / step.targetMilliseconds);
+        worstLoadRatio = Math.max(
+          worstLoadRatio,
+          listed.load / step.targetMilliseconds,
+        );
     }
     if (bestEffort.length === 0) return;
-    const percent = this.pace.update(worst);
+    const percent = this.speedController.update(worstLoadRatio);
     for (const run of bestEffort) this.send(run, percent);
   }
 
   private send(run: LiveRun, percent: number): void {
-    const before = run.speedPercent;
-    const isSmall = Math.abs(percent - before) < MINIMUM_SPEED_STEP_PERCENT;
-    if (percent === before || (isSmall && percent !== FULL_PERCENT)) return;
+    const previousPercent = run.speedPercent;
+    const isSmall =
+      Math.abs(percent - previousPercent) < MINIMUM_SPEED_STEP_PERCENT;
+    if (percent === previousPercent || (isSmall && percent !== FULL_PERCENT))
+      return;
     run.speedPercent = percent;
-    void this.order(run, percent).then(result => {
-      // Not done: the next poll tries again from the speed before.
-      if (result.outcome !== OrderOutcome.Done) run.speedPercent = before;
+    void this.sendOrder(run, percent).then(result => {
+      // The order failed: the next poll retries from the previous speed.
+      if (result.outcome !== OrderOutcome.Done)
+        run.speedPercent = previousPercent;
     });
   }
 }
--- a/packages/coordinator/src/coordinator-election.ts
+++ b/packages/coordinator/src/coordinator-election.ts
@@ -14,72 +14,80 @@
   type RecordLog,
 } from './record-log.js';
 
-/** Term length, counted from the sending of the last renewal that succeeded. */
+/** Shortest term, measured from when the last successful renewal was sent. */
 const MINIMUM_TERM_MILLISECONDS = 800;
-/** Term length while the store responds slowly. */
+/** Longest term, used while the store responds slowly. */
 const MAXIMUM_TERM_MILLISECONDS = 1_300;
-/** Store response times per term length: two renewals must fit. */
+/** Store response times added to the shortest term, so that two renewals fit into a term. */
 const RESPONSE_TIMES_PER_TERM = 4;
-/** Renewal interval; one renewal per term may be lost. */
+/** Renewal interval; short enough that one renewal per term may be lost. */
 const RENEWAL_MILLISECONDS = 250;
-/** Allowance for clock drift and local processing delays when a term expires. */
+/** Allowance for clock drift and local processing delays before an expired term is replaced. */
 const TERM_EXPIRY_MARGIN_MILLISECONDS = 150;
-/** Jitter of candidates. */
+/** Maximum jitter of a candidacy, so that candidates do not all try at once. */
 const CANDIDACY_JITTER_MILLISECONDS = 120;
 const WATCH_TIMEOUT_MILLISECONDS = 1_000;
 const RETRY_MILLISECONDS = 100;
-/** Delay for which a weaker daemon gives precedence to a stronger one. */
+/** How long a weaker daemon waits so that a stronger one can take the term first. */
 const STRONGER_CANDIDATE_PRECEDENCE_MILLISECONDS = 400;
 /**
- * A weak daemon looks at the term this seldom while a stronger one could take it. Without it each of forty
- * daemons reads every renewal, which together is most of what the store is asked on a calm day.
+ * Minimum interval at which a weaker daemon reads the term while a stronger one could take it.
+ * Without it each of forty daemons reads every renewal, which together makes up most of the
+ * requests to the store when there is little load.
  */
 const WEAK_CANDIDATE_POLL_INTERVAL_MILLISECONDS = 500;
-/** On the first start of a deployment candidates wait this long for each other's records. */
+/**
+ * On the first start of a deployment, candidates wait this long for each other's roster records.
+ */
 const FIRST_START_MILLISECONDS = 700;
-/** A larger advance of the wall clock than of the steady clock means that the VM was suspended. */
+/**
+ * A larger drift between the wall clock and the monotonic clock means that the VM was suspended.
+ */
 const CLOCK_DRIFT_MILLISECONDS = 200;
 
-/** Key of the term's record. */
+/** Key of the term record. */
 export const TERM_KEY = 'coordinator';
 
-/** Who gives the orders, as the store keeps it. */
+/** Term of the current coordinator as stored. */
 export interface TermRecord {
   readonly term: number;
   readonly holder: string;
   readonly incarnation: string;
   readonly released: boolean;
-  /** How long it is good for from the sending of this record; others wait as long before they take the next one. */
+  /**
+   * Validity from when this record was sent; other daemons wait this long before they take the next
+   * term.
+   */
   readonly validMilliseconds: number;
 }
 
-/** Hears of the start and the end of a term of this daemon. */
+/** Notified when a term of this daemon begins or ends. */
 export interface TermListener {
   termBegan(term: number): void;
   termEnded(): void;
 }
 
-/** Who this daemon is to the others. */
+/** Identity and strength of this daemon in the election. */
 export interface TermCandidate {
   readonly node: string;
   readonly incarnation: string;
-  /** What its VM can carry; any unit, the same on all daemons. */
+  /** Load that its VM can carry as the coordinator; in any unit that all daemons share. */
   readonly strength: number;
-  /** All daemons start for the first time. */
+  /** Whether all daemons start for the first time. */
   readonly isFirstStart: boolean;
 }
 
 /**
- * Holds at most one daemon as the coordinator: a term is a record that is written only if the
- * stream still ends where its writer has read it. Among those that could take the next term the
- * strongest go first.
+ * Elects at most one daemon as the coordinator: a term record is appended only if the stream still
+ * ends at the offset its writer has read. Among the daemons that could take the next term, the
+ * strongest try first.
  */
 export class CoordinatorElection {
   private endOffset = 0;
   private current: TermRecord | undefined;
   private changedAt = 0;
   private validUntil = -Infinity;
-  /** What the newest write to the store took. */
+  /** Response time of the latest successful write to the store. */
   private writeResponseMilliseconds = 0;
   private wallClockOffset = 0;
   private isHolder = false;
@@ -87,7 +95,7 @@
   private finished: Promise<void> | undefined;
   private startedAt = 0;
   private readonly roster: DaemonRoster;
-  /** The change of the term before which the roster was read. */
+  /** Value of `changedAt` when the roster was last read. */
   private rosterReadAtChange: number | undefined;
 
   constructor(
@@ -102,7 +110,7 @@
     this.roster = new DaemonRoster(log, node, strength, clock, logger);
   }
 
-  /** Whether an order may be given now. */
+  /** Whether this daemon holds a valid term and may issue orders now. */
   get isValid(): boolean {
     if (!this.isHolder) return false;
     if (this.clock.monotonicMilliseconds() >= this.validUntil) return false;
@@ -114,7 +122,7 @@
     this.finished = this.run();
   }
 
-  /** Gives the term back, so that the next coordinator begins at once. */
+  /** Releases the term, so that the next coordinator can start immediately. */
   async stop(): Promise<void> {
     this.stopping = true;
     await this.finished;
@@ -144,9 +152,10 @@
   }
 
   private async watch(): Promise<void> {
-    const left = this.candidacyAt() - this.clock.monotonicMilliseconds();
-    if (left > 0) {
-      await this.watchFor(left);
+    const remainingMilliseconds =
+      this.candidacyAt() - this.clock.monotonicMilliseconds();
+    if (remainingMilliseconds > 0) {
+      await this.watchFor(remainingMilliseconds);
       return;
     }
     if (this.rosterReadAtChange !== this.changedAt) {
@@ -165,16 +174,19 @@
     if (!written) await this.pause(RETRY_MILLISECONDS);
   }
 
-  private async watchFor(left: number): Promise<void> {
+  private async watchFor(milliseconds: number): Promise<void> {
     if (this.roster.hasStrongerDaemon)
       await this.pause(
-        Math.min(left, WEAK_CANDIDATE_POLL_INTERVAL_MILLISECONDS),
+        Math.min(milliseconds, WEAK_CANDIDATE_POLL_INTERVAL_MILLISECONDS),
       );
     else if (this.isRosterDue()) await this.readRoster();
-    await this.readNext(Math.min(left, WATCH_TIMEOUT_MILLISECONDS));
+    await this.readNext(Math.min(milliseconds, WATCH_TIMEOUT_MILLISECONDS));
   }
 
-  /** Once, when all that started with this daemon have told their strength. */
+  /**
+   * Whether to read the roster for the first time: daemons started together with this one have
+   * announced themselves.
+   */
   private isRosterDue(): boolean {
     const age = this.clock.monotonicMilliseconds() - this.startedAt;
     return (
@@ -182,45 +194,51 @@
     );
   }
 
-  /** False when the store did not answer. */
+  /** Reads the roster; returns false if the store did not respond. */
   private async readRoster(): Promise<boolean> {
     if (!(await this.roster.refresh())) return false;
     this.rosterReadAtChange = this.changedAt;
     return true;
   }
 
-  /** Short terms end soon after their holder is lost; a slow store can't renew them. */
+  /**
+   * Returns the term length: short, so that a lost holder is replaced soon, but long enough to
+   * renew on a slow store.
+   */
   private termMilliseconds(): number {
-    const answers = RESPONSE_TIMES_PER_TERM * this.writeResponseMilliseconds;
+    const responseAllowance =
+      RESPONSE_TIMES_PER_TERM * this.writeResponseMilliseconds;
     return Math.min(
       MAXIMUM_TERM_MILLISECONDS,
-      MINIMUM_TERM_MILLISECONDS + answers,
+      MINIMUM_TERM_MILLISECONDS + responseAllowance,
     );
   }
 
-  /** When this daemon may try to take the next term. */
+  /** Returns the time from which this daemon may try to take the next term. */
   private candidacyAt(): number {
     const {current, roster} = this;
     if (!current) return this.firstCandidacyAt();
-    const spread = this.random.nextFraction() * CANDIDACY_JITTER_MILLISECONDS;
-    if (current.released) return this.changedAt + spread / 4;
-    // One machine runs one daemon: an earlier incarnation of this one gives no orders any more.
+    const jitter = this.random.nextFraction() * CANDIDACY_JITTER_MILLISECONDS;
+    if (current.released) return this.changedAt + jitter / 4;
+    // A VM runs only one daemon: an earlier incarnation on this VM issues no more orders.
     if (current.holder === this.candidate.node && !roster.hasStrongerDaemon)
       return -Infinity;
-    const over = current.validMilliseconds + TERM_EXPIRY_MARGIN_MILLISECONDS;
-    return this.changedAt + over + spread;
+    const expiryMilliseconds =
+      current.validMilliseconds + TERM_EXPIRY_MARGIN_MILLISECONDS;
+    return this.changedAt + expiryMilliseconds + jitter;
   }
 
   /**
-   * Whether nobody takes the term while a stronger daemon could. Counted from when the store answers:
-   * after an outage all candidates are due at once, and the first to reach it would mostly be a weak one.
+   * Returns whether the term stays vacant while a stronger daemon has the chance to take it. The
+   * wait starts when the store responds: after an outage all candidates are due at once, and the
+   * first to reach the store would mostly be a weak one.
    */
   private async staysVacant(): Promise<boolean> {
-    const before = this.endOffset;
+    const previousEndOffset = this.endOffset;
     const result = await this.readNext(
       STRONGER_CANDIDATE_PRECEDENCE_MILLISECONDS,
     );
-    return result === ReadOutcome.Read && this.endOffset === before;
+    return result === ReadOutcome.Read && this.endOffset === previousEndOffset;
   }
 
   private firstCandidacyAt(): number {
@@ -232,9 +250,13 @@
   private async write(record: TermRecord): Promise<boolean> {
     const sentAt = this.clock.monotonicMilliseconds();
     const offset = this.wallOffset();
-    const result = await this.log.append(LogStream.Terms, [encode(record)], {
-      expectedEndOffset: this.endOffset,
-    });
+    const result = await this.log.append(
+      LogStream.Terms,
+      [encodeTerm(record)],
+      {
+        expectedEndOffset: this.endOffset,
+      },
+    );
     if (result.outcome === AppendOutcome.Appended) {
       this.writeResponseMilliseconds =
         this.clock.monotonicMilliseconds() - sentAt;
@@ -243,15 +265,17 @@
       this.acceptTerm(record, sentAt, offset);
       return true;
     }
-    // A lost answer may hide a success, and a moved end another's term: the stream says which.
+    // A lost response may hide a success, and a moved end of the stream another daemon's term:
+    // reading the stream tells which.
     if (result.outcome !== AppendOutcome.Refused)
       await this.resolveFailedWrite(sentAt);
     return false;
   }
 
   private async resolveFailedWrite(sentAt: number): Promise<void> {
-    const before = this.endOffset;
-    if (!(await this.readCurrent()) || this.endOffset === before) return;
+    const previousEndOffset = this.endOffset;
+    if (!(await this.readCurrent()) || this.endOffset === previousEndOffset)
+      return;
     const {current} = this;
     if (!current || !this.isOwn(current))
       this.loseTerm('another daemon has taken it');
@@ -288,7 +312,7 @@
     if (!current) return;
     const result = await this.log.append(
       LogStream.Terms,
-      [encode({...current, released: true})],
+      [encodeTerm({...current, released: true})],
       {expectedEndOffset: this.endOffset},
     );
     this.logger.info(LogEvent.TermReleased, {
@@ -297,13 +321,13 @@
     });
   }
 
-  /** Reads the newest term; false when the store did not answer. */
+  /** Reads the latest term; returns false if the store did not respond. */
   private async readCurrent(): Promise<boolean> {
     const result = await this.log.newestByKey(LogStream.Terms);
     if (result.outcome !== ReadOutcome.Read) return false;
     const newest = result.records.find(record => record.key === TERM_KEY);
     this.endOffset = result.endOffset;
-    this.note(newest);
+    this.applyTermRecord(newest);
     return true;
   }
 
@@ -320,11 +344,11 @@
     const newest = result.records.at(-1);
     if (!newest) return result.outcome;
     this.endOffset = newest.offset + 1;
-    this.note(newest);
+    this.applyTermRecord(newest);
     return result.outcome;
   }
 
-  private note(record: KeyedRecord | undefined): void {
+  private applyTermRecord(record: KeyedRecord | undefined): void {
     if (!record) return;
     const decoded = decodeTerm(record);
     if (!decoded) {
@@ -351,21 +375,21 @@
   }
 }
 
-function encode(record: TermRecord): KeyedRecord {
+function encodeTerm(record: TermRecord): KeyedRecord {
   return {key: TERM_KEY, value: Buffer.from(JSON.stringify(record))};
 }
 
-/** Reads a term's record; undefined when it is not one. */
+/** Decodes a term record; returns undefined if the record is not a valid one. */
 export function decodeTerm(record: KeyedRecord): TermRecord | undefined {
   if (record.key !== TERM_KEY || !record.value) return undefined;
   try {
     const term = JSON.parse(record.value.toString('utf8')) as TermRecord;
     if (!Number.isSafeInteger(term.term)) return undefined;
-    // A daemon of an earlier version writes no length; its terms were never longer than this.
+    // Daemons of an earlier version write no length; their terms were never longer than this.
     const {validMilliseconds = MAXIMUM_TERM_MILLISECONDS} = term;
     return {...term, validMilliseconds};
   } catch {
-    // The caller logs the key; the term before it stays in force.
+    // The caller logs the key; the previous term stays in force.
     return undefined;
   }
 }
--- a/packages/coordinator/src/coordinator.ts
+++ b/packages/coordinator/src/coordinator.ts
@@ -53,7 +53,7 @@
 import {newResponseTimeout, type WorkerSession} from './worker-session.js';
 import {WorkerSuspicion} from './worker-suspicion.js';
 
-/** What a coordinator is built from; all parts outlive it. */
+/** Dependencies of a coordinator; all of them outlive it. */
 export interface CoordinatorParts {
   readonly settings: EntrySettings;
   readonly log: RecordLog;
@@ -73,10 +73,10 @@
 const LEASE_MILLISECONDS = 8_000;
 const RECOVERY_RETRY_MILLISECONDS = 100;
 const DROP_TIMEOUT_MILLISECONDS = 15_000;
-/** Longest age of a job computed from the wall clocks of two daemons. */
+/** Upper limit of a job's age, since it is computed from the wall clocks of two daemons. */
 const MAXIMUM_AGE_MILLISECONDS = 60_000;
 
-/** Gives the orders for one term: from its beginning until another daemon's, nothing of it is used twice. */
+/** Issues the orders of one term, until the term of another daemon begins; never reused. */
 export class Coordinator
   implements SessionHost, DispatchHost, FleetHost, OutcomeHost
 {
@@ -86,7 +86,7 @@
   readonly trust = new WorkerReliability();
   private readonly log: RunLog;
   private readonly responseTimeout = newResponseTimeout();
-  private readonly window = new OrderConcurrencyLimiter();
+  private readonly orderLimiter = new OrderConcurrencyLimiter();
   private readonly executions = new Map<string, JobExecution>();
   private readonly outcomes: RunOutcomes;
   private readonly retention: JobRetention;
@@ -165,11 +165,11 @@
     );
   }
 
-  /** Learns what the coordinator before had ordered, then goes on with it. */
+  /** Recovers what earlier coordinators ordered, then continues from there until closed. */
   async run(): Promise<void> {
     const {logger, clock} = this.parts;
     if (!(await this.writer.fenceEarlierTerms())) return;
-    // The log is closed to earlier terms: what a read brings from now on is all that they ordered.
+    // Earlier terms can no longer write: a read from now on returns everything that they ordered.
     while (!this.closed && !(await this.parts.jobs.refresh()))
       await sleep(this.parts.clock, RECOVERY_RETRY_MILLISECONDS);
     await Promise.all([this.registry.load(), this.learned.load()]);
@@ -235,14 +235,14 @@
 
   noteResponseTime(milliseconds: number): void {
     this.responseTimeout.recordResponse(milliseconds);
-    this.window.recordResponse(
+    this.orderLimiter.recordResponse(
       milliseconds,
       this.parts.clock.monotonicMilliseconds(),
     );
   }
 
   mayOrder(count: number): boolean {
-    return this.window.allows(count);
+    return this.orderLimiter.allows(count);
   }
 
   organisationLimitAllows(
@@ -262,21 +262,21 @@
   }
 
   launch(session: WorkerSession, run: LiveRun): void {
-    this.window.begin();
+    this.orderLimiter.begin();
     session.addRun(run);
     this.organisationLimits.countRun(run);
     this.writer.store(run.execution, () => {
       this.log.ordered(run, session.id, this.term);
       if (!this.organisationLimits.mayBeOrdered(run)) run.stopRequested = true;
       void session.startRun(run).finally(() => {
-        this.window.end();
-        this.dispatcher.orderSettled();
+        this.orderLimiter.end();
+        this.dispatcher.noteOrderCompleted();
         this.wakeAfterIsolation(session, run);
       });
     });
   }
 
-  /** Other jobs may join the run on its worker then. */
+  /** Schedules a placement for when other jobs may share the worker with an isolated run again. */
   private wakeAfterIsolation(
     {entry}: WorkerSession,
     {isIsolated}: LiveRun,
@@ -329,7 +329,10 @@
       this.dispatcher.schedulePlacement(session.entry.service);
   }
 
-  /** A cut takes a data centre at a time: the first silent worker gives the others away. */
+  /**
+   * Probes all workers in the data centre of a silent one: a network partition affects a whole data
+   * centre at a time.
+   */
   sessionSilent(silent: WorkerSession): void {
     for (const session of this.registry.all())
       if (session.entry.dataCentre === silent.entry.dataCentre)
@@ -341,12 +344,13 @@
     this.registry.remove(session);
   }
 
-  /** A worker has come: runs that were ordered there may be alive. */
+  /** Assigns recovered runs to the worker that has registered: they may still be alive there. */
   sessionAdded(session: WorkerSession): void {
     for (const run of this.orphans.take(session.id)) {
       session.addRun(run);
-      // Its job may have ended while there was nobody to order about: the run would go on for good,
-      // its lease renewed. Every run enters a session here or where it is ordered, so none is missed.
+      // The job may have ended while the worker had no session: without the stop the run would
+      // continue forever, since its lease is renewed. Every run is added to a session here or where
+      // it is ordered, so none is missed.
       if (run.execution.ended || run.executableTask.progress.done)
         void session.stopRun(run);
     }
@@ -430,7 +434,10 @@
     this.writer.store(execution);
   }
 
-  /** Notes that a job has come to its end. */
+  /**
+   * Logs the end of a job, removes it from placement, starts its retention, and stops its runs
+   * unless it completed.
+   */
   jobEnded(execution: JobExecution): void {
     const {state} = execution.progress;
     this.log.jobEnded({
@@ -452,8 +459,8 @@
   }
 
   /**
-   * The progress goes last, once the submission is surely gone: a submission that stays without it would
-   * be taken for a new job by the next coordinator, and run a second time.
+   * Deletes the progress last, once the submission is certainly deleted: the next coordinator would
+   * take a submission without progress for a new job and run it a second time.
    */
   private async dropRecords(jobId: string): Promise<void> {
     const {progress, submission} = jobRecordTombstones(jobId);
@@ -467,13 +474,13 @@
         ),
       ),
     );
-    const areGone = outcomes.every(
+    const areDeleted = outcomes.every(
       outcome => outcome === BatchedAppendOutcome.Appended,
     );
-    if (areGone && !this.closed) this.writer.appendTombstones([progress]);
+    if (areDeleted && !this.closed) this.writer.appendTombstones([progress]);
   }
 
-  /** Stops what runs of a job, or of one task of it that is done. */
+  /** Stops all runs of a job, or only those of the task `only` if that is done. */
   stopRuns(execution: JobExecution, only?: ExecutableTask): void {
     for (const task of execution.liveTasks()) {
       if (only && (task !== only || !task.progress.done)) continue;
@@ -483,7 +490,10 @@
     }
   }
 
-  /** Long-running tasks leave a worker that is leaving: they would be lost with it, and stay away until that is certain. */
+  /**
+   * Stops long-running tasks on a draining worker: otherwise they are lost with it and stay missing
+   * until the loss is certain.
+   */
   private evacuateLongRunningTasks(session: WorkerSession): void {
     for (const run of session.runs.values())
       if (run.executableTask.specification.longRunning)
--- a/packages/coordinator/src/daemon-readiness.ts
+++ b/packages/coordinator/src/daemon-readiness.ts
@@ -1,16 +1,17 @@
 import type {JobIntake} from './job-intake.js';
 import type {OperatorView} from './operator-view.js';
 
-/** A daemon whose last read of the store is older than this is not ready. */
+/** A daemon whose latest read of the store is older than this is not ready. */
 const MAXIMUM_READ_AGE_MILLISECONDS = 2_000;
 /** A daemon whose calls to the store have failed this long is not ready. */
 const OUTAGE_MILLISECONDS = 300;
 
 /**
- * Whether callers are better served by another daemon.
- * Load: a data centre cut off, or a store that turns single daemons away, for seconds. Without it
- * callers of this daemon are refused until the balancer has noticed by itself, if it ever does. Where
- * no daemon reaches the store all of them say so, and the balancer goes on with all.
+ * Reports whether the load balancer should send callers to this daemon.
+ * Load: a partitioned data centre, or a store that rejects single daemons, for seconds. Without it,
+ * callers of this daemon are rejected until the load balancer detects that by itself, if it ever
+ * does. If no daemon reaches the store, none is ready, and the load balancer keeps using all of
+ * them.
  */
 export class DaemonReadiness {
   constructor(
@@ -19,7 +20,7 @@
     private readonly isStopping: () => boolean,
   ) {}
 
-  /** This daemon has a configuration, reaches the store and is not stopping. */
+  /** Whether this daemon has a configuration, reaches the store and is not stopping. */
   get isReady(): boolean {
     const {operators} = this;
     return (
@@ -31,12 +32,15 @@
     );
   }
 
-  /** Appends fail and nothing was read since: without callers no append would show that the store is back. */
+  /**
+   * Whether appends fail and no read has succeeded since: without callers, no append would show
+   * that the store is back.
+   */
   private get areAppendsFailing(): boolean {
-    const {operators, jobIntake: desk} = this;
-    const isFailing = desk.failingMilliseconds >= OUTAGE_MILLISECONDS;
-    const readSince =
-      operators.follower.ageMilliseconds < desk.sinceFailureMilliseconds;
-    return isFailing && !readSince;
+    const {operators, jobIntake} = this;
+    const isFailing = jobIntake.failingMilliseconds >= OUTAGE_MILLISECONDS;
+    const hasReadSinceFailure =
+      operators.follower.ageMilliseconds < jobIntake.sinceFailureMilliseconds;
+    return isFailing && !hasReadSinceFailure;
   }
 }
--- a/packages/coordinator/src/daemon-roster.ts
+++ b/packages/coordinator/src/daemon-roster.ts
@@ -11,28 +11,31 @@
 /** Daemons within this share of the strongest one count as equal to it. */
 const EQUAL_STRENGTH_SHARE = 0.75;
 
-/** What each daemon has told of the size of its VM; kept for good, so it also names daemons that are gone. */
+/**
+ * Strengths announced by all daemons; records are kept forever, so daemons that are gone are
+ * included.
+ */
 export class DaemonRoster {
   private strongest = 0;
 
   constructor(
     private readonly log: RecordLog,
     private readonly node: string,
-    /** What the VM can carry as the coordinator; any unit, the same on all daemons. */
+    /** Load that the VM can carry as the coordinator; in any unit that all daemons share. */
     private readonly strength: number,
     private readonly clock: Clock,
     private readonly logger: Logger,
   ) {}
 
-  /** Whether a clearly stronger daemon than this one has ever started. */
+  /** Whether a daemon clearly stronger than this one has ever started. */
   get hasStrongerDaemon(): boolean {
     return this.strength < EQUAL_STRENGTH_SHARE * this.strongest;
   }
 
-  /** Tells the others of this daemon; returns once that is stored or `isOver`. */
-  async announce(isOver: () => boolean): Promise<void> {
+  /** Announces this daemon's strength; retries until it is stored or `isStopped` returns true. */
+  async announce(isStopped: () => boolean): Promise<void> {
     const value = Buffer.from(JSON.stringify({strength: this.strength}));
-    while (!isOver()) {
+    while (!isStopped()) {
       const result = await this.log.append(LogStream.Daemons, [
         {key: this.node, value},
       ]);
@@ -41,20 +44,21 @@
     }
   }
 
-  /** Reads what the others have told; false when the store did not answer. */
+  /** Reads the announcements of all daemons; returns false if the store did not respond. */
   async refresh(): Promise<boolean> {
     const result = await this.log.newestByKey(LogStream.Daemons);
     if (result.outcome !== ReadOutcome.Read) return false;
     for (const {key, value} of result.records)
-      this.strongest = Math.max(this.strongest, this.strengthIn(key, value));
+      this.strongest = Math.max(this.strongest, this.parseStrength(key, value));
     return true;
   }
 
-  private strengthIn(key: string, value: Buffer | undefined): number {
+  private parseStrength(key: string, value: Buffer | undefined): number {
     try {
-      const told = JSON.parse(String(value)) as {strength?: unknown};
-      if (Number.isFinite(told.strength)) return Number(told.strength);
-      throw new TypeError('no strength');
+      const announcement = JSON.parse(String(value)) as {strength?: unknown};
+      if (Number.isFinite(announcement.strength))
+        return Number(announcement.strength);
+      throw new TypeError('strength is missing or not a finite number');
     } catch (error) {
       this.logger.warn(LogEvent.RecordUnreadable, {
         stream: LogStream.Daemons,
@@ -66,10 +70,13 @@
   }
 }
 
-/** Bandwidth that the coordinator uses for each core it uses. */
+/** Bandwidth that the coordinator uses per processor core that it uses. */
 const MEGABITS_PER_CORE = 40;
 
-/** What a VM can carry as the coordinator, in cores: the smaller of what its processor and its link allow. */
+/**
+ * Returns the load that a VM can carry as the coordinator, in cores: limited by its processor or
+ * its link.
+ */
 export function coordinatorStrength(size: VmSize): number {
   return Math.min(size.cores, size.megabitsPerSecond / MEGABITS_PER_CORE);
 }
--- a/packages/coordinator/src/deployment-view.ts
+++ b/packages/coordinator/src/deployment-view.ts
@@ -21,25 +21,25 @@
 import {TERM_KEY, decodeTerm, type TermRecord} from './coordinator-election.js';
 import type {WorkerEntry} from './worker-gateway.js';
 
-/** Jobs of one queue by state. */
+/** Number of jobs of one queue by state. */
 export interface QueueView {
   readonly queue: string;
   readonly service: string;
   readonly jobs: ReadonlyMap<JobState, number>;
 }
 
-/** Work of one organisation. */
+/** Running and queued work of one organisation. */
 export interface OrganisationView {
   readonly name: string;
-  /** Undefined for one that has left the configuration. */
+  /** Undefined for an organisation that was removed from the configuration. */
   readonly settings: Organisation | undefined;
-  /** What its runs take, as far as they may be alive. */
+  /** Resources used by its runs that may be alive. */
   readonly running: Resources;
-  /** Jobs of which nothing has run yet. */
+  /** Number of jobs of which no task has started yet. */
   readonly queued: number;
 }
 
-/** A deployment as its store tells of it. */
+/** State of a deployment as read from its store. */
 export interface DeploymentView {
   /** Undefined before the first term. */
   readonly term: TermRecord | undefined;
@@ -49,11 +49,14 @@
   readonly waves: readonly MaintenanceWave[];
   readonly workers: readonly WorkerEntry[];
   readonly table: JobTable;
-  /** Records that could not be read. */
+  /** Number of records that could not be read. */
   readonly unreadable: number;
 }
 
-/** Reads a deployment from its store alone; undefined when the store does not answer. */
+/**
+ * Reads the state of a deployment from its store alone; returns undefined if the store does not
+ * respond.
+ */
 export async function readDeployment(
   log: RecordLog,
   formats: RecordFormats,
@@ -72,13 +75,13 @@
     ...streams.map(stream => log.newestByKey(stream)),
     ...partitions,
   ]);
-  const read = results.flatMap(result =>
+  const streamRecords = results.flatMap(result =>
     result.outcome === ReadOutcome.Read ? [result.records] : [],
   );
-  if (read.length < results.length) return undefined;
-  const [terms, operator, workers, ...jobs] = read;
-  const allOfJobs = jobs.flat();
-  return new ViewBuilder(formats).build(terms, operator, workers, allOfJobs);
+  if (streamRecords.length < results.length) return undefined;
+  const [terms, operator, workers, ...jobs] = streamRecords;
+  const jobRecords = jobs.flat();
+  return new ViewBuilder(formats).build(terms, operator, workers, jobRecords);
 }
 
 type Records = readonly KeyedRecord[];
@@ -94,20 +97,22 @@
     workers: Records,
     jobs: Records,
   ): DeploymentView {
-    const asked = this.readEach(operator, record =>
+    const operatorRecords = this.decodeEach(operator, record =>
       this.formats.operatorRecord(record),
     );
     const table = new JobTable();
-    this.readEach(jobs, record => table.apply(record));
+    this.decodeEach(jobs, record => table.apply(record));
     const term = terms.find(record => record.key === TERM_KEY);
-    const configuration = configurationIn(asked);
+    const configuration = findConfiguration(operatorRecords);
     return {
       term: term && decodeTerm(term),
       configuration,
       organisations: organisationsOf(table, configuration),
       queues: queuesOf(table),
-      waves: asked.flatMap(one => (one.kind === 'wave' ? [one.wave] : [])),
-      workers: this.readEach(workers, record =>
+      waves: operatorRecords.flatMap(entry =>
+        entry.kind === 'wave' ? [entry.wave] : [],
+      ),
+      workers: this.decodeEach(workers, record =>
         this.formats.workerEntry(record),
       ),
       table,
@@ -115,17 +120,17 @@
     };
   }
 
-  /** Reads what can be read and counts the rest. */
-  private readEach<Read>(
+  /** Decodes all readable records and counts the others. */
+  private decodeEach<Decoded>(
     records: Records,
-    read: (record: KeyedRecord) => Read | undefined,
-  ): Read[] {
+    decode: (record: KeyedRecord) => Decoded | undefined,
+  ): Decoded[] {
     return records.flatMap(record => {
       try {
-        const found = read(record);
-        return found === undefined ? [] : [found];
+        const decoded = decode(record);
+        return decoded === undefined ? [] : [decoded];
       } catch {
-        // Another writer's record: the view shows how many there are.
+        // A record of another writer; the view reports how many there are.
         this.unreadable++;
         return [];
       }
@@ -133,11 +138,11 @@
   }
 }
 
-function configurationIn(
-  asked: readonly OperatorRecord[],
+function findConfiguration(
+  records: readonly OperatorRecord[],
 ): Configuration | undefined {
-  for (const one of asked)
-    if (one.kind === 'configuration') return one.configuration;
+  for (const record of records)
+    if (record.kind === 'configuration') return record.configuration;
   return undefined;
 }
 
@@ -161,26 +166,31 @@
   configuration: Configuration | undefined,
 ): OrganisationView[] {
   const settings = new Map(
-    configuration?.organisations?.organisations.map(one => [one.name, one]),
+    configuration?.organisations?.organisations.map(organisation => [
+      organisation.name,
+      organisation,
+    ]),
   );
   const jobs = groupBy(table.all(), job => job.submission.organisation);
   jobs.delete(undefined);
   const names = new Set([...settings.keys(), ...jobs.keys()]);
   return [...names].flatMap(name => {
     if (name === undefined) return [];
-    const own = jobs.get(name) ?? [];
-    const queued = own.filter(job => table.stateOf(job) === JobState.Queued);
+    const ownJobs = jobs.get(name) ?? [];
+    const queued = ownJobs.filter(
+      job => table.stateOf(job) === JobState.Queued,
+    );
     return {
       name,
       settings: settings.get(name),
-      running: sumResources(own.flatMap(amountsUnderWay)),
+      running: sumResources(ownJobs.flatMap(resourcesOfLiveTasks)),
       queued: queued.length,
     };
   });
 }
 
-/** Of each run that may be alive. */
-function amountsUnderWay({submission, progress}: StoredJob): Resources[] {
+/** Returns the resources of each run of a job that may be alive. */
+function resourcesOfLiveTasks({submission, progress}: StoredJob): Resources[] {
   return [...progress.tasks]
     .filter(([, task]) => task.worker !== '')
     .flatMap(([key]) => submission?.steps[Number(key.split('.')[1])] ?? []);
--- a/packages/coordinator/src/dispatcher.ts
+++ b/packages/coordinator/src/dispatcher.ts
@@ -30,31 +30,34 @@
 import {WaitingJobs, type PlacementCandidate} from './waiting-jobs.js';
 import type {WorkerSession} from './worker-session.js';
 
-/** What a dispatcher needs of the coordinator. */
+/** Functions of the coordinator that a dispatcher calls. */
 export interface DispatchHost {
   sessionsOf(service: string): readonly WorkerSession[];
   queueOf(execution: JobExecution): Queue | undefined;
-  /** Whether `count` orders may be begun together; more would wait behind each other at this daemon. */
+  /**
+   * Whether `count` more orders may be sent now; beyond the limit they would only queue at this
+   * daemon.
+   */
   mayOrder(count: number): boolean;
-  /** Whether the limit of the job's organisation lets these tasks start together. */
+  /** Whether the limit of the job's organisation allows these tasks to start together. */
   organisationLimitAllows(
     execution: JobExecution,
     tasks: readonly ExecutableTask[],
     service: string,
   ): boolean;
-  /** Claims of organisations on the pool of a service, of those that wait at least. */
+  /** Shares of organisations in the pool of a service, including at least those in `waiting`. */
   poolShares(
     service: string,
     waiting: ReadonlySet<string>,
     pool: Resources,
   ): PoolShares;
-  /** Stores the run, then orders it. */
+  /** Stores the run, then sends its order. */
   launch(session: WorkerSession, run: LiveRun): void;
 }
 
-/** Placement of a round ends after so many steps found no room. */
-const MISSES_BEFORE_GIVING_UP = 12;
-/** Longest timer for a step that is due later, since wall clocks may jump. */
+/** A placement round stops after this many steps found no worker with enough capacity. */
+const MAXIMUM_PLACEMENT_MISSES = 12;
+/** Longest timer for a step that is due later; limited since the wall clock may jump. */
 const MAXIMUM_DUE_TIMER_MILLISECONDS = 1_000;
 const ISOLATION_RETRY_MILLISECONDS = 200;
 
@@ -64,14 +67,14 @@
   private readonly failures: TaskFailures;
   private readonly loads = new Map<string, ServiceLoad>();
   private readonly servicesDue = new Set<string>();
-  /** Services with work that has room and waits until fewer orders are under way. */
+  /** Services with tasks that wait until fewer orders are in flight. */
   private readonly servicesAwaitingOrders = new Set<string>();
-  private readonly turns = new LeastRecentlyServedOrder();
-  /** Millicores of VMs that are on their way into the pool of a service. */
-  private readonly arriving = new Map<string, number>();
-  /** One timer for each service with a job that is due later. */
+  private readonly serviceOrder = new LeastRecentlyServedOrder();
+  /** Millicores of VMs that are being moved into the pool of each service. */
+  private readonly incomingMillicores = new Map<string, number>();
+  /** One timer per service with a job that is due later. */
   private readonly dueTimers = new Map<string, Timer>();
-  /** Services with a task that waits to be kept apart. */
+  /** Services with a scheduled retry for a task that must be isolated. */
   private readonly isolationRetries = new Set<string>();
   private scheduled = false;
   private placedAt = -Infinity;
@@ -80,8 +83,8 @@
 
   constructor(
     private readonly host: DispatchHost,
-    private readonly choice: WorkerChoice,
-    private readonly shares: SharePolicy,
+    private readonly workerChoice: WorkerChoice,
+    private readonly sharePolicy: SharePolicy,
     private readonly demand: ServiceDemand,
     private readonly clock: Clock,
   ) {
@@ -99,13 +102,16 @@
     this.schedulePlacement(this.jobs.add(execution, ageMilliseconds));
   }
 
-  /** Notes that a job was handed in so long ago, whatever became of it: turns are learned from it. */
+  /**
+   * Counts a job submitted `ageMilliseconds` ago towards demand whatever its state, since load
+   * peaks are estimated from arrivals.
+   */
   noteDemand(execution: JobExecution, ageMilliseconds: number): void {
     const at = this.clock.monotonicMilliseconds() - ageMilliseconds;
     this.demand.note(this.jobs.serviceOf(execution), execution.job, at);
   }
 
-  /** Notes how long a run that ended well took. */
+  /** Records the duration of a run that ended successfully. */
   noteDuration(run: LiveRun, milliseconds: number): void {
     const {specification} = run.executableTask;
     if (run.startConfirmedAt !== undefined)
@@ -116,18 +122,18 @@
     this.demand.noteDuration(queue, specification, run.stepKey, milliseconds);
   }
 
-  /** Run time to expect of a task, in milliseconds. */
+  /** Returns the expected run time of a task in milliseconds. */
   expectedTime(execution: JobExecution, task: ExecutableTask): number {
     return this.demand.expectedTime(execution.job.queue, task.specification);
   }
 
-  /** Takes a job out that has come to its end. */
+  /** Removes a job that has ended. */
   remove(execution: JobExecution): void {
     this.jobs.remove(execution);
     this.failures.forgetJob(execution.job.id);
   }
 
-  /** Notes that a run of a task failed on a worker, so that the next try goes elsewhere. */
+  /** Records that a run failed on a worker, so that the next attempt goes to another worker. */
   noteFailure(run: LiveRun, workerId: string): void {
     this.failures.note(run.task, workerId);
     const service = this.jobs.serviceOf(run.execution);
@@ -136,59 +142,66 @@
     );
   }
 
-  /** Notes that a worker crashed under a run of a task, so that the next try goes apart. */
+  /** Records that a worker crashed during a run, so that the next attempt is isolated. */
   noteCrash(run: LiveRun): void {
     this.failures.noteCrash(run.task);
   }
 
-  /** Whether a task starts apart from other jobs' tasks if it starts now. */
+  /** Returns whether a task would have to be isolated from other jobs' tasks if it started now. */
   mustIsolate(execution: JobExecution, task: ExecutableTask): boolean {
     const {total} = task.progress.crashes;
     if (total === 0) return false;
     return this.failures.mustIsolate(taskName(execution.job.id, task), total);
   }
 
-  /** How long a job has been known. */
+  /** Returns how long ago a job was submitted, as far as known. */
   ageOf(execution: JobExecution): number {
     return this.jobs.ageOf(execution);
   }
 
-  /** Time from its submission within which a job's caller expects it to be done, as far as its run times are known. */
+  /**
+   * Returns a job's latency objective, measured from its submission and based on the run times
+   * known so far.
+   */
   objectiveOf(execution: JobExecution): number {
     return this.jobs.objectiveOf(execution);
   }
 
-  /** Notes the room of VMs that are on their way into the pool of `service`. */
-  noteArriving(service: string, millicores: number): void {
-    this.arriving.set(service, millicores);
+  /** Sets the capacity of the VMs that are being moved into the pool of `service`. */
+  setIncomingMillicores(service: string, millicores: number): void {
+    this.incomingMillicores.set(service, millicores);
   }
 
   loadOf(service: string): ServiceLoad {
     return this.loads.get(service) ?? NO_LOAD;
   }
 
-  /** Places what waits for `service` in the next turn. */
+  /** Schedules a placement round for `service`. */
   schedulePlacement(service: string): void {
     this.servicesDue.add(service);
     if (this.scheduled || this.closed) return;
     this.scheduled = true;
-    const rested = this.clock.monotonicMilliseconds() - this.placedAt;
-    if (rested >= this.placementDelayMilliseconds)
+    const elapsedMilliseconds =
+      this.clock.monotonicMilliseconds() - this.placedAt;
+    if (elapsedMilliseconds >= this.placementDelayMilliseconds)
       setImmediate(() => this.placeDueServices());
     else
-      this.clock.schedule(this.placementDelayMilliseconds - rested, () =>
-        this.placeDueServices(),
+      this.clock.schedule(
+        this.placementDelayMilliseconds - elapsedMilliseconds,
+        () => this.placeDueServices(),
       );
   }
 
-  /** The fate of an order is known: others may be begun. */
-  orderSettled(): void {
+  /** Schedules services that wait for orders in flight, since the outcome of one is known. */
+  noteOrderCompleted(): void {
     for (const service of this.servicesAwaitingOrders)
       this.schedulePlacement(service);
     this.servicesAwaitingOrders.clear();
   }
 
-  /** After a new configuration queues may have other services. */
+  /**
+   * Regroups all jobs after a configuration change, since queues may have moved to other services.
+   */
   regroup(): void {
     for (const service of this.jobs.regroup()) this.schedulePlacement(service);
   }
@@ -201,13 +214,13 @@
   private placeDueServices(): void {
     this.scheduled = false;
     if (this.closed) return;
-    const began = this.clock.monotonicMilliseconds();
-    const services = this.turns.order(this.servicesDue);
+    const startedAt = this.clock.monotonicMilliseconds();
+    const services = this.serviceOrder.order(this.servicesDue);
     this.servicesDue.clear();
     for (const service of services) this.placeService(service);
     this.placedAt = this.clock.monotonicMilliseconds();
     this.placementDelayMilliseconds = placementDelayMilliseconds(
-      this.placedAt - began,
+      this.placedAt - startedAt,
     );
   }
 
@@ -218,10 +231,12 @@
       .filter(session => session.acceptsStarts);
     const {candidates, nextDue} = this.jobs.readyFor(service, now);
     this.scheduleAtDueTime(service, nextDue);
-    const room = largestCapacity(sessions.map(({entry}) => entry.capacity));
-    this.demand.noteVmCapacity(room);
-    const round = new PlacementRound(sessions, this.choice, now);
-    const count = new WaitingLoadCounter(room);
+    const largestVmCapacity = largestCapacity(
+      sessions.map(({entry}) => entry.capacity),
+    );
+    this.demand.noteVmCapacity(largestVmCapacity);
+    const round = new PlacementRound(sessions, this.workerChoice, now);
+    const waitingLoad = new WaitingLoadCounter(largestVmCapacity);
     const ordered = orderWaiting(
       candidates,
       this.poolCapacityOf(service, sessions),
@@ -229,16 +244,19 @@
     );
     let misses = 0;
     for (const candidate of this.orderByShares(service, ordered, sessions)) {
-      const gaveUp = misses >= MISSES_BEFORE_GIVING_UP;
+      const isMissLimitReached = misses >= MAXIMUM_PLACEMENT_MISSES;
       misses += this.placeCandidate(
-        {service, round, count, now, gaveUp},
+        {service, round, waitingLoad, now, isMissLimitReached},
         candidate,
       );
     }
-    this.loads.set(service, count.load(this.loadOf(service), now));
+    this.loads.set(service, waitingLoad.load(this.loadOf(service), now));
   }
 
-  /** Each class of what jobs are still worth in the order of shares: by shares alone late jobs would go ahead of ones that can be in time. */
+  /**
+   * Orders jobs by shares within each rank only: by shares alone, late jobs would precede jobs that
+   * can still be in time.
+   */
   private *orderByShares(
     service: string,
     ordered: readonly PlacementCandidate[],
@@ -254,46 +272,52 @@
     const pool = sumResources(sessions.map(({entry}) => entry.capacity));
     const claims = this.host.poolShares(service, waiting, pool);
     for (const jobs of groupBy(ordered, ({rank}) => rank).values())
-      yield* this.shares.order(jobs, claims);
+      yield* this.sharePolicy.order(jobs, claims);
   }
 
-  /** Places what of a job has room; returns how many of its steps found none. */
+  /**
+   * Places the ready tasks of a job; returns the number of its steps for which capacity was
+   * missing.
+   */
   private placeCandidate(
-    turn: ServicePlacement,
+    placement: ServicePlacement,
     candidate: PlacementCandidate,
   ): number {
-    const {service, round, count, now, gaveUp} = turn;
+    const {service, round, waitingLoad, now, isMissLimitReached} = placement;
     const {execution, weight} = candidate;
-    const full = new Set<string>();
+    const unplacedSteps = new Set<string>();
     for (const tasks of groupsOf(candidate.ready)) {
       if (!this.mayOrder(tasks)) {
         this.servicesAwaitingOrders.add(service);
         continue;
       }
-      // More VMs would not help: what waits for a limit asks for none.
+      // Tasks that wait for a limit do not count as waiting load, since more VMs would not help.
       if (!this.host.organisationLimitAllows(execution, tasks, service))
         continue;
       const key = stepName(execution.job.id, tasks[0]);
-      const placed =
-        !gaveUp &&
-        !full.has(key) &&
+      const isPlaced =
+        !isMissLimitReached &&
+        !unplacedSteps.has(key) &&
         this.placeTogether(round, candidate, tasks, now);
-      if (placed) continue;
+      if (isPlaced) continue;
       this.retryIsolated(service, candidate, tasks);
-      full.add(key);
-      count.note(execution, tasks, weight);
+      unplacedSteps.add(key);
+      waitingLoad.note(execution, tasks, weight);
     }
-    return full.size;
+    return unplacedSteps.size;
   }
 
-  /** What a task that is kept apart waits for passes with time, and no event tells of it. */
+  /**
+   * Schedules a retry for tasks that must be isolated: what they wait for ends with time, without
+   * an event.
+   */
   private retryIsolated(
     service: string,
     {execution}: PlacementCandidate,
     tasks: readonly ExecutableTask[],
   ): void {
-    const waits = tasks.some(task => this.mustIsolate(execution, task));
-    if (!waits || this.isolationRetries.has(service)) return;
+    const mustIsolate = tasks.some(task => this.mustIsolate(execution, task));
+    if (!mustIsolate || this.isolationRetries.has(service)) return;
     this.isolationRetries.add(service);
     this.clock.schedule(ISOLATION_RETRY_MILLISECONDS, () => {
       this.isolationRetries.delete(service);
@@ -301,7 +325,10 @@
     });
   }
 
-  /** Tasks that last are few, and missed at once: they don't wait behind a turn's orders. */
+  /**
+   * Returns whether tasks may be ordered now. Long-running tasks are few and their absence is
+   * noticed at once, so they do not wait behind the orders of a load peak.
+   */
   private mayOrder(tasks: readonly ExecutableTask[]): boolean {
     const {longRunning} = tasks[0].specification;
     return longRunning || this.host.mayOrder(tasks.length);
@@ -316,18 +343,24 @@
         (sum, {entry}) => sum + entry.capacity.processorMillicores,
         0,
       ),
-      incomingMillicores: this.arriving.get(service) ?? 0,
+      incomingMillicores: this.incomingMillicores.get(service) ?? 0,
     };
   }
 
-  /** Replaces the service's timer: with one for each round and job, busy rounds would lead to as many later ones for good. */
+  /**
+   * Replaces the service's timer: a timer per round and job would make each busy period cause as
+   * many later rounds, forever.
+   */
   private scheduleAtDueTime(service: string, dueAt: number): void {
     this.dueTimers.get(service)?.cancel();
     this.dueTimers.delete(service);
     if (dueAt === Infinity) return;
-    const left = dueAt - this.clock.wallMilliseconds();
-    const wait = Math.min(left, MAXIMUM_DUE_TIMER_MILLISECONDS);
-    const timer = this.clock.schedule(wait, () =>
+    const remainingMilliseconds = dueAt - this.clock.wallMilliseconds();
+    const delayMilliseconds = Math.min(
+      remainingMilliseconds,
+      MAXIMUM_DUE_TIMER_MILLISECONDS,
+    );
+    const timer = this.clock.schedule(delayMilliseconds, () =>
       this.schedulePlacement(service),
     );
     this.dueTimers.set(service, timer);
@@ -348,7 +381,7 @@
     };
   }
 
-  /** Places all of `tasks` or none. */
+  /** Places all of `tasks` or none of them. */
   private placeTogether(
     round: PlacementRound,
     {execution, weight}: PlacementCandidate,
@@ -357,23 +390,23 @@
   ): boolean {
     const chosen: Array<{session: WorkerSession; isIsolated: boolean}> = [];
     for (const task of tasks) {
-      const wish = this.placementRequestOf(execution, task, now);
-      const session = round.reserve(wish);
+      const request = this.placementRequestOf(execution, task, now);
+      const session = round.reserve(request);
       if (!session) {
         round.rollBack();
         return false;
       }
-      chosen.push({session, isIsolated: wish.isIsolated});
+      chosen.push({session, isIsolated: request.isIsolated});
     }
     round.commit();
-    this.turns.recordServed(this.jobs.serviceOf(execution));
-    const together = tasks[0].specification.gang
+    this.serviceOrder.recordServed(this.jobs.serviceOf(execution));
+    const gangRun = tasks[0].specification.gang
       ? 1 + Math.max(...tasks.map(task => task.progress.run))
       : undefined;
     tasks.forEach((task, index) => {
       const {session, isIsolated} = chosen[index];
-      const planned = newLiveRun(execution, task, {
-        run: execution.beginRun(task, session.id, together),
+      const run = newLiveRun(execution, task, {
+        run: execution.beginRun(task, session.id, gangRun),
         plannedAt: now,
         weight,
         expectedMilliseconds: this.expectedTime(execution, task),
@@ -384,19 +417,19 @@
         status: RunStatus.Planned,
         orderAnsweredAt: Infinity,
       });
-      this.host.launch(session, planned);
+      this.host.launch(session, run);
     });
     return true;
   }
 }
 
-/** One round of placement for a service. */
+/** State of one placement round of a service. */
 interface ServicePlacement {
   readonly service: string;
   readonly round: PlacementRound;
-  /** Adds up what finds no room. */
-  readonly count: WaitingLoadCounter;
+  /** Sums up the tasks that could not be placed. */
+  readonly waitingLoad: WaitingLoadCounter;
   readonly now: number;
-  /** Too many steps have found no room: the rest only counts as waiting. */
-  readonly gaveUp: boolean;
+  /** Too many steps could not be placed: the remaining ones are only counted as waiting. */
+  readonly isMissLimitReached: boolean;
 }
--- a/packages/coordinator/src/end-cursor.ts
+++ b/packages/coordinator/src/end-cursor.ts
@@ -1,9 +1,9 @@
-/** Calls back when all ends read so far are stored. */
+/** Calls `then` once all ends read so far are stored. */
 export type AfterStored = (then: () => void) => void;
 
 /**
- * How far the numbered ends of one worker are read, stored and acknowledged. The worker forgets what
- * is acknowledged, so an end must be stored before.
+ * Tracks how far the numbered run ends of one worker are read, stored and acknowledged. The worker
+ * forgets acknowledged ends, so an end must be stored before it is acknowledged.
  */
 export class EndCursor {
   private newestRead = 0;
@@ -15,24 +15,24 @@
     private readonly changed: () => void,
   ) {}
 
-  /** Number of the newest end that may be acknowledged. */
+  /** Number of the latest end that may be acknowledged. */
   get stored(): number {
     return this.newestStored;
   }
 
-  /** Whether the worker still keeps ends that were read. */
+  /** Whether the worker still keeps ends that were already read. */
   get hasUnacknowledged(): boolean {
     return this.newestAcknowledged < this.newestRead;
   }
 
-  /** Notes that an end was read; false when it had been before. */
+  /** Marks an end as read; returns false if it was already read before. */
   markRead(number: number): boolean {
     if (number <= this.newestRead) return false;
     this.newestRead = number;
     return true;
   }
 
-  /** Lets what was read be acknowledged once it is stored. */
+  /** Allows all ends read so far to be acknowledged once they are stored. */
   acknowledgeWhenStored(): void {
     const read = this.newestRead;
     if (read <= this.newestStored) return;
@@ -42,7 +42,7 @@
     });
   }
 
-  /** Notes that the worker was told of the ends up to `number`. */
+  /** Records that the ends up to `number` were acknowledged to the worker. */
   noteAcknowledged(number: number): void {
     this.newestAcknowledged = number;
   }
--- a/packages/coordinator/src/entry-settings.ts
+++ b/packages/coordinator/src/entry-settings.ts
@@ -1,9 +1,9 @@
-/** What the platform tells a daemon of itself and of the deployment. */
+/** Settings that the platform passes to a daemon. */
 export interface EntrySettings {
   /** Name of this daemon's VM; the same after a restart. */
   readonly node: string;
   readonly dataCentre: string;
-  /** The whole system starts for the first time, all daemons at once. */
+  /** Whether the whole system starts for the first time, all daemons at once. */
   readonly isFirstStart: boolean;
   /** Size of this daemon's VM. */
   readonly size: VmSize;
@@ -16,37 +16,37 @@
   readonly limits: PlatformLimits;
 }
 
-/** What a daemon's VM may use. */
+/** Resources that a daemon's VM may use. */
 export interface VmSize {
   /** Processor cores. */
   readonly cores: number;
-  /** Bandwidth of its own link in megabits a second. */
+  /** Bandwidth of its network link in megabits per second. */
   readonly megabitsPerSecond: number;
 }
 
-/** Times that the platform fixes, in milliseconds. */
+/** Time limits set by the platform, in milliseconds. */
 export interface PlatformLimits {
-  /** Longest lease that a worker takes. */
+  /** Longest lease that a worker accepts. */
   readonly maximumLease: number;
-  /** A configuration must be in force within this. */
+  /** Time within which a new configuration must be in force. */
   readonly configurationInForce: number;
-  /** Bounds are longer by so much at most while the store serves only some daemons. */
+  /** Maximum extension of the limits while the store serves only some of the daemons. */
   readonly stretch: number;
-  /** After this a cancelled job must have nothing running. */
+  /** Time after which no task of a cancelled job may be running. */
   readonly cancel: number;
-  /** Planned work may keep a task away so long before it counts as missing. */
+  /** How long planned work may keep a task from running before it counts as missing. */
   readonly notice: number;
-  /** Orders about one VM by another holder wait so long. */
+  /** How long orders about a VM must wait when they come from another holder than earlier ones. */
   readonly holderChange: number;
-  /** From a termination signal to the kill. */
+  /** Grace period between the termination signal and the kill. */
   readonly grace: number;
-  /** A final state stays to be asked for so long. */
+  /** How long the final state of a job must remain available. */
   readonly stateKept: number;
-  /** A pool change and a maintenance take so long. */
+  /** Duration of a pool change (`move`) and of a maintenance (`maintenance`). */
   readonly move: number;
   readonly maintenance: number;
-  /** A worker takes so long at most to stop a run. */
+  /** Longest time that a worker takes to stop a run. */
   readonly stop: number;
-  /** A task may stay over its response time target so long. */
+  /** How long a task may exceed its response time target. */
   readonly harm: number;
 }
--- a/packages/coordinator/src/fleet-controller.ts
+++ b/packages/coordinator/src/fleet-controller.ts
@@ -21,23 +21,26 @@
 import type {WorkerRegistry} from './worker-registry.js';
 import type {WorkerSession} from './worker-session.js';
 
-/** What a fleet keeper is built from. */
+/** Dependencies of a fleet controller. */
 export interface FleetParts extends VmOrderParts {
   readonly jobs: JobStreams;
   readonly formats: RecordFormats;
   readonly operators: OperatorView;
 }
 
-/** What a fleet keeper needs of the coordinator. */
+/** Functions of the coordinator that a fleet controller calls. */
 export interface FleetHost {
   ordersAllowed(): boolean;
-  /** The incarnations that the list of VMs shows; every other one is over. */
+  /** Reports the incarnations in the list of VMs; all others have ended. */
   noteIncarnations(alive: ReadonlySet<string>): void;
 }
 
-/** Pools are not resized on job data older than this: without arrivals they would be emptied. */
+/**
+ * Pools are not resized based on job data older than this: without new arrivals they would be
+ * emptied.
+ */
 const MAXIMUM_DEMAND_AGE_MILLISECONDS = 1_000;
-/** Why a VM takes no new starts before it changes its pool. */
+/** Reason for cordoning a VM before it changes its pool. */
 const POOL_CHANGE = 'pool change';
 
 /** Moves VMs between pools and through maintenance. */
@@ -45,9 +48,9 @@
   private readonly orders: VmOrders;
   private readonly impossibleMoves = new Set<string>();
   private readonly idleSince = new Map<string, number>();
-  /** The incarnation that each VM was last seen to carry. */
+  /** Worker incarnation last seen on each VM. */
   private readonly incarnations = new Map<string, string>();
-  private readonly waves: MaintenanceController;
+  private readonly maintenance: MaintenanceController;
   private readonly poolLog: PoolSizeLog;
   private vms: readonly ListedVm[] = [];
   private listDueAt = -Infinity;
@@ -63,7 +66,7 @@
   ) {
     this.poolLog = new PoolSizeLog(parts.clock, parts.logger);
     this.orders = new VmOrders(term, parts, () => host.ordersAllowed());
-    this.waves = new MaintenanceController(parts, registry, this.orders);
+    this.maintenance = new MaintenanceController(parts, registry, this.orders);
   }
 
   start(): void {
@@ -75,17 +78,22 @@
     this.orders.close();
   }
 
-  /** Pools are planned more often than the VMs are listed: the list costs link time, and callers of a burst wait for the plan. */
+  /**
+   * Plans pools more often than it lists VMs: the list takes bandwidth, while callers in a burst
+   * wait for the plan.
+   */
   private async run(): Promise<void> {
     await this.orders.load();
     while (!this.closed) {
       if (this.now() >= this.listDueAt) await this.refreshVmList();
-      await this.waves.load();
-      const began = this.now();
+      await this.maintenance.load();
+      const startedAt = this.now();
       const requests = this.canPlan ? this.plan() : [];
-      const gap = planningDelayMilliseconds(this.now() - began);
+      const delayMilliseconds = planningDelayMilliseconds(
+        this.now() - startedAt,
+      );
       await this.orders.issue(requests);
-      await sleep(this.parts.clock, gap);
+      await sleep(this.parts.clock, delayMilliseconds);
     }
   }
 
@@ -94,23 +102,32 @@
   }
 
   private async refreshVmList(): Promise<void> {
-    const listedFrom = this.now();
+    const startedAt = this.now();
     const vms = await this.parts.vmGateway.list();
     this.listDueAt =
-      this.now() + vmListDelayMilliseconds(this.now() - listedFrom);
+      this.now() + vmListDelayMilliseconds(this.now() - startedAt);
     if (this.closed || !vms || vms.length === 0) return;
     this.vms = vms;
-    this.orders.noteListed(listedFrom);
-    this.endLostIncarnations(listedFrom);
+    this.orders.noteListed(startedAt);
+    this.endLostIncarnations(startedAt);
   }
 
-  /** A worker whose VM carries another incarnation, or none, is over: its tasks need not wait for the lease. */
+  /**
+   * Ends incarnations whose VM runs another incarnation or none, so that their tasks need not wait
+   * for the lease to expire.
+   */
   private endLostIncarnations(listedFrom: number): void {
     const alive = new Set(this.vms.map(vm => vm.workerId));
     for (const vm of this.vms) {
-      const before = this.incarnations.get(vm.name);
-      if (before && before !== vm.workerId && !alive.has(before))
-        this.registry.find(before)?.endIncarnation(endOnVm(vm));
+      const previousWorkerId = this.incarnations.get(vm.name);
+      if (
+        previousWorkerId &&
+        previousWorkerId !== vm.workerId &&
+        !alive.has(previousWorkerId)
+      )
+        this.registry
+          .find(previousWorkerId)
+          ?.endIncarnation(incarnationEndOf(vm));
       this.incarnations.set(vm.name, vm.workerId);
     }
     for (const session of [...this.registry.all()]) {
@@ -130,19 +147,22 @@
     }
   }
 
-  /** Decides which VMs are to be moved or maintained now. */
+  /** Decides which VMs to move or maintain now. */
   private plan(): VmOrderRequest[] {
     this.noteIdle();
     const pools = this.plannedPools();
-    for (const {service, incomingVms: arriving, vmMillicores} of pools)
-      this.dispatcher.noteArriving(service, arriving * vmMillicores);
+    for (const {service, incomingVms, vmMillicores} of pools)
+      this.dispatcher.setIncomingMillicores(
+        service,
+        incomingVms * vmMillicores,
+      );
     this.poolLog.note(pools, this.parts.jobs.submissionAgeMilliseconds);
     const requests: VmOrderRequest[] = [];
     for (const wave of this.parts.operators.waves.values())
-      requests.push(...this.waves.planOrders(wave, this.vms, pools));
-    const taken = new Set(requests.map(request => request.vm.name));
+      requests.push(...this.maintenance.planOrders(wave, this.vms, pools));
+    const maintainedVmNames = new Set(requests.map(request => request.vm.name));
     for (const request of this.planMoves(pools))
-      if (!taken.has(request.vm.name)) requests.push(request);
+      if (!maintainedVmNames.has(request.vm.name)) requests.push(request);
     return requests;
   }
 
@@ -152,12 +172,12 @@
       MAXIMUM_DEMAND_AGE_MILLISECONDS
     )
       return [];
-    const step = planPools(pools);
-    this.cordonForMoves(new Set(step.cordon));
-    return step.moves.flatMap(move => {
+    const plan = planPools(pools);
+    this.cordonForMoves(new Set(plan.cordon));
+    return plan.moves.flatMap(move => {
       const vm = this.vms.find(listed => listed.name === move.vm);
-      const barred = this.impossibleMoves.has(`${move.vm}>${move.to}`);
-      return vm && !barred ? [this.moveOf(vm, move.to)] : [];
+      const isImpossible = this.impossibleMoves.has(`${move.vm}>${move.to}`);
+      return vm && !isImpossible ? [this.moveOf(vm, move.to)] : [];
     });
   }
 
@@ -173,7 +193,7 @@
     };
   }
 
-  /** Keeps new starts away from the VMs that are to move, and lets them back where the need has passed. */
+  /** Cordons VMs that are to move, and uncordons those that no longer need to. */
   private cordonForMoves(names: ReadonlySet<string>): void {
     for (const vm of this.vms) {
       const session = this.sessionOn(vm);
@@ -215,7 +235,7 @@
       spreadConstraintVms: load.spreadVms,
       offeredLoadMillicores: this.demand.offeredLoadMillicores(name, now),
       standardErrorMillicores: this.demand.standardErrorMillicores(name, now),
-      incomingVms: this.arrivingAt(name, members),
+      incomingVms: this.countIncomingVms(name, members),
       usableVms: sessions.length,
       vms: members
         .filter(vm => this.isMovable(vm, standby))
@@ -241,17 +261,23 @@
     };
   }
 
-  private arrivingAt(service: string, members: readonly ListedVm[]): number {
+  private countIncomingVms(
+    service: string,
+    members: readonly ListedVm[],
+  ): number {
     let count = 0;
     for (const [, order] of this.orders.all())
       if (order.kind === 'move' && order.to === service) count++;
     for (const vm of members)
-      if (!this.orders.openOrder(vm.name) && this.isArriving(vm)) count++;
+      if (!this.orders.openOrder(vm.name) && this.isIncoming(vm)) count++;
     return count;
   }
 
-  /** On its way, or up with a worker that has not been polled yet. */
-  private isArriving(vm: ListedVm): boolean {
+  /**
+   * Returns whether a VM is being moved or maintained, or is up with a worker that has not been
+   * polled yet.
+   */
+  private isIncoming(vm: ListedVm): boolean {
     if (vm.state === VmState.Moving || vm.state === VmState.Maintenance)
       return true;
     if (vm.state !== VmState.Up) return false;
@@ -259,16 +285,19 @@
     return !session || session.isStarting;
   }
 
-  /** Up, not leaving, not held for a wave, and without a long-running task. */
+  /**
+   * Returns whether a VM may be moved: up, not draining, not cordoned for a wave, and without
+   * long-running tasks.
+   */
   private isMovable(vm: ListedVm, standby: boolean): boolean {
     if (vm.state !== VmState.Up || !this.orders.isFree(vm.name)) return false;
     const session = this.sessionOn(vm);
     if (!session) return standby;
     if (session.isDraining || session.hasLongRunningTask) return false;
-    const reserved =
+    const isCordonedForWave =
       session.cordonReason !== undefined &&
       session.cordonReason !== POOL_CHANGE;
-    if (reserved) return false;
+    if (isCordonedForWave) return false;
     return standby || session.silentFrom === undefined;
   }
 
@@ -281,10 +310,11 @@
   }
 }
 
-/** How the incarnation ended that a VM no longer carries. */
-function endOnVm({state}: ListedVm): IncarnationEnd {
-  const isAway = state === VmState.Moving || state === VmState.Maintenance;
-  return isAway
+/** Returns why the incarnation ended that `vm` no longer runs. */
+function incarnationEndOf({state}: ListedVm): IncarnationEnd {
+  const isMovingOrInMaintenance =
+    state === VmState.Moving || state === VmState.Maintenance;
+  return isMovingOrInMaintenance
     ? IncarnationEnd.VmMovingOrInMaintenance
     : IncarnationEnd.LeftVm;
 }
--- a/packages/coordinator/src/incarnation-end.ts
+++ b/packages/coordinator/src/incarnation-end.ts
@@ -1,24 +1,27 @@
-/** How the end of a worker's incarnation was learned. */
+/** Reason why a worker's incarnation is known to have ended. */
 export enum IncarnationEnd {
   EntryRemoved = 'entry removed',
   Replaced = 'another incarnation answers at its address',
   LeftVm = 'its VM runs it no longer',
   NoVm = 'no VM runs it',
-  /** This coordinator ordered it. */
+  /** This coordinator ordered the move. */
   Moved = 'move',
-  /** This coordinator ordered it. */
+  /** This coordinator ordered the maintenance. */
   Maintained = 'maintain',
-  /** An earlier coordinator ordered it. */
+  /** An earlier coordinator ordered the move or maintenance. */
   VmMovingOrInMaintenance = 'its VM is being moved or maintained',
 }
 
-const UNPLANNED: ReadonlySet<IncarnationEnd> = new Set([
+const UNPLANNED_ENDS: ReadonlySet<IncarnationEnd> = new Set([
   IncarnationEnd.Replaced,
   IncarnationEnd.LeftVm,
   IncarnationEnd.NoVm,
 ]);
 
-/** Whether nobody had planned the end: the worker crashed, unless it had said that it drains. */
+/**
+ * Returns whether the end was unplanned: the worker crashed, unless it had announced that it
+ * drains.
+ */
 export function isUnplanned(end: IncarnationEnd): boolean {
-  return UNPLANNED.has(end);
+  return UNPLANNED_ENDS.has(end);
 }
--- a/packages/coordinator/src/job-intake.ts
+++ b/packages/coordinator/src/job-intake.ts
@@ -26,39 +26,45 @@
 import type {JobStreams} from './job-streams.js';
 import type {SubmissionLog} from './submission-log.js';
 
-/** Answer to a submission. */
+/** Result of a submission. */
 export enum SubmitAnswer {
   Taken = 'taken',
-  /** It was not taken and never runs. */
+  /** The job was not accepted and never runs. */
   Refused = 'refused',
-  /** It may have been taken. */
+  /** The job may have been accepted. */
   Unknown = 'unknown',
-  /** Its id is that of a job which the caller may not see; nothing was taken. */
+  /** A job that the caller may not access has the same id; the submission was not accepted. */
   IdInUse = 'id_in_use',
-  /** It asks for more at once than its organisation may ever have. */
+  /** The job requests more resources at once than its organisation may ever use. */
   OverLimit = 'over_limit',
 }
 
-/** Answer to a question about a job, or to a cancellation. */
+/** Result of a query for a job's state, or of a cancellation. */
 export type JobAnswer =
   | {readonly kind: 'state'; readonly state: JobState}
   | {readonly kind: 'absent'}
   | {readonly kind: 'unavailable'};
 
-/** A submission whose appends fail is refused after this, so that the caller can retry at another daemon. */
+/**
+ * A submission whose appends fail is rejected after this, so that the caller can retry at another
+ * daemon.
+ */
 const UNSENT_TIMEOUT_MILLISECONDS = 450;
-/** Time reserved for sending the answer before the caller's deadline. */
+/** Time reserved for sending the response before the caller's deadline. */
 const ANSWER_MARGIN_MILLISECONDS = 250;
-/** Submissions are refused at once when the store has been unavailable this long. */
+/**
+ * An outage of the store counts as lasting after this; rejected callers are then told to wait
+ * longer.
+ */
 const LASTING_OUTAGE_MILLISECONDS = 1_000;
-/** A job state is answered without a read of the store up to this age. */
+/** Maximum age of a job state that is returned without reading the store. */
 const MAXIMUM_STATE_AGE_MILLISECONDS = 80;
-/** The number of pending jobs is answered without a read up to this age. */
+/** Maximum age of the number of pending jobs that is returned without reading the store. */
 const MAXIMUM_COUNT_AGE_MILLISECONDS = 1_500;
 
-/** Takes jobs in, and answers for them, at any daemon: the store is the only memory. */
+/** Accepts jobs and reports their state at any daemon; all state is kept in the store. */
 export class JobIntake {
-  /** Jobs whose submission through this daemon got no answer from the store. */
+  /** Jobs whose submission through this daemon got no response from the store. */
   private readonly inDoubt = new Set<string>();
   private readonly labels = new OrganisationMetricLabels();
 
@@ -72,7 +78,10 @@
     private readonly metrics: Metrics,
   ) {}
 
-  /** Seconds after which a caller that was refused comes back: soon while the store has only just failed, later once its outage lasts, since callers try a few times only. */
+  /**
+   * Seconds after which a rejected caller should retry: soon after the store has just failed, later
+   * once the outage lasts, since callers retry only a few times.
+   */
   get retryAfterSeconds(): number {
     return this.submissions.health.failingMilliseconds <
       LASTING_OUTAGE_MILLISECONDS
@@ -80,20 +89,20 @@
       : 2;
   }
 
-  /** How long the store has taken nothing from here; 0 while it does. */
+  /** How long appends to the store have failed; 0 while they succeed. */
   get failingMilliseconds(): number {
     return this.submissions.health.failingMilliseconds;
   }
 
-  /** Time since the store last took nothing from here. */
+  /** Time since an append to the store last failed. */
   get sinceFailureMilliseconds(): number {
     return this.submissions.health.sinceFailureMilliseconds;
   }
 
-  /** Takes a job in; resolves within `boundMilliseconds`. */
+  /** Submits a job; resolves within `timeoutMilliseconds`. */
   async submit(
     job: JobSubmission,
-    boundMilliseconds: number,
+    timeoutMilliseconds: number,
   ): Promise<SubmitAnswer> {
     const known = this.table.find(job.id);
     if (known)
@@ -104,15 +113,15 @@
       this.noteAnswer(job, SubmitAnswer.OverLimit, 0);
       return SubmitAnswer.OverLimit;
     }
-    const started = this.clock.monotonicMilliseconds();
+    const startedAt = this.clock.monotonicMilliseconds();
     const outcome = await this.submissions.append(
       job.id,
       encodeJobRecord({kind: JobRecordKind.Submission, job}),
       UNSENT_TIMEOUT_MILLISECONDS,
-      boundMilliseconds - ANSWER_MARGIN_MILLISECONDS,
+      timeoutMilliseconds - ANSWER_MARGIN_MILLISECONDS,
     );
     const answer = this.submissionAnswer(job.id, outcome);
-    const milliseconds = this.clock.monotonicMilliseconds() - started;
+    const milliseconds = this.clock.monotonicMilliseconds() - startedAt;
     this.metrics.timing(MetricName.JobIntakeDuration, milliseconds);
     this.noteAnswer(job, answer, milliseconds);
     return answer;
@@ -142,31 +151,32 @@
     else this.logger.warn(LogEvent.JobRefused, fields);
   }
 
-  /** State of a job, as far as `caller` may see it. */
+  /** Returns the state of a job if `caller` may access it. */
   async state(jobId: string, caller: Caller): Promise<JobAnswer> {
     const known = this.table.find(jobId);
-    // The same answer as for a job that does not exist: it tells nothing of what others run.
+    // The same response as for a job that does not exist, so that it reveals nothing about the jobs
+    // of others.
     if (known && !mayAccessJob(known.submission, caller))
       return {kind: 'absent'};
     if (known && isFinal(this.table.stateOf(known)))
       return {kind: 'state', state: this.table.stateOf(known)};
-    // What was read a moment ago may show a job's state, but never that there is no such job: its
-    // submission may have been answered since, here or elsewhere.
-    const fresh = known
+    // Slightly stale data may be used for a job's state, but not to report that there is no such
+    // job: its submission may have been confirmed since, by this or another daemon.
+    const isFresh = known
       ? await this.ensureFreshProgress()
       : await this.streams.refreshJob(jobId);
     const job = this.table.find(jobId);
     if (job && !mayAccessJob(job.submission, caller)) return {kind: 'absent'};
     if (job) return {kind: 'state', state: this.table.stateOf(job)};
-    return fresh && !this.inDoubt.has(jobId)
+    return isFresh && !this.inDoubt.has(jobId)
       ? {kind: 'absent'}
       : {kind: 'unavailable'};
   }
 
-  /** Cancels a job; its tasks are stopped soon after. */
+  /** Cancels a job; the coordinator stops its tasks soon after. */
   async cancel(
     jobId: string,
-    boundMilliseconds: number,
+    timeoutMilliseconds: number,
     caller: Caller,
   ): Promise<JobAnswer> {
     const found = await this.state(jobId, caller);
@@ -176,8 +186,8 @@
     const outcome = await this.submissions.append(
       jobId,
       encodeJobRecord({kind: JobRecordKind.Cancellation, jobId}),
-      boundMilliseconds - ANSWER_MARGIN_MILLISECONDS,
-      boundMilliseconds - ANSWER_MARGIN_MILLISECONDS,
+      timeoutMilliseconds - ANSWER_MARGIN_MILLISECONDS,
+      timeoutMilliseconds - ANSWER_MARGIN_MILLISECONDS,
     );
     this.logger.info(LogEvent.JobCancelAsked, {job: jobId, outcome});
     return outcome === BatchedAppendOutcome.Appended
@@ -185,13 +195,13 @@
       : {kind: 'unavailable'};
   }
 
-  /** Jobs of a queue of which no task has started; undefined when it is not known. */
+  /** Returns the number of jobs of a queue of which no task has started; undefined if unknown. */
   async pending(queue: string): Promise<number | undefined> {
     const {submissionAgeMilliseconds, progressAgeMilliseconds} = this.streams;
     const age = Math.max(submissionAgeMilliseconds, progressAgeMilliseconds);
-    const fresh =
+    const isFresh =
       age <= MAXIMUM_COUNT_AGE_MILLISECONDS || (await this.streams.refresh());
-    return fresh ? this.table.pendingCount(queue) : undefined;
+    return isFresh ? this.table.pendingCount(queue) : undefined;
   }
 
   private submissionAnswer(
@@ -203,13 +213,16 @@
       return SubmitAnswer.Taken;
     }
     if (outcome === BatchedAppendOutcome.Unknown) this.inDoubt.add(jobId);
-    // An earlier try that may still be carried out makes a refusal untrue.
+    // An earlier attempt may still succeed, so the job must not be reported as refused.
     return this.inDoubt.has(jobId)
       ? SubmitAnswer.Unknown
       : SubmitAnswer.Refused;
   }
 
-  /** A known job's state changes with its progress only, and with a cancellation that the coordinator soon stores there. */
+  /**
+   * Refreshes the progress stream only: a known job's state changes there, and the coordinator soon
+   * stores a cancellation there too.
+   */
   private async ensureFreshProgress(): Promise<boolean> {
     if (this.streams.progressAgeMilliseconds <= MAXIMUM_STATE_AGE_MILLISECONDS)
       return true;
--- a/packages/coordinator/src/job-retention.ts
+++ b/packages/coordinator/src/job-retention.ts
@@ -1,15 +1,20 @@
 import type {Clock} from '@gentiandoor/kernel';
 
 const SWEEP_INTERVAL_MILLISECONDS = 10_000;
-/** A repeated submission may arrive late and must still be recognised. */
+/**
+ * Ended jobs are kept this many times as long as their state must be available: a repeated
+ * submission may arrive late and must still be recognised.
+ */
 const RETENTION_FACTOR = 2;
 
-/** Lets ended jobs be dropped once nobody may ask for their state any more. */
+/** Drops ended jobs some time after their final state no longer has to be available. */
 export class JobRetention {
   private readonly endedAt = new Map<string, number>();
   private closed = false;
 
-  /** `stateKeptMilliseconds`: how long a final state may be asked for; `drop`: forgets a job. */
+  /**
+   * `stateKeptMilliseconds` is how long a final state must remain available; `drop` deletes a job.
+   */
   constructor(
     private readonly clock: Clock,
     private readonly stateKeptMilliseconds: number,
@@ -33,11 +38,11 @@
   }
 
   private dropExpired(): void {
-    const oldest =
+    const cutoff =
       this.clock.monotonicMilliseconds() -
       RETENTION_FACTOR * this.stateKeptMilliseconds;
     for (const [jobId, endedAt] of this.endedAt) {
-      if (endedAt > oldest) continue;
+      if (endedAt > cutoff) continue;
       this.endedAt.delete(jobId);
       this.drop(jobId);
     }
--- a/packages/coordinator/src/job-streams.ts
+++ b/packages/coordinator/src/job-streams.ts
@@ -12,7 +12,7 @@
 const MAXIMUM_SUBMISSION_AGE_MILLISECONDS = 9_000;
 const MAXIMUM_PROGRESS_AGE_MILLISECONDS = 1_000;
 
-/** Keeps a table of jobs up to date with the streams that tell of them. */
+/** Keeps a table of jobs up to date with the streams of submissions and progress. */
 export class JobStreams {
   private readonly progress: StreamFollower;
   private readonly submissions: readonly StreamFollower[];
@@ -40,80 +40,90 @@
     );
   }
 
-  /** Age of what is known of jobs that were handed in, in milliseconds. */
+  /** Age in milliseconds of the data about submitted jobs. */
   get submissionAgeMilliseconds(): number {
-    return Math.max(...this.submissions.map(one => one.ageMilliseconds));
+    return Math.max(
+      ...this.submissions.map(follower => follower.ageMilliseconds),
+    );
   }
 
-  /** Age of what is known of the progress of jobs, in milliseconds. */
+  /** Age in milliseconds of the data about the progress of jobs. */
   get progressAgeMilliseconds(): number {
     return this.progress.ageMilliseconds;
   }
 
-  /** Reads all streams to their end; false when the store did not answer all. */
+  /** Reads all streams to their end; returns false if the store did not respond to every read. */
   async refresh(): Promise<boolean> {
-    return this.allAnswered([this.progress, ...this.submissions]);
+    return this.refreshAll([this.progress, ...this.submissions]);
   }
 
-  /** Reads the progress of jobs to its end. */
+  /** Reads the progress stream to its end; returns false if the store did not respond. */
   refreshProgress(): Promise<boolean> {
     return this.refreshOne(this.progress);
   }
 
-  /** Reads to the end all that may tell of one job. */
+  /** Reads all streams that may contain records of one job to their end. */
   async refreshJob(jobId: string): Promise<boolean> {
     const partition = this.submissions[submissionPartition(jobId)];
-    return this.allAnswered([this.progress, partition]);
+    return this.refreshAll([this.progress, partition]);
   }
 
-  /** Reads what has grown old, so that this daemon can answer and take over at once. */
+  /**
+   * Refreshes stale streams, so that this daemon can answer callers and become the coordinator at
+   * once.
+   */
   async refreshStale(): Promise<void> {
-    const old = this.submissions.filter(
-      one => one.ageMilliseconds > MAXIMUM_SUBMISSION_AGE_MILLISECONDS,
+    const stale = this.submissions.filter(
+      follower =>
+        follower.ageMilliseconds > MAXIMUM_SUBMISSION_AGE_MILLISECONDS,
     );
     if (this.progress.ageMilliseconds > MAXIMUM_PROGRESS_AGE_MILLISECONDS)
-      old.push(this.progress);
-    await this.allAnswered(old);
+      stale.push(this.progress);
+    await this.refreshAll(stale);
   }
 
-  /** Follows the submissions, until `isOver`; `read` is called after each read. */
+  /**
+   * Follows the submission streams until `isStopped` returns true; calls `onRead` after each read.
+   */
   async followSubmissions(
-    isOver: () => boolean,
-    read: () => void,
+    isStopped: () => boolean,
+    onRead: () => void,
   ): Promise<void> {
     await Promise.all(
-      this.submissions.map(one => this.followOne(one, isOver, read)),
+      this.submissions.map(follower =>
+        this.followOne(follower, isStopped, onRead),
+      ),
     );
   }
 
   private async followOne(
     follower: StreamFollower,
-    isOver: () => boolean,
-    read: () => void,
+    isStopped: () => boolean,
+    onRead: () => void,
   ): Promise<void> {
-    while (!isOver()) {
-      const answered = await follower.follow(FOLLOW_WAIT_MILLISECONDS);
-      read();
+    while (!isStopped()) {
+      const succeeded = await follower.follow(FOLLOW_WAIT_MILLISECONDS);
+      onRead();
       await sleep(
         this.clock,
-        answered ? FOLLOW_GAP_MILLISECONDS : RETRY_MILLISECONDS,
+        succeeded ? FOLLOW_GAP_MILLISECONDS : RETRY_MILLISECONDS,
       );
     }
   }
 
-  private async allAnswered(
+  private async refreshAll(
     followers: readonly StreamFollower[],
   ): Promise<boolean> {
-    const answers = await Promise.all(
-      followers.map(one => this.refreshOne(one)),
+    const results = await Promise.all(
+      followers.map(follower => this.refreshOne(follower)),
     );
-    return answers.every(answered => answered);
+    return results.every(succeeded => succeeded);
   }
 
   /**
-   * A first read brings every job of the last minutes: one stream after the other. When all daemons start
-   * at once and each reads seven of them side by side, no read is done within its bound, all begin again,
-   * and nobody learns what runs.
+   * Refreshes one stream; first reads, which return every job of the last minutes, run one after
+   * the other. If all daemons start at once and each reads seven streams in parallel, no read
+   * finishes within its timeout, all start over, and no daemon learns what runs.
    */
   private refreshOne(follower: StreamFollower): Promise<boolean> {
     if (follower.isLoaded) return follower.refresh();
--- a/packages/coordinator/src/learned-demand-store.ts
+++ b/packages/coordinator/src/learned-demand-store.ts
@@ -8,7 +8,7 @@
 } from './record-log.js';
 import type {LearnedDemand, ServiceDemand} from './service-demand.js';
 
-/** What learned figures are kept with. */
+/** Dependencies of a `LearnedDemandStore`. */
 export interface LearnedDemandStoreParts {
   readonly log: RecordLog;
   readonly clock: Clock;
@@ -16,17 +16,18 @@
 }
 
 const LEARNED_KEY = 'learned';
-/** A successor loses at most this much of what was learned. */
+/** Save interval; the next coordinator loses at most this much of what was learned. */
 const SAVE_MILLISECONDS = 2_000;
 
 /**
- * Hands what a coordinator has learned of run times to the next one.
- * Load: coordinators that change in the middle of a turn, when daemons are restarted in turn or all lose power.
- * Without it each of them starts from callers' estimates, which are off by half: it takes jobs that can no
- * longer be in time for hopeful, and sizes pools for half of the work, until a second of runs has ended.
+ * Passes the run times that a coordinator has learned on to the next one.
+ * Load: the coordinator changes during a load peak, when daemons are restarted one after the other
+ * or all lose power. Without it, each new coordinator starts from the callers' estimates, which are
+ * off by half: until a second of runs has ended, it treats jobs that can no longer be in time as if
+ * they could, and sizes pools for half of the work.
  */
 export class LearnedDemandStore {
-  private saved = '';
+  private savedText = '';
   private closed = false;
 
   constructor(
@@ -34,7 +35,7 @@
     private readonly demand: ServiceDemand,
   ) {}
 
-  /** Takes over what was learned before; a store that does not answer leaves nothing to take. */
+  /** Loads what earlier coordinators learned; starts without it if the store does not respond. */
   async load(): Promise<void> {
     const result = await this.parts.log.newestByKey(LogStream.Fleet);
     if (result.outcome !== ReadOutcome.Read) return;
@@ -59,16 +60,16 @@
 
   private async save(): Promise<void> {
     const text = JSON.stringify(this.demand.snapshot());
-    if (text === this.saved) return;
+    if (text === this.savedText) return;
     const result = await this.parts.log.append(LogStream.Fleet, [
       {key: LEARNED_KEY, value: Buffer.from(text)},
     ]);
-    if (result.outcome === AppendOutcome.Appended) this.saved = text;
+    if (result.outcome === AppendOutcome.Appended) this.savedText = text;
   }
 
   private restore(record: KeyedRecord): void {
     try {
-      this.demand.restore(readLearned(String(record.value)));
+      this.demand.restore(parseLearned(String(record.value)));
     } catch (error) {
       this.parts.logger.warn(LogEvent.RecordUnreadable, {
         stream: LogStream.Fleet,
@@ -79,8 +80,11 @@
   }
 }
 
-/** Throws when a figure is missing or no number: one that spreads would make every run time unknown. */
-function readLearned(text: string): LearnedDemand {
+/**
+ * Parses stored figures; throws if one is null, i.e. not a number: it would spread and make every
+ * run time unknown.
+ */
+function parseLearned(text: string): LearnedDemand {
   return JSON.parse(text, (key, value: unknown) => {
     if (value === null) throw new TypeError(`${key} is not a number`);
     return value;
--- a/packages/coordinator/src/live-run.ts
+++ b/packages/coordinator/src/live-run.ts
@@ -1,15 +1,15 @@
 import type {ExecutableTask, JobExecution} from '@gentiandoor/jobs';
 import type {RunName} from './worker-gateway.js';
 
-/** How far a run is, as the coordinator knows it. */
+/** Status of a run as known to the coordinator. */
 export enum RunStatus {
-  /** Its room is taken; the order waits until the run is stored. */
+  /** Its resources are reserved; the order is sent once the run is stored. */
   Planned = 'planned',
-  /** The order was sent and has not been answered. */
+  /** The order was sent and the worker has not responded yet. */
   Ordered = 'ordered',
-  /** The worker has confirmed it. */
+  /** The worker has confirmed the run. */
   Confirmed = 'confirmed',
-  /** An earlier coordinator ordered it; its fate is to be learned from the worker. */
+  /** An earlier coordinator ordered it; the worker still has to report whether it runs. */
   Recovered = 'recovered',
 }
 
@@ -17,34 +17,40 @@
 export interface LiveRun extends RunName {
   readonly execution: JobExecution;
   readonly executableTask: ExecutableTask;
-  /** Names the step of the occurrence. */
+  /** Identifies the step within its occurrence of the job. */
   readonly stepKey: string;
   readonly ticket: string;
   readonly plannedAt: number;
-  /** What the VM's time for it is worth, in [0, 1]. */
+  /** Value of the VM time spent on it, in [0, 1]. */
   readonly weight: number;
-  /** Whether it is stopped when it stands still. */
+  /** Whether it is stopped when it stalls. */
   readonly stopsOnStall: boolean;
-  /** Whether it starts apart from other jobs' tasks that may crash the worker. */
+  /** Whether it starts isolated from other jobs' tasks that may crash the worker. */
   readonly isIsolated: boolean;
-  /** Run time to expect, in milliseconds. */
+  /** Expected run time in milliseconds. */
   readonly expectedMilliseconds: number;
-  /** When the order to start was first sent; undefined before, and for recovered runs. */
+  /** When the start order was first sent; undefined before, and for recovered runs. */
   orderedAt: number | undefined;
-  /** When this coordinator's order to start was answered; undefined before, and for recovered runs. */
+  /**
+   * When the worker confirmed this coordinator's start order; undefined before, and for recovered
+   * runs.
+   */
   startConfirmedAt: number | undefined;
   status: RunStatus;
-  /** When the worker answered the order, or a stop; a poll that began later shows the truth. */
+  /**
+   * When the worker responded to the start or a stop order; polls that began later are
+   * authoritative.
+   */
   orderAnsweredAt: number;
   stopRequested: boolean;
   percent: number;
   /** When `percent` last changed. */
   percentChangedAt: number;
-  /** Speed that was ordered last, in percent. */
+  /** Speed ordered last, in percent. */
   speedPercent: number;
 }
 
-/** What differs between a run that is planned here and one that an earlier coordinator ordered. */
+/** Fields that differ between a run planned here and one that an earlier coordinator ordered. */
 export type NewRunFields = Pick<
   LiveRun,
   | 'run'
@@ -57,7 +63,7 @@
   | 'orderAnsweredAt'
 >;
 
-/** A run of a task of which nothing has been heard yet. */
+/** Creates a run that its worker has not reported on yet. */
 export function newLiveRun(
   execution: JobExecution,
   task: ExecutableTask,
@@ -80,28 +86,28 @@
 }
 
 /**
- * Since when a run is known to be alive; undefined for one that is not. A run that an earlier coordinator
- * ordered counts from when it was seen.
+ * Returns since when a run is known to be alive; undefined if it is not known to be. A run that an
+ * earlier coordinator ordered counts from when this coordinator first saw it.
  */
 export function aliveSince({
-  startConfirmedAt: beganAt,
-  orderAnsweredAt: settledAt,
+  startConfirmedAt,
+  orderAnsweredAt,
 }: LiveRun): number | undefined {
-  if (beganAt !== undefined) return beganAt;
-  return Number.isFinite(settledAt) ? settledAt : undefined;
+  if (startConfirmedAt !== undefined) return startConfirmedAt;
+  return Number.isFinite(orderAnsweredAt) ? orderAnsweredAt : undefined;
 }
 
-/** Name of a run among all jobs. */
+/** Returns the name of a run, unique among all jobs. */
 export function runName({task, run}: RunName): string {
   return `${task}/${run}`;
 }
 
-/** Name of a task among all jobs. */
+/** Returns the name of a task, unique among all jobs. */
 export function taskName(jobId: string, task: ExecutableTask): string {
   return `${jobId}.${task.key}`;
 }
 
-/** Name of a step of an occurrence among all jobs. */
+/** Returns the name of a step of an occurrence, unique among all jobs. */
 export function stepName(jobId: string, task: ExecutableTask): string {
   return `${jobId}.${task.occurrence}.${task.step}`;
 }
--- a/packages/coordinator/src/maintenance-controller.ts
+++ b/packages/coordinator/src/maintenance-controller.ts
@@ -9,23 +9,23 @@
 import type {WorkerRegistry} from './worker-registry.js';
 import type {WorkerSession} from './worker-session.js';
 
-/** What a wave keeper is built from. */
+/** Dependencies of a maintenance controller. */
 export interface MaintenanceParts extends VmOrderParts, WaveProgressParts {
   readonly operators: OperatorView;
 }
 
-/** Time between a maintenance and the return to service, besides the maintenance itself. */
+/** Time that a maintenance takes a VM out of service in addition to the maintenance itself. */
 const MAINTENANCE_OVERHEAD_MILLISECONDS = 1_000;
 /** Exceeds the longest lease: no run can be alive on a worker without an entry for this long. */
 const MISSING_ENTRY_IDLE_MILLISECONDS = 10_500;
 const FULL_PERCENT = 100;
-/** Begins the reason why a VM takes no new starts before its maintenance. */
+/** Prefix of the reason for cordoning a VM before its maintenance. */
 const WAVE_PREFIX = 'wave ';
 
-/** Takes the VMs of waves through their maintenance, and long-running tasks off them before. */
+/** Plans the maintenance of the VMs in waves, and moves long-running tasks off them first. */
 export class MaintenanceController {
   private readonly progress: WaveProgress;
-  /** Since when each incarnation on a VM has had no entry. */
+  /** Since when each worker incarnation on a VM has had no entry. */
   private readonly entryMissingSince = new Map<string, number>();
 
   constructor(
@@ -36,12 +36,12 @@
     this.progress = new WaveProgress(parts);
   }
 
-  /** Reads what was kept of earlier steps, once. */
+  /** Loads the stored progress of waves, once. */
   async load(): Promise<void> {
     await this.progress.load();
   }
 
-  /** Empties VMs of a wave; returns the maintenance orders to give now. */
+  /** Evacuates VMs of a wave; returns the maintenance orders to issue now. */
   planOrders(
     wave: MaintenanceWave,
     vms: readonly ListedVm[],
@@ -50,7 +50,7 @@
     if (!this.progress.isLoaded || this.progress.isCompleted(wave)) return [];
     const listed = new Map(vms.map(vm => [vm.name, vm]));
     const {limits} = this.parts.settings;
-    const step = planWave({
+    const plan = planWave({
       due: this.dueVms(wave, listed, pools),
       inMaintenance: this.countInMaintenance(wave, listed),
       maximumAtOnce: wave.maximumAtOnce,
@@ -59,8 +59,8 @@
         limits.maintenance + MAINTENANCE_OVERHEAD_MILLISECONDS,
       hasWaitingWork: pools.some(pool => pool.waitingMillicores > 0),
     });
-    for (const name of step.evacuate) this.evacuate(listed.get(name), wave);
-    return step.maintain.flatMap(name => {
+    for (const name of plan.evacuate) this.evacuate(listed.get(name), wave);
+    return plan.maintain.flatMap(name => {
       const vm = listed.get(name);
       return vm ? [this.maintenanceOf(vm, wave)] : [];
     });
@@ -72,10 +72,10 @@
       order: {kind: 'maintain', to: String(wave.number)},
       session: this.sessionOn(vm),
       onOutcome: outcome => {
-        const over =
+        const isFinished =
           outcome === VmOrderOutcome.Done ||
           outcome === VmOrderOutcome.Impossible;
-        if (over) this.progress.noteDone(wave, vm.name);
+        if (isFinished) this.progress.noteDone(wave, vm.name);
       },
     };
   }
@@ -93,14 +93,14 @@
     return wave.vms.flatMap(name => {
       if (this.progress.isDone(wave, name)) return [];
       const vm = listed.get(name);
-      // A VM that is gone needs no maintenance.
+      // A VM that no longer exists needs no maintenance.
       if (!vm) this.progress.noteDone(wave, name);
-      const canBe = vm?.state === VmState.Up && this.orders.isFree(name);
-      return canBe ? [this.dueVm(vm, inDemand.has(vm.pool))] : [];
+      const isDue = vm?.state === VmState.Up && this.orders.isFree(name);
+      return isDue ? [this.dueVm(vm, inDemand.has(vm.pool))] : [];
     });
   }
 
-  /** VMs of a wave that are in maintenance, or may be. */
+  /** Returns the number of VMs of a wave that are, or may be, in maintenance. */
   private countInMaintenance(
     wave: MaintenanceWave,
     listed: ReadonlyMap<string, ListedVm>,
@@ -130,15 +130,17 @@
   }
 
   /**
-   * Whether nothing runs on a VM whose worker has no entry. One behind a cut loses its entry and works
-   * on, and a coordinator that began its term since knows of no session with it: taken for idle, the VM
-   * would be maintained and its tasks ended. An entry is back seconds after the cut, or the worker is gone.
+   * Returns whether it is certain that nothing runs on a VM whose worker has no entry. A worker
+   * behind a network partition loses its entry but keeps working, and a coordinator whose term
+   * began since has no session with it: if the VM were taken for idle, it would be maintained and
+   * its tasks would be ended. Seconds after the partition heals the entry is back, or the worker is
+   * gone.
    */
   private isCertainlyIdle(vm: ListedVm): boolean {
     if (this.parts.operators.service(vm.pool)?.standby) return true;
-    const from = this.entryMissingSince.get(vm.workerId) ?? this.now();
-    this.entryMissingSince.set(vm.workerId, from);
-    return this.now() - from >= MISSING_ENTRY_IDLE_MILLISECONDS;
+    const missingSince = this.entryMissingSince.get(vm.workerId) ?? this.now();
+    this.entryMissingSince.set(vm.workerId, missingSince);
+    return this.now() - missingSince >= MISSING_ENTRY_IDLE_MILLISECONDS;
   }
 
   private evacuate(vm: ListedVm | undefined, wave: MaintenanceWave): void {
@@ -149,15 +151,18 @@
       if (this.mayEvacuate(run)) void session.stopRun(run);
   }
 
-  /** A long-running task may be taken away while no other of its step is. */
+  /**
+   * Returns whether a long-running task may be evacuated: no other task of its step is missing, or
+   * fewer than the step may miss.
+   */
   private mayEvacuate(run: LiveRun): boolean {
     const step = run.executableTask.specification;
     if (!step.longRunning || run.stopRequested) return false;
-    const away = run.execution
+    const missing = run.execution
       .tasksOfStep(run.executableTask.occurrence, run.executableTask.step)
       .filter(task => task !== run.executableTask)
       .filter(task => !this.isFullyRunning(run.execution, task)).length;
-    return away < Math.max(1, step.mayMiss);
+    return missing < Math.max(1, step.mayMiss);
   }
 
   private isFullyRunning(
@@ -176,14 +181,17 @@
   }
 
   /**
-   * The coordinator before may have had a run stopped just before its term ended. The worker lists it
-   * as at work until it is gone, and a second task of its step would be taken away beside it. Since
-   * the worker has seen this term's token no earlier order is taken, so the longest stop bounds it.
+   * Returns whether an earlier coordinator may have stopped the run just before its term ended. The
+   * worker lists such a run as running until it has ended; without this check a second task of its
+   * step would be evacuated at the same time. Once the worker has seen this term's fencing token it
+   * accepts no earlier order, so the longest time that a stop takes is a sufficient wait.
    */
   private mayBeStopping(run: LiveRun): boolean {
     const isOfEarlierTerm = run.startConfirmedAt === undefined;
-    const seenFor = this.now() - run.orderAnsweredAt;
-    return isOfEarlierTerm && seenFor < this.parts.settings.limits.stop;
+    const knownMilliseconds = this.now() - run.orderAnsweredAt;
+    return (
+      isOfEarlierTerm && knownMilliseconds < this.parts.settings.limits.stop
+    );
   }
 
   private sessionOn(vm: ListedVm): WorkerSession | undefined {
--- a/packages/coordinator/src/observed-run.ts
+++ b/packages/coordinator/src/observed-run.ts
@@ -1,7 +1,11 @@
 import type {ObservedRun} from '@gentiandoor/scheduling';
 import type {LiveRun} from './live-run.js';
 
-/** Whether standing still says something: tasks that last end by no time, best-effort ones are slowed on purpose, and a gang waits for its members. */
+/**
+ * Returns whether missing progress indicates a stall. It does not for long-running tasks, which
+ * have no end, best-effort tasks, which are slowed down on purpose, and a gang that waits for its
+ * members.
+ */
 export function canStall(run: LiveRun): boolean {
   const {longRunning, bestEffort, gang} = run.executableTask.specification;
   if (longRunning || bestEffort || run.stopRequested || !run.stopsOnStall)
@@ -9,14 +13,14 @@
   return !(gang && run.percent === 0);
 }
 
-/** A run as the watch for stalled ones sees it. */
+/** Converts a run for stall detection. */
 export function toObservedRun(run: LiveRun, now: number): ObservedRun {
-  // Its plan says nothing: a slow store keeps the order back for seconds.
-  const began = run.startConfirmedAt ?? run.orderedAt ?? run.plannedAt;
+  // The planning time is only a fallback: a slow store can delay the order by seconds.
+  const startedAt = run.startConfirmedAt ?? run.orderedAt ?? run.plannedAt;
   return {
     progressPercent: run.percent,
-    ageMilliseconds: now - began,
-    unchangedMilliseconds: now - Math.max(run.percentChangedAt, began),
+    ageMilliseconds: now - startedAt,
+    unchangedMilliseconds: now - Math.max(run.percentChangedAt, startedAt),
     expectedMilliseconds: run.expectedMilliseconds,
   };
 }
--- a/packages/coordinator/src/operator-view.ts
+++ b/packages/coordinator/src/operator-view.ts
@@ -20,15 +20,15 @@
 const WAIT_MILLISECONDS = 900;
 const RETRY_MILLISECONDS = 150;
 
-/** What operators ask for: the newest configuration and the waves of maintenance. */
+/** Follows what operators request: the latest configuration and the maintenance waves. */
 export class OperatorView implements StreamSink, KeyConfiguration {
   readonly follower: StreamFollower;
   readonly organisations = new OrganisationRegistry();
   readonly waves = new Map<number, MaintenanceWave>();
-  private newest: Configuration | undefined;
+  private latest: Configuration | undefined;
   private queuesByName = new Map<string, Queue>();
   private servicesByName = new Map<string, ServicePool>();
-  private unreachableFrom: number | undefined;
+  private unreachableSince: number | undefined;
   private stopping = false;
 
   constructor(
@@ -47,40 +47,43 @@
     );
   }
 
-  /** How long no read has been answered; 0 while they are. */
+  /** How long reads have failed; 0 while they succeed. */
   get unreachableMilliseconds(): number {
-    if (this.unreachableFrom === undefined) return 0;
-    return this.clock.monotonicMilliseconds() - this.unreachableFrom;
+    if (this.unreachableSince === undefined) return 0;
+    return this.clock.monotonicMilliseconds() - this.unreachableSince;
   }
 
   get keyOwners(): KeyOwnerIndex {
     return this.organisations.keyOwners;
   }
 
-  /** Since the configuration at hand was the newest one for certain. */
+  /** Time since the current configuration was known to be the latest one. */
   get ageMilliseconds(): number {
     return this.follower.ageMilliseconds;
   }
 
-  /** Reads to the end of the operators' records; false when the store does not answer. */
+  /** Reads the operators' records to their end; returns false if the store does not respond. */
   refresh(): Promise<boolean> {
     return this.follower.refresh();
   }
 
-  /** Undefined until one was read. */
+  /** The latest configuration; undefined until one was read. */
   get configuration(): Configuration | undefined {
-    return this.newest;
+    return this.latest;
   }
 
-  /** The queue of a host with the longest prefix of `path`. */
+  /** Returns the queue of `host` with the longest path prefix that matches `path`. */
   queueFor(host: string, path: string): Queue | undefined {
-    let found: Queue | undefined;
-    for (const queue of this.newest?.queues ?? []) {
+    let longestMatch: Queue | undefined;
+    for (const queue of this.latest?.queues ?? []) {
       if (queue.host !== host || !path.startsWith(queue.pathPrefix)) continue;
-      if (!found || queue.pathPrefix.length > found.pathPrefix.length)
-        found = queue;
+      if (
+        !longestMatch ||
+        queue.pathPrefix.length > longestMatch.pathPrefix.length
+      )
+        longestMatch = queue;
     }
-    return found;
+    return longestMatch;
   }
 
   queue(name: string): Queue | undefined {
@@ -100,10 +103,10 @@
   }
 
   apply(record: KeyedRecord): void {
-    const read = this.formats.operatorRecord(record);
-    if (!read) return;
-    if (read.kind === 'wave') this.applyWave(read.wave);
-    else this.applyConfiguration(read.configuration);
+    const operatorRecord = this.formats.operatorRecord(record);
+    if (!operatorRecord) return;
+    if (operatorRecord.kind === 'wave') this.applyWave(operatorRecord.wave);
+    else this.applyConfiguration(operatorRecord.configuration);
   }
 
   private applyWave(wave: MaintenanceWave): void {
@@ -113,9 +116,9 @@
   }
 
   private applyConfiguration(configuration: Configuration): void {
-    // Reading again from the newest records may bring an older version than the one in force.
-    if (this.newest && configuration.version <= this.newest.version) return;
-    this.newest = configuration;
+    // A reload from the latest records may return an older version than the one in force.
+    if (this.latest && configuration.version <= this.latest.version) return;
+    this.latest = configuration;
     this.queuesByName = new Map(
       configuration.queues.map(queue => [queue.name, queue]),
     );
@@ -139,31 +142,32 @@
         organisation: name,
         reason,
       });
-    const {conflictingOrganisations: conflicts} = this.organisations.keyOwners;
-    if (conflicts.length > 0)
+    const {conflictingOrganisations} = this.organisations.keyOwners;
+    if (conflictingOrganisations.length > 0)
       this.logger.warn(LogEvent.OrganisationKeyShared, {
-        organisations: conflicts,
+        organisations: conflictingOrganisations,
       });
   }
 
   private async run(): Promise<void> {
-    let reachable = true;
+    let isReachable = true;
     while (!this.stopping) {
-      // A read that waits would show only when it ends that the store is back.
-      const wait = reachable ? WAIT_MILLISECONDS : 0;
-      const answered = await this.follower.follow(wait);
-      if (answered !== reachable) this.noteReachable(answered);
-      reachable = answered;
-      if (!answered) await sleep(this.clock, RETRY_MILLISECONDS);
+      // While the store is unreachable reads do not wait: a waiting read would show only at its end
+      // that the store is back.
+      const waitMilliseconds = isReachable ? WAIT_MILLISECONDS : 0;
+      const succeeded = await this.follower.follow(waitMilliseconds);
+      if (succeeded !== isReachable) this.noteReachable(succeeded);
+      isReachable = succeeded;
+      if (!succeeded) await sleep(this.clock, RETRY_MILLISECONDS);
     }
   }
 
-  private noteReachable(reachable: boolean): void {
+  private noteReachable(isReachable: boolean): void {
     const {ageMilliseconds} = this.follower;
-    this.unreachableFrom = reachable
+    this.unreachableSince = isReachable
       ? undefined
       : this.clock.monotonicMilliseconds();
-    if (reachable) this.logger.info(LogEvent.StoreBack, {ageMilliseconds});
+    if (isReachable) this.logger.info(LogEvent.StoreBack, {ageMilliseconds});
     else this.logger.warn(LogEvent.StoreLost, {ageMilliseconds});
   }
 }
--- a/packages/coordinator/src/organisation-limits.ts
+++ b/packages/coordinator/src/organisation-limits.ts
@@ -15,46 +15,54 @@
 import {runName, type LiveRun} from './live-run.js';
 import type {OperatorView} from './operator-view.js';
 
-/** Time between the check of a limit and the arrival of the order. */
+/**
+ * Allowance for the time between the check of a limit and the arrival of the order at the worker.
+ */
 const AGE_MARGIN_MILLISECONDS = 500;
-/** Interval at which work that waits for unknown limits is placed again. */
+/** Interval at which placement is retried for work whose limit is unknown. */
 const UNKNOWN_LIMIT_RETRY_MILLISECONDS = 200;
 /** Minimum interval between two log lines about one organisation. */
 const MINIMUM_LOG_INTERVAL_MILLISECONDS = 1_000;
 
-/** What the rooms of organisations are built from. */
+/** Dependencies of `OrganisationLimits`. */
 export interface OrganisationLimitParts {
   readonly operators: OperatorView;
-  /** Milliseconds after which a configuration must be in force. */
+  /** Time in milliseconds within which a configuration must be in force. */
   readonly configurationInForceMilliseconds: number;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Places what waits for a service. */
+  /** Schedules a placement round for a service. */
   readonly schedulePlacement: (service: string) => void;
 }
 
-/** Holds every organisation within its limit of room, over all services. */
+/** Keeps each organisation within its resource limit across all services. */
 export class OrganisationLimits {
-  private readonly ledger = new ResourceReservations();
-  /** The same for each service alone: shares are those of its pool. */
-  private readonly byService = new Map<string, ResourceReservations>();
-  /** Services with work that waits for an organisation's limit. */
+  private readonly reservations = new ResourceReservations();
+  /** Reservations per service, since shares apply to the pool of one service. */
+  private readonly reservationsByService = new Map<
+    string,
+    ResourceReservations
+  >();
+  /** Services with work that waits for the limit of each organisation. */
   private readonly waitingServices = new Map<string, Set<string>>();
-  /** Services that are looked at again since a limit was not known. */
+  /** Services with a scheduled retry because a limit was unknown. */
   private readonly servicesToRetry = new Set<string>();
   private readonly loggedAt = new Map<string, number>();
   private readonly labels = new OrganisationMetricLabels();
 
   constructor(private readonly parts: OrganisationLimitParts) {}
 
-  /** Counts a run from before it is ordered; also one that an earlier coordinator ordered. */
+  /**
+   * Counts a run before its order is sent; also called for runs that an earlier coordinator
+   * ordered.
+   */
   countRun(run: LiveRun): void {
     const {organisation} = run.execution.job;
     if (organisation === undefined) return;
     const {specification} = run.executableTask;
-    this.ledger.reserve(runName(run), organisation, specification);
-    this.ledgerOf(run.execution.job.service).reserve(
+    this.reservations.reserve(runName(run), organisation, specification);
+    this.reservationsOf(run.execution.job.service).reserve(
       runName(run),
       organisation,
       specification,
@@ -62,10 +70,13 @@
     this.reportUsage(organisation);
   }
 
-  /** The run is over; work of its organisation may have waited for that, also in other services. */
+  /**
+   * Releases an ended run, and schedules all services with work that waits for its organisation's
+   * limit.
+   */
   releaseRun(run: LiveRun): void {
-    const organisation = this.ledger.release(runName(run));
-    this.ledgerOf(run.execution.job.service).release(runName(run));
+    const organisation = this.reservations.release(runName(run));
+    this.reservationsOf(run.execution.job.service).release(runName(run));
     if (organisation === undefined) return;
     this.reportUsage(organisation);
     const services = this.waitingServices.get(organisation) ?? NO_SERVICES;
@@ -73,7 +84,9 @@
     for (const service of services) this.parts.schedulePlacement(service);
   }
 
-  /** Whether tasks of a job may be started together now; what may not waits for the end of a run. */
+  /**
+   * Returns whether tasks of a job may start together now; if not, they wait for the end of a run.
+   */
   mayStart(
     execution: JobExecution,
     tasks: readonly ExecutableTask[],
@@ -81,10 +94,11 @@
   ): boolean {
     const {organisation} = execution.job;
     if (organisation === undefined) return true;
-    const amounts = tasks.map(task => task.specification);
+    const resources = tasks.map(task => task.specification);
     const limit = this.limitOf(organisation);
     if (!this.isLimitKnown()) this.scheduleRetry(service);
-    else if (this.ledger.canReserve(organisation, limit, amounts)) return true;
+    else if (this.reservations.canReserve(organisation, limit, resources))
+      return true;
     const services = this.waitingServices.get(organisation) ?? new Set();
     this.waitingServices.set(organisation, services.add(service));
     this.logAtLimit(organisation, limit);
@@ -92,42 +106,48 @@
   }
 
   /**
-   * Whether a run that was counted may still be ordered. Storing it takes a while, and the limit may have
-   * been lowered meanwhile.
+   * Returns whether a run that was counted may still be ordered: the limit may have been lowered
+   * while the run was being stored.
    */
   mayBeOrdered(run: LiveRun): boolean {
     const {organisation} = run.execution.job;
     if (organisation === undefined) return true;
-    return this.ledger.isWithinLimit(
+    return this.reservations.isWithinLimit(
       organisation,
       this.limitOf(organisation),
       run.executableTask.specification,
     );
   }
 
-  /** Claims on the pool of `service` of the organisations that have work there. */
+  /**
+   * Returns the shares in the pool of `service` of all organisations with running or waiting work
+   * there.
+   */
   poolShares(
     service: string,
     waiting: ReadonlySet<string>,
     pool: Resources,
   ): PoolShares {
-    const ledger = this.ledgerOf(service);
-    const names = new Set([...waiting, ...ledger.organisations()]);
+    const reservations = this.reservationsOf(service);
+    const names = new Set([...waiting, ...reservations.organisations()]);
     let totalWeight = 0;
     for (const name of names) totalWeight += this.weightOf(name);
     return {
       capacity: pool,
       totalWeight,
       weightOf: name => this.weightOf(name),
-      usedBy: name => ledger.usedBy(name),
+      usedBy: name => reservations.usedBy(name),
     };
   }
 
-  private ledgerOf(service: string): ResourceReservations {
-    let ledger = this.byService.get(service);
-    if (!ledger)
-      this.byService.set(service, (ledger = new ResourceReservations()));
-    return ledger;
+  private reservationsOf(service: string): ResourceReservations {
+    let reservations = this.reservationsByService.get(service);
+    if (!reservations)
+      this.reservationsByService.set(
+        service,
+        (reservations = new ResourceReservations()),
+      );
+    return reservations;
   }
 
   private weightOf(organisation: string): number {
@@ -138,13 +158,22 @@
     return this.parts.operators.organisations.limitOf(organisation);
   }
 
-  /** A coordinator that can't read the configuration may miss that a limit was lowered. */
+  /**
+   * Returns whether the configuration is recent enough: a coordinator that cannot read it may miss
+   * a lowered limit.
+   */
   private isLimitKnown(): boolean {
-    const {operators, configurationInForceMilliseconds: inForce} = this.parts;
-    return operators.ageMilliseconds <= inForce - AGE_MARGIN_MILLISECONDS;
+    const {operators, configurationInForceMilliseconds} = this.parts;
+    return (
+      operators.ageMilliseconds <=
+      configurationInForceMilliseconds - AGE_MARGIN_MILLISECONDS
+    );
   }
 
-  /** Without it work of an organisation of which nothing runs waits for ever: no end of a run brings another look. */
+  /**
+   * Schedules a retry: work of an organisation without runs would wait forever, since no end of a
+   * run triggers placement.
+   */
   private scheduleRetry(service: string): void {
     if (this.servicesToRetry.has(service)) return;
     this.servicesToRetry.add(service);
@@ -157,19 +186,19 @@
   private reportUsage(organisation: string): void {
     this.parts.metrics.gauge(
       MetricName.OrganisationMillicores,
-      this.ledger.usedBy(organisation).processorMillicores,
+      this.reservations.usedBy(organisation).processorMillicores,
       {organisation: this.labels.labelFor(organisation)},
     );
   }
 
   private logAtLimit(organisation: string, limit: Resources): void {
     const now = this.parts.clock.monotonicMilliseconds();
-    const before = this.loggedAt.get(organisation) ?? -Infinity;
-    if (now - before < MINIMUM_LOG_INTERVAL_MILLISECONDS) return;
+    const lastLoggedAt = this.loggedAt.get(organisation) ?? -Infinity;
+    if (now - lastLoggedAt < MINIMUM_LOG_INTERVAL_MILLISECONDS) return;
     this.loggedAt.set(organisation, now);
     this.parts.logger.info(LogEvent.OrganisationAtLimit, {
       organisation,
-      used: this.ledger.usedBy(organisation),
+      used: this.reservations.usedBy(organisation),
       limit,
       configurationAgeMilliseconds: Math.round(
         this.parts.operators.ageMilliseconds,
--- a/packages/coordinator/src/orphan-runs.ts
+++ b/packages/coordinator/src/orphan-runs.ts
@@ -7,8 +7,9 @@
 const SLACK_MILLISECONDS = 100;
 
 /**
- * Runs of an earlier coordinator on workers without an entry: they count as alive until the worker
- * comes back, its incarnation is known to be over, or the longest lease has run out.
+ * Tracks runs of an earlier coordinator on workers without an entry. They count as alive until the
+ * worker registers again, its incarnation is known to have ended, or the longest possible lease has
+ * expired.
  */
 export class OrphanRuns {
   private readonly byWorker = new Map<string, Set<LiveRun>>();
@@ -27,21 +28,23 @@
     let runs = this.byWorker.get(worker);
     if (!runs) {
       this.byWorker.set(worker, (runs = new Set()));
-      const bound =
+      const worstCaseMilliseconds =
         worstCaseLeaseMilliseconds(this.leaseMilliseconds) + SLACK_MILLISECONDS;
-      this.clock.schedule(bound, () => this.endAll(worker, RunEnd.Lost));
+      this.clock.schedule(worstCaseMilliseconds, () =>
+        this.endAll(worker, RunEnd.Lost),
+      );
     }
     runs.add(run);
   }
 
-  /** Hands the runs of a worker that has come back over. */
+  /** Removes and returns the runs of a worker that has registered again. */
   take(worker: string): Iterable<LiveRun> {
     const runs = this.byWorker.get(worker) ?? [];
     this.byWorker.delete(worker);
     return runs;
   }
 
-  /** Takes the incarnations that the list of VMs shows; every other one is over. */
+  /** Ends the runs of all incarnations that are not `alive`, i.e. not in the list of VMs. */
   noteIncarnations(alive: ReadonlySet<string>): void {
     for (const worker of [...this.byWorker.keys()])
       if (!alive.has(worker)) this.endAll(worker, RunEnd.Crashed);
