--- a/packages/scheduling/src/__tests__/adaptive-timeout.test.ts
+++ b/packages/scheduling/src/__tests__/adaptive-timeout.test.ts
@@ -3,55 +3,63 @@
 import {SeededRandom} from '@gentiandoor/kernel';
 import {AdaptiveTimeout} from '../adaptive-timeout.js';
 
-const LEAST = 250;
-const MOST = 1_500;
+const MINIMUM = 250;
+const MAXIMUM = 1_500;
 
-/** Mean time of an exchange with repeats, when a share of the answers is lost. */
-function meanExchange(lostShare: number, answerMilliseconds: number): number {
-  const bound = new AdaptiveTimeout(LEAST, MOST);
+/**
+ * Returns the mean duration of a request including retries when a share of the
+ * responses is lost.
+ */
+function meanRequestMilliseconds(
+  lostShare: number,
+  responseMilliseconds: number,
+): number {
+  const timeout = new AdaptiveTimeout(MINIMUM, MAXIMUM);
   const random = new SeededRandom(11);
   let total = 0;
-  let answered = 0;
-  while (answered < 300) {
+  let responses = 0;
+  while (responses < 300) {
     const isLost = random.nextFraction() < lostShare;
-    if (!isLost && answerMilliseconds <= bound.milliseconds) {
-      total += answerMilliseconds;
-      bound.recordResponse(answerMilliseconds);
-      answered++;
+    if (!isLost && responseMilliseconds <= timeout.milliseconds) {
+      total += responseMilliseconds;
+      timeout.recordResponse(responseMilliseconds);
+      responses++;
     } else {
-      total += bound.milliseconds;
-      bound.recordTimeout();
+      total += timeout.milliseconds;
+      timeout.recordTimeout();
     }
   }
-  return total / answered;
+  return total / responses;
 }
 
-describe('AnswerBound', () => {
-  // With a third of the answers lost, each wait at the longest bound holds every start up for 0.8 s.
-  it('loses a fraction of the longest bound to each lost answer', () => {
-    const mean = meanExchange(0.35, 5);
+describe('AdaptiveTimeout', () => {
+  // With a third of the responses lost, waiting for the maximum timeout each time
+  // delays every start by 0.8 s.
+  it('waits only a fraction of the maximum timeout for each lost response', () => {
+    const mean = meanRequestMilliseconds(0.35, 5);
     assert.ok(mean < 300, `${mean}`);
   });
 
-  it('waits for a store that is only slow', () => {
-    const mean = meanExchange(0, 300);
+  it('waits for a service that is merely slow', () => {
+    const mean = meanRequestMilliseconds(0, 300);
     assert.ok(mean < 310, `${mean}`);
   });
 
-  it('never waits longer than the longest bound', () => {
-    const bound = new AdaptiveTimeout(LEAST, MOST);
-    for (let silence = 0; silence < 20; silence++) bound.recordTimeout();
-    assert.equal(bound.milliseconds, MOST);
+  it('never waits longer than the maximum timeout', () => {
+    const timeout = new AdaptiveTimeout(MINIMUM, MAXIMUM);
+    for (let count = 0; count < 20; count++) timeout.recordTimeout();
+    assert.equal(timeout.milliseconds, MAXIMUM);
   });
 
-  // Reads that wait for the next record queue up behind large ones. Each that was given up too early left
-  // its answer to be sent for nothing, and the next one was given up as early.
-  it('waits longer for answers after silence, and as before once one has come', () => {
-    const bound = new AdaptiveTimeout(LEAST, MOST);
-    bound.recordTimeout();
-    bound.recordTimeout();
-    assert.equal(bound.milliseconds, 4 * LEAST);
-    bound.recordDelayedResponse();
-    assert.equal(bound.milliseconds, LEAST);
+  // Reads that wait for the next record queue up behind large ones. When a read timed
+  // out too early, its response was still sent for nothing, and the next read timed out
+  // just as early.
+  it('doubles the timeout after each timeout and resets it after a response', () => {
+    const timeout = new AdaptiveTimeout(MINIMUM, MAXIMUM);
+    timeout.recordTimeout();
+    timeout.recordTimeout();
+    assert.equal(timeout.milliseconds, 4 * MINIMUM);
+    timeout.recordDelayedResponse();
+    assert.equal(timeout.milliseconds, MINIMUM);
   });
 });
--- a/packages/scheduling/src/__tests__/order-concurrency-limiter.test.ts
+++ b/packages/scheduling/src/__tests__/order-concurrency-limiter.test.ts
@@ -2,84 +2,91 @@
 import {describe, it} from 'node:test';
 import {OrderConcurrencyLimiter} from '../order-concurrency-limiter.js';
 
-/** What was seen of a coordinator that was asked for more orders than it gives. */
-interface Flow {
-  /** Time from each order's decision to its answer. */
-  readonly waits: readonly number[];
+/** Measurements of a coordinator that needs to send more orders than it can. */
+interface OverloadResult {
+  /** Time from each order's decision to its response. */
+  readonly latencies: readonly number[];
 }
 
-/** Orders go out one after the other, `perSecond` of them; as many as the window takes are always wanted. */
-function overload(perSecond: number, seconds: number): Flow {
-  const window = new OrderConcurrencyLimiter();
-  const waits: number[] = [];
+/**
+ * Simulates orders that are sent one after the other at `perSecond`, while as many as
+ * the limit allows are always requested.
+ */
+function overload(perSecond: number, seconds: number): OverloadResult {
+  const limiter = new OrderConcurrencyLimiter();
+  const latencies: number[] = [];
   const queue: number[] = [];
   const each = 1_000 / perSecond;
   for (let now = 0; now < 1_000 * seconds; now += each) {
-    while (window.allows(1)) {
-      window.begin();
+    while (limiter.allows(1)) {
+      limiter.begin();
       queue.push(now);
     }
     const decidedAt = queue.shift() ?? now;
-    waits.push(now - decidedAt);
-    window.end();
-    window.recordResponse(now - decidedAt, now);
+    latencies.push(now - decidedAt);
+    limiter.end();
+    limiter.recordResponse(now - decidedAt, now);
   }
-  return {waits};
+  return {latencies};
 }
 
-function worst(waits: readonly number[]): number {
-  return Math.max(...waits);
+function worst(latencies: readonly number[]): number {
+  return Math.max(...latencies);
 }
 
-describe('OrderWindow', () => {
-  // A turn asks a small VM's coordinator for twice what its link carries. Without a bound every order
-  // waits behind all that were decided before it, and its caller's job is late when it starts.
-  it('keeps the wait of an order under a third of a second at 110 a second', () => {
-    const {waits} = overload(110, 20);
-    const settled = waits.slice(1_100);
-    assert.ok(worst(settled) <= 333, `${worst(settled)}`);
+describe('OrderConcurrencyLimiter', () => {
+  // A burst needs twice as many orders as the link of a small VM's coordinator can
+  // carry. Without a limit, every order waits behind all earlier ones, and its job is
+  // late when it starts.
+  it('keeps the latency of an order under a third of a second at 110 orders per second', () => {
+    const {latencies} = overload(110, 20);
+    const steadyState = latencies.slice(1_100);
+    assert.ok(worst(steadyState) <= 333, `${worst(steadyState)}`);
   });
 
-  it('leaves a strong VM as many orders as it can give', () => {
-    const {waits} = overload(1_500, 5);
-    const settled = waits.slice(1_500);
-    assert.ok(worst(settled) <= 200, `${worst(settled)}`);
-    // Fewer under way than a tenth of a second gives would leave it idle between two rounds.
-    assert.ok(worst(settled) >= 80, `${worst(settled)}`);
+  it('allows a fast VM as many orders as it can send', () => {
+    const {latencies} = overload(1_500, 5);
+    const steadyState = latencies.slice(1_500);
+    assert.ok(worst(steadyState) <= 200, `${worst(steadyState)}`);
+    // With less than a tenth of a second of orders in flight, the VM would be idle
+    // between two rounds.
+    assert.ok(worst(steadyState) >= 80, `${worst(steadyState)}`);
   });
 
-  // A round of placement orders 250 tasks at once on a strong VM, again and again. The last ones are
-  // answered after 170 ms, and a bound that fell for that left two thirds of the pool's room idle.
-  it('does not take bursts for a link that is full', () => {
-    const window = new OrderConcurrencyLimiter();
+  // A placement round on a fast VM repeatedly sends 250 orders at once. The last
+  // responses arrive after 170 ms; a limit that shrank because of that left two thirds
+  // of the pool's capacity idle.
+  it('does not mistake bursts of orders for a saturated link', () => {
+    const limiter = new OrderConcurrencyLimiter();
     for (let burst = 0; burst < 50; burst++) {
-      let given = 0;
-      for (; given < 250 && window.allows(1); given++) window.begin();
-      assert.equal(given, 250, `burst ${burst}`);
-      for (let answer = 1; answer <= given; answer++) {
-        window.recordResponse(answer / 1.5, 200 * burst + answer / 1.5);
-        window.end();
+      let sent = 0;
+      for (; sent < 250 && limiter.allows(1); sent++) limiter.begin();
+      assert.equal(sent, 250, `burst ${burst}`);
+      for (let response = 1; response <= sent; response++) {
+        limiter.recordResponse(response / 1.5, 200 * burst + response / 1.5);
+        limiter.end();
       }
     }
   });
 
-  // A gang starts together or not at all; held back for being larger than the bound it would never start.
-  it('takes a gang of any size while nothing else is under way', () => {
-    const window = new OrderConcurrencyLimiter();
-    assert.ok(window.allows(10_000));
-    window.begin();
-    assert.ok(!window.allows(10_000));
+  // A gang starts together or not at all; if it were rejected for exceeding the limit,
+  // it would never start.
+  it('allows a gang of any size while nothing else is in flight', () => {
+    const limiter = new OrderConcurrencyLimiter();
+    assert.ok(limiter.allows(10_000));
+    limiter.begin();
+    assert.ok(!limiter.allows(10_000));
   });
 
-  it('grows while answers are quick and it is used', () => {
-    const window = new OrderConcurrencyLimiter();
-    let underWay = 0;
+  it('grows while responses are fast and the limit is used', () => {
+    const limiter = new OrderConcurrencyLimiter();
+    let inFlight = 0;
     for (let order = 0; order < 3_000; order++) {
-      for (; window.allows(1); underWay++) window.begin();
-      window.recordResponse(5, order);
-      window.end();
-      underWay--;
+      for (; limiter.allows(1); inFlight++) limiter.begin();
+      limiter.recordResponse(5, order);
+      limiter.end();
+      inFlight--;
     }
-    assert.ok(underWay > 800, `${underWay}`);
+    assert.ok(inFlight > 800, `${inFlight}`);
   });
 });
--- a/packages/scheduling/src/__tests__/placement.test.ts
+++ b/packages/scheduling/src/__tests__/placement.test.ts
@@ -50,26 +50,26 @@
 }
 
 describe('FullestFirst', () => {
-  // A pool whose VMs all carry a little can give none away.
-  it('fills one worker before it begins the next', () => {
+  // A pool in which every VM carries a little work cannot release any.
+  it('fills one worker before it uses the next', () => {
     const workers = [worker('empty'), worker('used', {freeMillicores: 3_000})];
     assert.equal(choose(workers), 'used');
   });
 
-  it('takes no worker without room, label or trust in the step’s bound', () => {
+  it('skips workers without free capacity, without the required label or at the step’s limit of tasks', () => {
     assert.equal(choose([worker('full', {freeMillicores: 1_000})]), undefined);
     assert.equal(choose([worker('other')], {requiredLabel: 'gpu'}), undefined);
     const crowded = worker('crowded', {taskCountOfStep: () => 1});
     assert.equal(choose([crowded], {maximumPerWorker: 1}), undefined);
   });
 
-  it('goes elsewhere after a failure, while it can', () => {
+  it('avoids a worker on which the task has failed while there is another', () => {
     const workers = [worker('a', {freeMillicores: 3_000}), worker('b')];
     assert.equal(choose(workers, {}, ['a']), 'b');
     assert.equal(choose([workers[0]], {}, ['a']), 'a');
   });
 
-  it('prefers the rack of the data', () => {
+  it('prefers a worker on the preferred rack', () => {
     const workers = [
       worker('near', {labels: ['rack-2']}),
       worker('used', {freeMillicores: 3_000}),
@@ -77,7 +77,7 @@
     assert.equal(choose(workers, {preferredRack: 'rack-2'}), 'near');
   });
 
-  it('keeps a task apart that may crash its worker', () => {
+  it('isolates a task that may crash its worker from other jobs', () => {
     const used = worker('used', {
       freeMillicores: 3_000,
       hasCrashRiskFromOtherJob: () => true,
@@ -87,14 +87,14 @@
     assert.equal(choose([used, worker('empty')]), 'used');
   });
 
-  it('lets only the job itself join a task that is kept apart', () => {
+  it('places only tasks of the same job next to an isolated task', () => {
     const other = worker('other', {isolatedJob: () => 'b'});
     const own = worker('own', {isolatedJob: () => 'a'});
     assert.equal(choose([other]), undefined);
     assert.equal(choose([other, own]), 'own');
   });
 
-  it('puts best-effort tasks where the least serves', () => {
+  it('places best-effort tasks where the fewest serving tasks run', () => {
     const workers = [
       worker('serving', {latencySensitiveTaskCount: 2}),
       worker('quiet'),
@@ -104,8 +104,9 @@
 });
 
 describe('LeaseClock', () => {
-  // A worker's clock may be 2% slow: by our clock its lease lasts longer than it was given for.
-  it('does not call a lease over before it is on the slowest clock', () => {
+  // A worker's clock may be 2% slow, so by the local clock its lease lasts longer than
+  // its nominal duration.
+  it('reports a lease as expired only when it has expired on the slowest clock', () => {
     const lease = new LeaseClock();
     lease.observe(50_000, 1_000);
     lease.recordGrant(lease.leaseEnd(1_000, 8_000));
@@ -116,7 +117,7 @@
     );
   });
 
-  it('never calls a lease over on a worker that was not heard of', () => {
+  it('never reports a lease as expired before the first reading of the worker’s clock', () => {
     assert.equal(new LeaseClock().hasLapsed(1e9), false);
   });
 });
--- a/packages/scheduling/src/__tests__/pool-plan.test.ts
+++ b/packages/scheduling/src/__tests__/pool-plan.test.ts
@@ -45,57 +45,63 @@
 }
 
 const STEP_MILLISECONDS = 100;
-const TURN_MILLISECONDS = 6_000;
-const LEAD_MILLISECONDS = 2_000;
-const TURN_VMS = 100;
-/** What a job takes a VM for, and what it was expected to. */
+const BURST_MILLISECONDS = 6_000;
+const LEAD_TIME_MILLISECONDS = 2_000;
+const BURST_VMS = 100;
+/** Time for which a job occupies a VM, and its estimate. */
 const JOB_MILLISECONDS = 1_300;
 const ESTIMATE_MILLISECONDS = 800;
-/** A job is late when it waits for longer than this. */
-const PATIENCE_MILLISECONDS = 500;
+/** A job is late if it waits for longer than this. */
+const MAXIMUM_WAIT_MILLISECONDS = 500;
 
-/** A pool of six VMs through a turn that begins at once, with VMs that come two seconds after their order. */
-function playTurn(options: PoolPlanOptions): {late: number; vmSeconds: number} {
-  const coming: number[] = [];
+/**
+ * Simulates a pool of six VMs through a burst that starts at once, with VMs that arrive
+ * two seconds after they were ordered.
+ */
+function simulateBurst(options: PoolPlanOptions): {
+  late: number;
+  vmSeconds: number;
+} {
+  const arrivals: number[] = [];
   const running: number[] = [];
-  const meter = new ArrivalRateEstimator();
+  const estimator = new ArrivalRateEstimator();
   let waiting: number[] = [];
   let late = 0;
   let vmSeconds = 0;
   let usable = 6;
-  for (let now = 0; now < TURN_MILLISECONDS; now += STEP_MILLISECONDS) {
-    usable += coming.filter(at => at === now).length;
+  for (let now = 0; now < BURST_MILLISECONDS; now += STEP_MILLISECONDS) {
+    usable += arrivals.filter(at => at === now).length;
     while (running.length > 0 && running[0] <= now) running.shift();
-    const jobs = (TURN_VMS * STEP_MILLISECONDS) / 1_000;
+    const jobs = (BURST_VMS * STEP_MILLISECONDS) / 1_000;
     for (let job = 0; job < jobs; job++) {
       waiting.push(now);
-      meter.observe(VM_MILLICORES * ESTIMATE_MILLISECONDS, now);
+      estimator.observe(VM_MILLICORES * ESTIMATE_MILLISECONDS, now);
     }
-    const inTime = (at: number) => now - at <= PATIENCE_MILLISECONDS;
-    // No VM that is ordered for it can be there for what comes before.
-    const couldBe = (at: number) =>
-      at > LEAD_MILLISECONDS - PATIENCE_MILLISECONDS;
-    late += waiting.filter(at => couldBe(at) && !inTime(at)).length;
+    const inTime = (at: number) => now - at <= MAXIMUM_WAIT_MILLISECONDS;
+    // VMs ordered for the burst cannot arrive in time for earlier jobs.
+    const canBeServed = (at: number) =>
+      at > LEAD_TIME_MILLISECONDS - MAXIMUM_WAIT_MILLISECONDS;
+    late += waiting.filter(at => canBeServed(at) && !inTime(at)).length;
     waiting = waiting.filter(inTime);
     while (waiting.length > 0 && running.length < usable) {
       waiting.shift();
       running.push(now + JOB_MILLISECONDS);
     }
-    const turn = pool({
+    const burst = pool({
       usableVms: usable,
-      incomingVms: coming.filter(at => at > now).length,
+      incomingVms: arrivals.filter(at => at > now).length,
       usedMillicores: running.length * VM_MILLICORES,
       waitingMillicores: waiting.length * VM_MILLICORES,
-      offeredLoadMillicores: meter.offeredLoadMillicores(now),
-      standardErrorMillicores: meter.standardErrorMillicores(now),
+      offeredLoadMillicores: estimator.offeredLoadMillicores(now),
+      standardErrorMillicores: estimator.standardErrorMillicores(now),
     });
     const spare = pool({
       service: 'spare',
       standby: true,
-      vms: vms(`spare-${now}`, 250 - usable - turn.incomingVms, 60_000),
+      vms: vms(`spare-${now}`, 250 - usable - burst.incomingVms, 60_000),
     });
-    const {moves} = planPools([turn, spare], options);
-    coming.push(...moves.map(() => now + LEAD_MILLISECONDS));
+    const {moves} = planPools([burst, spare], options);
+    arrivals.push(...moves.map(() => now + LEAD_TIME_MILLISECONDS));
     vmSeconds += (usable * STEP_MILLISECONDS) / 1_000;
   }
   return {late, vmSeconds};
@@ -107,22 +113,22 @@
   vms: vms('spare', 10, 60_000),
 });
 
-describe('vmsForSpread', () => {
+describe('vmsForSpreadConstraint', () => {
   const step = {waiting: 4, running: 8, maximumPerWorker: 2};
 
-  it('counts what runs and what waits of a step, at so many on a VM', () => {
+  it('counts running and waiting tasks of a step, up to the maximum per VM', () => {
     assert.equal(vmsForSpreadConstraint([step]), 6);
     assert.equal(vmsForSpreadConstraint([{...step, waiting: 3}]), 6);
   });
 
-  it('is the need of the widest step, since steps share VMs', () => {
+  it('returns the need of the step that needs most VMs, since steps share VMs', () => {
     assert.equal(
       vmsForSpreadConstraint([step, {...step, maximumPerWorker: 1}]),
       12,
     );
   });
 
-  it('is nothing where nothing waits or all may share a VM', () => {
+  it('returns 0 if no tasks wait or all may share a VM', () => {
     assert.equal(vmsForSpreadConstraint([{...step, waiting: 0}]), 0);
     assert.equal(vmsForSpreadConstraint([{...step, maximumPerWorker: 0}]), 0);
     assert.equal(vmsForSpreadConstraint([]), 0);
@@ -131,24 +137,26 @@
 
 describe('planPools', () => {
   describe('at the start of a burst', () => {
-    // Callers of the first second wait for a move's time when VMs are fetched only once all are
-    // full. Work that arrives for five VMs is reason enough, before anything waits.
-    it('fetches VMs before any work waits', () => {
+    // If VMs are moved in only once all are full, callers of the first second wait for
+    // the duration of a move. Arriving work for five VMs must be enough, before
+    // anything waits.
+    it('moves VMs in before any work waits', () => {
       const quotes = pool({
         usableVms: 2,
         offeredLoadMillicores: 5 * VM_MILLICORES,
       });
       const {moves} = planPools([quotes, SPARE]);
-      // Five for what arrives, three for what gathers until they come.
+      // Five for the arriving load, three for the backlog until they arrive.
       const wanted =
         Math.ceil(8 * DEFAULT_POOL_PLAN.headroom) + DEFAULT_POOL_PLAN.spareVms;
       assert.equal(moves.length, wanted - 2);
       assert.ok(moves.every(move => move.to === 'quotes'));
     });
 
-    // Jobs that ask for a whole VM each come a few a second. Two more than usual fetch VMs that are not needed by
-    // the time they come, and each move ends what it was worth.
-    it('fetches nothing more for what may be chance', () => {
+    // Jobs that need a whole VM each arrive a few per second. Two more than usual
+    // caused VMs to be moved in that were not needed by the time they arrived, so the
+    // moves were wasted.
+    it('moves no additional VMs in for a random variation', () => {
       const quotes = pool({
         usableVms: 4,
         offeredLoadMillicores: 5 * VM_MILLICORES,
@@ -159,7 +167,7 @@
       assert.equal(planPools([quotes, SPARE]).moves.length, wanted - 4);
     });
 
-    it('does not fetch again what is on its way', () => {
+    it('does not order VMs again that are already incoming', () => {
       const quotes = pool({
         usableVms: 2,
         incomingVms: 9,
@@ -169,14 +177,14 @@
     });
   });
 
-  // A turn begins: from one moment to the next work for a hundred VMs arrives, and a pool has six. VMs take two
-  // seconds to come. Fetched for what arrives alone, they never catch up with what has gathered before them, and
-  // callers are late for as long as the turn lasts.
-  describe('over the first six seconds of a turn', () => {
-    it('serves more callers in time by fetching for what gathers as well', () => {
+  // A burst starts: work for a hundred VMs arrives at once in a pool of six, and VMs
+  // take two seconds to arrive. If VMs are ordered for the arriving load alone, they
+  // never catch up with the backlog, and callers are served late for the whole burst.
+  describe('over the first six seconds of a burst', () => {
+    it('serves more callers in time by ordering VMs for the backlog as well', () => {
       const plain = {...DEFAULT_POOL_PLAN, catchUpMilliseconds: Infinity};
-      const before = playTurn(plain);
-      const after = playTurn(DEFAULT_POOL_PLAN);
+      const before = simulateBurst(plain);
+      const after = simulateBurst(DEFAULT_POOL_PLAN);
       assert.ok(
         after.late < 0.5 * before.late,
         `${after.late} late, ${before.late} without`,
@@ -188,10 +196,10 @@
     });
   });
 
-  describe('when the turn passes to another queue', () => {
-    // The next queue's callers wait while VMs of the last one are sent to the spare pool and
-    // others are fetched from there: two moves in place of one.
-    it('gives the idle VMs of the last queue to the next one', () => {
+  describe('when the burst moves to another queue', () => {
+    // Guards against callers that wait while VMs of the previous queue are moved to the
+    // standby pool and others are moved in from there: two moves instead of one.
+    it('moves the idle VMs of the previous queue to the next one', () => {
       const last = pool({
         service: 'last',
         usableVms: 7,
@@ -204,28 +212,29 @@
       });
       const {moves} = planPools([last, next, SPARE]);
       const given = moves.filter(move => move.to === 'next');
-      // Five for the work and what gathers of it, with headroom six, the spare ones, less the one there:
-      // the last queue has as many to give but for its own spare ones.
+      // Five VMs for the load and its backlog, six with headroom, plus the spare VMs,
+      // minus the one already there. The previous queue can release as many as it has
+      // beyond its own spare VMs.
       assert.equal(given.length, 7);
       assert.equal(given.filter(move => move.from === 'last').length, 5);
     });
 
-    it('sends no VM to the spare pool before it has idled for a move’s worth', () => {
+    it('moves no VM to the standby pool before it has been idle for about the duration of a move', () => {
       const last = pool({usableVms: 6, vms: vms('last', 6, 400)});
       assert.deepEqual(planPools([last, SPARE]).moves, []);
     });
 
-    it('keeps the VMs that the pool wants', () => {
+    it('keeps the VMs that the pool should have', () => {
       const last = pool({usableVms: 6, vms: vms('last', 6, 5_000)});
       const {moves} = planPools([last, SPARE]);
       assert.equal(moves.length, 6 - DEFAULT_POOL_PLAN.spareVms);
     });
   });
 
-  describe('with a little work that no worker may take', () => {
-    // Long-running tasks, one on a worker at most, wait beside free room. Less than a VM's work never
-    // made a difference to the size, so they waited for ever.
-    it('fetches one VM after a while', () => {
+  describe('with a little work that no worker may accept', () => {
+    // Long-running tasks, at most one per worker, wait next to free capacity. Work for
+    // less than one VM never changed the pool size, so they waited forever.
+    it('moves one VM in after the maximum wait', () => {
       const quotes = pool({
         usableVms: 6,
         waitingMillicores: 5_000,
@@ -236,10 +245,11 @@
     });
   });
 
-  describe('while the VMs go on with work that is too late', () => {
-    // The next queue's callers all wait, since every VM is busy with a backlog that nobody waits for
-    // any more. Its VMs must stop taking that work, so that they can go over.
-    it('empties VMs of the late backlog for a queue that can be in time', () => {
+  describe('while VMs are busy with work that is too late', () => {
+    // All callers of the next queue wait, since every VM is busy with a backlog that is
+    // no longer useful to any caller. VMs must stop accepting that work so that they
+    // can be moved.
+    it('cordons VMs with a late backlog for a queue that can be served in time', () => {
       const late = pool({
         service: 'late',
         usableVms: 10,
@@ -251,20 +261,22 @@
         usableVms: 1,
         offeredLoadMillicores: 4 * VM_MILLICORES,
       });
-      const {moves, cordon: empty} = planPools([late, next]);
+      const {moves, cordon} = planPools([late, next]);
       assert.deepEqual(moves, []);
-      // Seven for the work and what gathers of it, with headroom eight: all that the pool has but its spare ones.
-      assert.equal(empty.length, 10 - DEFAULT_POOL_PLAN.spareVms);
+      // Seven VMs for the load and its backlog, eight with headroom: all VMs of the
+      // pool except its spare ones.
+      assert.equal(cordon.length, 10 - DEFAULT_POOL_PLAN.spareVms);
     });
 
-    it('leaves them alone while nobody lacks VMs', () => {
+    it('cordons no VMs while no pool is short of VMs', () => {
       const late = pool({usableVms: 10, vms: vms('late', 10, undefined)});
       assert.deepEqual(planPools([late, SPARE]).cordon, []);
     });
   });
 
-  // In a fleet of 250 VMs a turn needs a hundred and more; a part of them at a time comes too late for it.
-  it('fetches as large a part of a large fleet', () => {
+  // In a fleet of 250 VMs a burst needs more than a hundred; moving a small number at a
+  // time is too slow for it.
+  it('scales the number of incoming VMs with the fleet', () => {
     const quotes = pool({offeredLoadMillicores: 120 * VM_MILLICORES});
     const spare = pool({
       service: 'spare',
@@ -274,55 +286,60 @@
     assert.equal(planPools([quotes, spare]).moves.length, 100);
   });
 
-  it('shares few VMs between queues that lack as many', () => {
-    const lacking = (service: string) =>
+  it('shares scarce VMs equally between queues with equal shortages', () => {
+    const poolWithShortage = (service: string) =>
       pool({service, offeredLoadMillicores: 20 * VM_MILLICORES});
-    const {moves} = planPools([lacking('one'), lacking('two'), SPARE]);
+    const {moves} = planPools([
+      poolWithShortage('one'),
+      poolWithShortage('two'),
+      SPARE,
+    ]);
     assert.equal(moves.filter(move => move.to === 'one').length, 5);
     assert.equal(moves.filter(move => move.to === 'two').length, 5);
   });
 
-  describe('when a turn asks for more than the whole fleet', () => {
-    const turn = pool({
+  describe('when a burst needs more than the whole fleet', () => {
+    const burst = pool({
       usableVms: 6,
       usedMillicores: 6 * VM_MILLICORES,
       waitingMillicores: 8 * VM_MILLICORES,
     });
-    const atRest = pool({
+    const quiet = pool({
       service: 'at-rest',
       usableVms: 2,
       vms: vms('at-rest', 2, 5_000),
     });
 
-    // Callers of the turn wait while two VMs of each pool at rest idle, and none is off.
-    it('takes a spare VM of a pool at rest, and leaves it one', () => {
-      const {moves} = planPools([turn, atRest]);
+    // Guards against callers of the burst that wait while two VMs of each quiet pool
+    // are idle and the standby pool is empty.
+    it('takes a spare VM from a quiet pool and leaves it one', () => {
+      const {moves} = planPools([burst, quiet]);
       assert.deepEqual(
         moves.map(({from, to}) => ({from, to})),
         [{from: 'at-rest', to: 'quotes'}],
       );
     });
 
-    it('leaves the spare VMs where they are while others are off', () => {
+    it('leaves the spare VMs in their pools while others are off', () => {
       const {moves} = planPools([
-        turn,
-        atRest,
+        burst,
+        quiet,
         {...SPARE, vms: vms('off', 40, 0)},
       ]);
       assert.ok(moves.every(move => move.from === 'spare'));
     });
 
-    it('leaves them for work that arrives and does not wait yet', () => {
+    it('leaves the spare VMs in their pools for work that is arriving but not waiting yet', () => {
       const rising = {
-        ...turn,
+        ...burst,
         waitingMillicores: 0,
         offeredLoadMillicores: 9 * VM_MILLICORES,
       };
-      assert.deepEqual(planPools([rising, atRest]).moves, []);
+      assert.deepEqual(planPools([rising, quiet]).moves, []);
     });
   });
 
-  it('never takes a VM twice', () => {
+  it('never moves a VM twice in one plan', () => {
     const one = pool({
       service: 'one',
       offeredLoadMillicores: 20 * VM_MILLICORES,
--- a/packages/scheduling/src/__tests__/straggler-model.test.ts
+++ b/packages/scheduling/src/__tests__/straggler-model.test.ts
@@ -5,9 +5,12 @@
 
 const TASKS = 8;
 
-/** Steps of eight tasks, each between half and one and a half times the step's own mean. */
-function learned(steps: number): {spread: StragglerModel; slowest: number} {
-  const spread = new StragglerModel();
+/**
+ * Trains a model with steps of eight tasks, each task taking between half and one and a
+ * half times its step's own mean.
+ */
+function trainModel(steps: number): {model: StragglerModel; slowest: number} {
+  const model = new StragglerModel();
   const random = new SeededRandom(5);
   let slowest = 0;
   for (let step = 0; step < steps; step++) {
@@ -18,35 +21,36 @@
     );
     const actualMean = times.reduce((sum, time) => sum + time, 0) / TASKS;
     slowest += Math.max(...times) / actualMean / steps;
-    for (const time of times) spread.observe(`step-${step}`, TASKS, time);
+    for (const time of times) model.observe(`step-${step}`, TASKS, time);
   }
-  return {spread, slowest};
+  return {model, slowest};
 }
 
-describe('SiblingSpread', () => {
-  it('tells how much longer the slowest of a step takes, whatever the sizes of the steps', () => {
-    const {spread, slowest} = learned(60);
-    const told = spread.stragglerFactor(TASKS);
-    assert.ok(Math.abs(told - slowest) < 0.05, `${told} ${slowest}`);
+describe('StragglerModel', () => {
+  it('estimates how much longer the slowest task of a step takes, whatever the durations of the steps', () => {
+    const {model, slowest} = trainModel(60);
+    const factor = model.stragglerFactor(TASKS);
+    assert.ok(Math.abs(factor - slowest) < 0.05, `${factor} ${slowest}`);
   });
 
-  it('expects more of a wider step and nothing of a single task', () => {
-    const {spread} = learned(60);
-    assert.ok(spread.stragglerFactor(24) > spread.stragglerFactor(TASKS));
-    assert.equal(spread.stragglerFactor(1), 1);
+  it('estimates a larger factor for a wider step and 1 for a single task', () => {
+    const {model} = trainModel(60);
+    assert.ok(model.stragglerFactor(24) > model.stragglerFactor(TASKS));
+    assert.equal(model.stragglerFactor(1), 1);
   });
 
-  it('says nothing before it has seen some steps', () => {
-    assert.equal(learned(3).spread.stragglerFactor(TASKS), 1);
+  it('estimates a factor of 1 before it has seen enough steps', () => {
+    assert.equal(trainModel(3).model.stragglerFactor(TASKS), 1);
   });
 
-  // A task that fails for good leaves its step open; thousands of such jobs must not fill the memory.
-  it('forgets steps that never end', () => {
-    const spread = new StragglerModel();
+  // A task that fails permanently leaves its step unfinished; thousands of such jobs
+  // must not use up the memory.
+  it('drops the oldest steps when too many never finish', () => {
+    const model = new StragglerModel();
     for (let step = 0; step < 10_000; step++)
-      spread.observe(`step-${step}`, TASKS, 100);
+      model.observe(`step-${step}`, TASKS, 100);
     for (let task = 1; task < TASKS; task++)
-      spread.observe('step-0', TASKS, 100 * task);
-    assert.equal(spread.stragglerFactor(TASKS), 1);
+      model.observe('step-0', TASKS, 100 * task);
+    assert.equal(model.stragglerFactor(TASKS), 1);
   });
 });
--- a/packages/scheduling/src/__tests__/vm-capacity.test.ts
+++ b/packages/scheduling/src/__tests__/vm-capacity.test.ts
@@ -2,16 +2,16 @@
 import {describe, it} from 'node:test';
 import {largestCapacity} from '../vm-capacity.js';
 
-function room(processorMillicores: number) {
+function capacity(processorMillicores: number) {
   return {processorMillicores, memoryMegabytes: 1_000};
 }
 
-describe('room of a whole VM', () => {
-  // Guards against a pool that is sized by the one VM whose room has shrunk.
-  it('is that of the largest, wherever a shrunken one is listed', () => {
-    const rooms = [room(500), room(8_000), room(7_900)];
-    assert.deepEqual(largestCapacity(rooms), room(8_000));
-    assert.deepEqual(largestCapacity(rooms.reverse()), room(8_000));
+describe('largestCapacity', () => {
+  // Guards against sizing a pool by the one VM whose capacity has shrunk.
+  it('returns the largest capacity, wherever a shrunken VM is listed', () => {
+    const capacities = [capacity(500), capacity(8_000), capacity(7_900)];
+    assert.deepEqual(largestCapacity(capacities), capacity(8_000));
+    assert.deepEqual(largestCapacity(capacities.reverse()), capacity(8_000));
     assert.equal(largestCapacity([]), undefined);
   });
 });
--- a/packages/scheduling/src/__tests__/waiting-order.test.ts
+++ b/packages/scheduling/src/__tests__/waiting-order.test.ts
@@ -5,85 +5,92 @@
 import {orderWaiting, type WaitingWork} from '../waiting-order.js';
 
 const MILLICORES = 1_000;
-/** Jobs a second at the height of a turn that asks for about twice the pool. */
+/**
+ * Peak rate, in jobs per second, of a burst that needs about twice the pool's capacity.
+ */
 const OVERLOAD = 120;
 
-interface Asked {
+interface SubmittedJob {
   readonly at: number;
   readonly actual: number;
   readonly estimated: number;
   readonly millicores: number;
 }
 
-interface Waiting extends WaitingWork {
-  readonly asked: Asked;
+interface WaitingTestJob extends WaitingWork {
+  readonly submitted: SubmittedJob;
 }
 
-type Order = (jobs: readonly Waiting[], now: number) => Waiting[];
+type Order = (jobs: readonly WaitingTestJob[], now: number) => WaitingTestJob[];
 
-/** A turn of eight seconds: jobs come at a rate that rises and falls, each takes a part of the pool. */
-function turn(seed: number, jobsPerSecond: number): Asked[] {
+/**
+ * Generates a burst of eight seconds: the arrival rate rises and falls, and each job
+ * takes a part of the pool.
+ */
+function burst(seed: number, jobsPerSecond: number): SubmittedJob[] {
   const random = new SeededRandom(seed);
-  const asked: Asked[] = [];
+  const jobs: SubmittedJob[] = [];
   for (let at = 0; at < 8_000; at += 10) {
     const rate = jobsPerSecond * Math.sin((Math.PI * at) / 8_000);
     if (random.nextFraction() >= rate / 100) continue;
     const actual = 300 + 1_200 * random.nextFraction();
-    asked.push({
+    jobs.push({
       at,
       actual,
-      // Estimates are off by up to a third either way.
+      // Estimates are off by up to a third in either direction.
       estimated: actual * (0.7 + 0.6 * random.nextFraction()),
-      // One to 24 tasks, few of them large.
+      // One to 24 tasks; few jobs have many.
       millicores:
         5 *
         Math.min(24, 1 - Math.floor(8 * Math.log(1 - random.nextFraction()))),
     });
   }
-  return asked;
+  return jobs;
 }
 
-function waiting(asked: Asked, now: number): Waiting {
-  const objective = 1.6 * asked.estimated + 600;
+function waitingJob(submitted: SubmittedJob, now: number): WaitingTestJob {
+  const objective = 1.6 * submitted.estimated + 600;
   const job = {
     priority: 0,
-    dueAt: asked.at + objective,
-    expiresAt: asked.at + 3 * objective,
-    remainingCriticalPathMilliseconds: asked.estimated,
+    dueAt: submitted.at + objective,
+    expiresAt: submitted.at + 3 * objective,
+    remainingCriticalPathMilliseconds: submitted.estimated,
   };
   return {
     ...job,
     rank: rankOf(feasibilityOf(job, now), false),
-    remainingMillicoreMilliseconds: asked.millicores * asked.estimated,
-    asked,
+    remainingMillicoreMilliseconds: submitted.millicores * submitted.estimated,
+    submitted,
   };
 }
 
-/** How many jobs of a turn end in time on a pool of fixed size. */
-function inTime(turnOf: readonly Asked[], order: Order): number {
-  let queue: Asked[] = [];
+/**
+ * Simulates a burst on a pool of fixed size and returns how many jobs finish in time.
+ */
+function jobsInTime(jobs: readonly SubmittedJob[], order: Order): number {
+  let queue: SubmittedJob[] = [];
   let running: Array<{endsAt: number; millicores: number}> = [];
   let count = 0;
   for (let now = 0; now < 16_000; now += 10) {
-    queue.push(...turnOf.filter(one => one.at === now));
+    queue.push(...jobs.filter(one => one.at === now));
     running = running.filter(run => run.endsAt > now);
     let free = MILLICORES;
     for (const run of running) free -= run.millicores;
-    const left: Asked[] = [];
-    for (const {asked} of order(
-      queue.map(one => waiting(one, now)),
+    const stillWaiting: SubmittedJob[] = [];
+    for (const {submitted} of order(
+      queue.map(one => waitingJob(one, now)),
       now,
     )) {
-      if (asked.millicores > free) {
-        left.push(asked);
+      if (submitted.millicores > free) {
+        stillWaiting.push(submitted);
         continue;
       }
-      free -= asked.millicores;
-      const endsAt = now + asked.actual;
-      running.push({endsAt, millicores: asked.millicores});
-      if (endsAt <= asked.at + 1.6 * asked.actual + 600) count++;
+      free -= submitted.millicores;
+      const endsAt = now + submitted.actual;
+      running.push({endsAt, millicores: submitted.millicores});
+      if (endsAt <= submitted.at + 1.6 * submitted.actual + 600) count++;
     }
-    queue = left;
+    queue = stillWaiting;
   }
   return count;
 }
@@ -95,7 +102,7 @@
     now,
   );
 const byLatestStart: Order = jobs => [...jobs].sort(compareWaitingJobs);
-const byEnd: Order = jobs =>
+const byDeadline: Order = jobs =>
   [...jobs].sort(
     (left, right) => left.rank - right.rank || left.dueAt - right.dueAt,
   );
@@ -103,26 +110,27 @@
 function total(order: Order, jobsPerSecond: number): number {
   let sum = 0;
   for (let seed = 1; seed <= 5; seed++)
-    sum += inTime(turn(seed, jobsPerSecond), order);
+    sum += jobsInTime(burst(seed, jobsPerSecond), order);
   return sum;
 }
 
 describe('orderWaiting', () => {
-  // Callers of a turn that asks for half as much again as the fleet holds. By latest start each job
-  // begins as late as it may, and nearly all of them end a little too late.
-  it('leaves more jobs in time than other orders where not all can be', () => {
+  // In a burst that needs half as much again as the fleet, sorting by latest start
+  // makes each job start as late as possible, and nearly all of them finish slightly
+  // too late.
+  it('lets more jobs finish in time than other orders when not all of them can', () => {
     const own = total(planned, OVERLOAD);
     assert.ok(own > 1.1 * total(byLatestStart, OVERLOAD), `${own}`);
-    assert.ok(own > total(byEnd, OVERLOAD), `${own}`);
+    assert.ok(own > total(byDeadline, OVERLOAD), `${own}`);
   });
 
-  it('costs nothing where all can be in time', () => {
+  it('does no worse than sorting by latest start when all jobs can finish in time', () => {
     assert.ok(total(planned, 45) >= 0.99 * total(byLatestStart, 45));
   });
 
-  it('goes by the latest start while VMs that are on their way suffice', () => {
+  it('sorts by latest start while the incoming VMs provide enough capacity', () => {
     const jobs = [1, 2, 3].map(index =>
-      waiting(
+      waitingJob(
         {
           at: 0,
           actual: 400 * index,
@@ -132,14 +140,14 @@
         0,
       ),
     );
-    const room = {usableMillicores: 100, incomingMillicores: 50_000};
-    const ordered = orderWaiting(jobs, room, 0);
+    const capacity = {usableMillicores: 100, incomingMillicores: 50_000};
+    const ordered = orderWaiting(jobs, capacity, 0);
     assert.deepEqual(ordered, [...jobs].sort(compareWaitingJobs));
   });
 
-  it('puts what it has put off before what is late', () => {
+  it('places postponed jobs before late ones', () => {
     const jobs = Array.from({length: 30}, (_, index) =>
-      waiting(
+      waitingJob(
         {
           at: index < 3 ? -2_500 : 0,
           actual: 1_000,
@@ -151,7 +159,7 @@
     );
     const ordered = planned(jobs, 0);
     assert.deepEqual(
-      ordered.slice(-3).map(job => job.asked.at),
+      ordered.slice(-3).map(job => job.submitted.at),
       [-2_500, -2_500, -2_500],
     );
   });
--- a/packages/scheduling/src/__tests__/wave-plan.test.ts
+++ b/packages/scheduling/src/__tests__/wave-plan.test.ts
@@ -14,7 +14,7 @@
   }));
 }
 
-function standing(differences: Partial<WaveStatus>): WaveStatus {
+function waveStatus(differences: Partial<WaveStatus>): WaveStatus {
   return {
     due: due(16),
     inMaintenance: 0,
@@ -27,52 +27,52 @@
 }
 
 describe('planWave', () => {
-  // A burst finds no VMs when the wave has taken the whole reserve in one go.
-  it('takes no more VMs at once than the time left asks for', () => {
-    const step = planWave(standing({}));
-    assert.ok(step.maintain.length > 0);
-    assert.ok(step.maintain.length < 8);
-    assert.deepEqual(step.evacuate, []);
+  // A burst finds no free VMs if the wave has taken all spare VMs at once.
+  it('maintains no more VMs at once than the remaining time requires', () => {
+    const plan = planWave(waveStatus({}));
+    assert.ok(plan.maintain.length > 0);
+    assert.ok(plan.maintain.length < 8);
+    assert.deepEqual(plan.evacuate, []);
   });
 
-  it('takes none while work waits and there is time', () => {
-    const step = planWave(standing({hasWaitingWork: true, due: due(8)}));
-    assert.deepEqual(step.maintain, []);
+  it('maintains no VMs while work waits and there is enough time', () => {
+    const plan = planWave(waveStatus({hasWaitingWork: true, due: due(8)}));
+    assert.deepEqual(plan.maintain, []);
   });
 
-  it('never goes over the bound of VMs at once', () => {
-    const step = planWave(
-      standing({inMaintenance: 7, remainingMilliseconds: 1_000}),
+  it('never exceeds the maximum of VMs in maintenance at once', () => {
+    const plan = planWave(
+      waveStatus({inMaintenance: 7, remainingMilliseconds: 1_000}),
     );
-    assert.equal(step.maintain.length, 1);
+    assert.equal(plan.maintain.length, 1);
   });
 
-  it('empties busy VMs with the least work when time runs short', () => {
+  it('evacuates the busy VMs with the least work when time runs short', () => {
     const busy = [
       ...due(1, {name: 'lasting', idle: false, longRunningTasks: 1}),
       ...due(1, {name: 'short', idle: false, shortTasks: 3}),
     ];
-    const step = planWave(
-      standing({due: busy, maximumAtOnce: 1, remainingMilliseconds: 8_000}),
+    const plan = planWave(
+      waveStatus({due: busy, maximumAtOnce: 1, remainingMilliseconds: 8_000}),
     );
-    assert.deepEqual(step.evacuate, ['short']);
+    assert.deepEqual(plan.evacuate, ['short']);
   });
 
-  // A burst is served by the very VMs that the wave would empty.
-  it('empties VMs of pools that lack room last', () => {
+  // A burst is served by the very VMs that the wave would evacuate.
+  it('evacuates VMs of pools that are short of capacity last', () => {
     const busy = [
       ...due(1, {name: 'wanted', idle: false, inDemand: true}),
       ...due(1, {name: 'other', idle: false, longRunningTasks: 1}),
     ];
-    const step = planWave(
-      standing({due: busy, maximumAtOnce: 1, remainingMilliseconds: 8_000}),
+    const plan = planWave(
+      waveStatus({due: busy, maximumAtOnce: 1, remainingMilliseconds: 8_000}),
     );
-    assert.deepEqual(step.evacuate, ['other']);
+    assert.deepEqual(plan.evacuate, ['other']);
   });
 
-  it('goes on emptying what it has begun to empty', () => {
+  it('continues evacuations that have started', () => {
     const busy = due(2, {idle: false, isEvacuating: true, longRunningTasks: 1});
-    const step = planWave(standing({due: busy}));
-    assert.equal(step.evacuate.length, 2);
+    const plan = planWave(waveStatus({due: busy}));
+    assert.equal(plan.evacuate.length, 2);
   });
 });
--- a/packages/scheduling/src/adaptive-timeout.ts
+++ b/packages/scheduling/src/adaptive-timeout.ts
@@ -4,11 +4,11 @@
 const MEAN_FACTOR = 4;
 
 /**
- * Bound of an exchange with a service that mostly answers at once.
- * Load: a store of which a third of the answers are lost for seconds. Without it each lost answer
- * holds up everything behind it for the longest bound, though a repeat would be answered in
- * milliseconds. A bound that was reached doubles the next ones until an answer comes, so that a
- * store that is only slow is waited for.
+ * Timeout of requests to a service that usually responds immediately.
+ * Load: a store that loses a third of its responses for seconds. Without it, each lost
+ * response delays everything behind it for the maximum timeout, although a retry would
+ * be answered in milliseconds. Each timeout doubles the next ones until a response
+ * arrives, so that a store that is merely slow is waited for.
  */
 export class AdaptiveTimeout {
   private movingAverageMilliseconds = 0;
@@ -19,29 +19,37 @@
     private readonly maximumMilliseconds: number,
   ) {}
 
-  /** How long to wait for the next answer. */
+  /** Current timeout for the next response. */
   get milliseconds(): number {
-    const bound =
+    const timeout =
       this.minimumMilliseconds + MEAN_FACTOR * this.movingAverageMilliseconds;
-    return Math.min(this.maximumMilliseconds, bound * 2 ** this.doublings);
+    return Math.min(this.maximumMilliseconds, timeout * 2 ** this.doublings);
   }
 
-  /** Mean of the last answers. */
+  /** Moving average of recent response times. */
   get meanResponseMilliseconds(): number {
     return this.movingAverageMilliseconds;
   }
 
+  /** Records the time until a response and resets the back-off. */
   recordResponse(milliseconds: number): void {
     this.movingAverageMilliseconds +=
       SMOOTHING_FACTOR * (milliseconds - this.movingAverageMilliseconds);
     this.doublings = 0;
   }
 
-  /** An answer came that had waited for something else: it says that there are answers, not how fast. */
+  /**
+   * Records a response that the service held back until something else happened: it
+   * shows that the service responds, but not how fast.
+   */
   recordDelayedResponse(): void {
     this.doublings = 0;
   }
 
+  /**
+   * Records that no response arrived in time, which doubles the timeout up to its
+   * maximum.
+   */
   recordTimeout(): void {
     if (this.milliseconds < this.maximumMilliseconds) this.doublings++;
   }
--- a/packages/scheduling/src/arrival-rate-estimator.ts
+++ b/packages/scheduling/src/arrival-rate-estimator.ts
@@ -1,5 +1,5 @@
 const BUCKET_MILLISECONDS = 100;
-/** Window over which arrivals are counted. */
+/** Half of the window over which arrivals are counted, in buckets. */
 const HALF_WINDOW_BUCKETS = 5;
 const WINDOW_BUCKETS = 2 * HALF_WINDOW_BUCKETS;
 const WINDOW_MILLISECONDS = WINDOW_BUCKETS * BUCKET_MILLISECONDS;
@@ -12,14 +12,18 @@
 }
 
 /**
- * Rate at which work arrives for a service, in millicores.
- * Load: queues that ask by turns for several times their mean. Without it a pool is enlarged only
- * when its VMs are full, and the VMs arrive a move's time later than they could.
+ * Estimates the rate at which work arrives for a service, in millicores.
+ * Load: queues that alternate in bursts of several times their mean load. Without it, a
+ * pool is enlarged only once its VMs are full, and the VMs arrive later than they
+ * could, by the duration of a move.
  */
 export class ArrivalRateEstimator {
   private readonly buckets = new Map<number, Bucket>();
 
-  /** `work`: millicores times milliseconds of the tasks of a job that has come. */
+  /**
+   * Records the arrival of a job. `work` is the sum over its tasks of millicores times
+   * milliseconds.
+   */
   observe(work: number, now: number): void {
     const index = Math.floor(now / BUCKET_MILLISECONDS);
     const bucket = this.buckets.get(index) ?? {work: 0, jobs: 0};
@@ -28,35 +32,40 @@
     this.buckets.set(index, bucket);
   }
 
-  /** Millicores by which the rate lies off by chance: so many jobs come like that anyway. */
+  /**
+   * Returns the standard error of the rate in millicores: the random variation in the
+   * number of arriving jobs.
+   */
   standardErrorMillicores(now: number): number {
     const newest = Math.floor(now / BUCKET_MILLISECONDS);
     const {work, jobs} = this.between(newest - WINDOW_BUCKETS, newest);
     return work / Math.sqrt(Math.max(1, jobs)) / WINDOW_MILLISECONDS;
   }
 
-  /** Millicores that work which arrives at the present rate keeps busy. */
+  /** Returns the millicores that work arriving at the current rate keeps busy. */
   offeredLoadMillicores(now: number): number {
     const newest = Math.floor(now / BUCKET_MILLISECONDS);
     this.forget(newest - WINDOW_BUCKETS);
     const recent = this.between(newest - HALF_WINDOW_BUCKETS, newest);
-    const before = this.between(
+    const previous = this.between(
       newest - WINDOW_BUCKETS,
       newest - HALF_WINDOW_BUCKETS,
     );
-    const jobs = Math.max(1, recent.jobs + before.jobs);
-    const work = recent.work + before.work;
+    const jobs = Math.max(1, recent.jobs + previous.jobs);
+    const work = recent.work + previous.work;
     const perJob = work / jobs;
-    // One job is no rate: a single large one in a quiet queue fetched VMs for ten like it.
-    const certain = work - perJob;
-    // So many more jobs come by chance: with ten a second every other half looks like a rise.
+    // A single job is not a rate: one large job in a quiet queue caused VMs for ten
+    // such jobs to be moved in.
+    const withoutOneJob = work - perJob;
+    // Random variation of this size is not a rise: at ten jobs a second, every other
+    // half window looks like one.
     const byChance = perJob * Math.sqrt(jobs);
-    const rising = Math.max(0, recent.work - before.work - byChance);
-    const most = MAXIMUM_GROWTH * certain;
-    return Math.min(most, certain + 2 * rising) / WINDOW_MILLISECONDS;
+    const rising = Math.max(0, recent.work - previous.work - byChance);
+    const maximum = MAXIMUM_GROWTH * withoutOneJob;
+    return Math.min(maximum, withoutOneJob + 2 * rising) / WINDOW_MILLISECONDS;
   }
 
-  /** What came in the buckets after `from` up to `to`. */
+  /** Returns the sum of the buckets after `from` up to and including `to`. */
   private between(from: number, to: number): Bucket {
     const sum: Bucket = {work: 0, jobs: 0};
     for (let index = from + 1; index <= to; index++) {
--- a/packages/scheduling/src/best-effort-speed-controller.ts
+++ b/packages/scheduling/src/best-effort-speed-controller.ts
@@ -1,20 +1,25 @@
-/** Share of the target above which best-effort work is slowed down. */
+/** Ratio of tail latency to its target above which best-effort work is slowed down. */
 const THROTTLE_RATIO = 0.85;
-/** Share of the target below which best-effort work is sped up again. */
+/**
+ * Ratio of tail latency to its target below which best-effort work is sped up again.
+ */
 const RECOVER_RATIO = 0.6;
 const FULL_PERCENT = 100;
-/** Factor of one step down. */
+/** Factor applied to the speed in one step down. */
 const BACK_OFF_FACTOR = 0.4;
-/** Percent of one step up; smaller than a step down to avoid oscillation. */
+/**
+ * Percentage points added in one step up; smaller than a step down to avoid
+ * oscillation.
+ */
 const RECOVER_STEP_PERCENT = 15;
-/** Percent below which the work is paused. */
+/** Speed in percent below which the work is paused. */
 const MINIMUM_PERCENT = 5;
 
 /**
- * Speed of the best-effort tasks on one worker.
- * Load: batch tasks beside tasks that answer callers, with a disturbance that changes within
- * seconds. Without it the response times of what serves stay over their target while batch work
- * goes on at full speed.
+ * Controls the speed of the best-effort tasks on one worker.
+ * Load: batch tasks next to tasks that serve callers, with interference that changes
+ * within seconds. Without it, the response times of the serving tasks stay above their
+ * target while batch work continues at full speed.
  */
 export class BestEffortSpeedController {
   private current = FULL_PERCENT;
@@ -23,7 +28,11 @@
     return this.current;
   }
 
-  /** `worstRatio`: largest tail against its target among the serving tasks beside; 0 for none. */
+  /**
+   * Adjusts the speed and returns it in percent. `worstRatio` is the highest ratio of
+   * tail latency to its target among the serving tasks on the same worker; 0 if there
+   * are none.
+   */
   update(worstRatio: number): number {
     if (worstRatio > THROTTLE_RATIO) this.slowDown();
     else if (worstRatio < RECOVER_RATIO) this.speedUp();
--- a/packages/scheduling/src/duration-model.ts
+++ b/packages/scheduling/src/duration-model.ts
@@ -5,7 +5,7 @@
 /** Lower limit of estimates and run times, which enter as logarithms. */
 const MINIMUM_MILLISECONDS = 1;
 
-/** What a model has learned, for a successor. */
+/** Learned state of a model, from which a successor continues. */
 export interface DurationSnapshot {
   readonly weight: number;
   readonly meanEstimate: number;
@@ -16,10 +16,11 @@
 }
 
 /**
- * Learns how estimated run times of a queue's tasks stand to the real ones.
- * Load: callers whose estimates are off by a factor, each queue in its own way. Without it jobs are
- * ordered and pools sized by numbers that say little. A regression of the logarithms keeps what an
- * estimate tells and pulls the rest to the queue's mean.
+ * Learns how the estimated run times of a queue's tasks relate to the actual ones.
+ * Load: callers whose estimates are off by a factor that differs between queues.
+ * Without it, jobs are ordered and pools are sized by estimates that say little. A
+ * linear regression of the logarithms keeps the information that an estimate carries
+ * and shrinks the rest towards the queue's mean.
  */
 export class DurationModel {
   private weight = 0;
@@ -42,7 +43,7 @@
     };
   }
 
-  /** Goes on from what another one has learned. */
+  /** Continues from the learned state of another model. */
   restore(snapshot: DurationSnapshot): void {
     this.weight = snapshot.weight;
     this.meanEstimate = snapshot.meanEstimate;
@@ -52,7 +53,7 @@
     this.actualVariance = snapshot.actualVariance;
   }
 
-  /** Notes a run that ended well. */
+  /** Records the estimated and the actual run time of a successful run. */
   observe(estimatedMilliseconds: number, actualMilliseconds: number): void {
     const estimate = logarithm(estimatedMilliseconds);
     const actual = logarithm(actualMilliseconds);
@@ -70,7 +71,7 @@
       share * (beforeActual * afterActual - this.actualVariance);
   }
 
-  /** Run time that half of the tasks with this estimate exceed, in milliseconds. */
+  /** Returns the median run time of tasks with this estimate, in milliseconds. */
   medianMilliseconds(estimatedMilliseconds: number): number {
     if (this.weight < MINIMUM_RUNS) return estimatedMilliseconds;
     const slope = this.slope();
@@ -78,11 +79,14 @@
     return Math.exp(this.meanActual + slope * distance);
   }
 
-  /** Mean run time of the tasks with this estimate, in milliseconds: what room is needed for. */
+  /**
+   * Returns the mean run time of tasks with this estimate, in milliseconds. Used to
+   * determine the capacity that the tasks need.
+   */
   meanMilliseconds(estimatedMilliseconds: number): number {
     const median = this.medianMilliseconds(estimatedMilliseconds);
     if (this.weight < MINIMUM_RUNS) return median;
-    // Of figures whose logarithms spread evenly the mean lies above the middle by half their variance.
+    // The mean of a log-normal distribution is its median times exp(variance / 2).
     const unexplained = Math.max(
       0,
       this.actualVariance - this.slope() * this.covariance,
--- a/packages/scheduling/src/job-order.ts
+++ b/packages/scheduling/src/job-order.ts
@@ -1,22 +1,22 @@
-/** What the order of waiting jobs depends on. */
+/** Properties of a waiting job that determine its place in the order. */
 export interface WaitingJob {
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** When its objective ends. */
+  /** Deadline of its objective. */
   readonly dueAt: number;
-  /** Until when it still counts as late; after that nobody waits for it. */
+  /** Time until which it still counts as late; after that no caller waits for it. */
   readonly expiresAt: number;
-  /** Expected time of its longest chain of open steps. */
+  /** Expected duration of the longest chain of its open steps. */
   readonly remainingCriticalPathMilliseconds: number;
 }
 
-/** What a waiting job can still reach. */
+/** The best outcome that a waiting job can still reach. */
 export enum DeadlineFeasibility {
   InTime = 'in_time',
-  /** Late, and lost unless it starts soon. */
+  /** Late, and infeasible unless it starts soon. */
   AboutToExpire = 'last_call',
   Late = 'late',
-  /** Too late for anybody. */
+  /** Too late to be useful to any caller. */
   Infeasible = 'lost',
 }
 
@@ -29,10 +29,10 @@
   [DeadlineFeasibility.Late]: 2,
   [DeadlineFeasibility.Infeasible]: 3,
 };
-/** Rank of a job that may go ahead of all others. */
+/** Rank of a job that goes ahead of all others. */
 const FIRST_RANK = 0;
 
-/** What a job can still reach when it starts now. */
+/** Returns the best outcome that a job can still reach if it starts now. */
 export function feasibilityOf(
   job: WaitingJob,
   now: number,
@@ -45,12 +45,15 @@
     : DeadlineFeasibility.Late;
 }
 
-/** Rank of a job among all that wait; the lowest goes first. `goesFirst`: ahead of all others, whatever it can reach. */
+/**
+ * Returns the rank of a job among all waiting ones; the lowest goes first. `goesFirst`
+ * puts it ahead of all others, whatever its feasibility.
+ */
 export function rankOf(
-  chance: DeadlineFeasibility,
+  feasibility: DeadlineFeasibility,
   goesFirst: boolean,
 ): number {
-  return goesFirst ? FIRST_RANK : FEASIBILITY_RANKS[chance];
+  return goesFirst ? FIRST_RANK : FEASIBILITY_RANKS[feasibility];
 }
 
 /** A waiting job with its rank. */
@@ -59,11 +62,13 @@
 }
 
 /**
- * Orders waiting jobs: what can still be in time first, then what can still be late, then the rest;
- * within each by urgency and by the latest start that still meets the objective.
- * Load: a queue asks for several times what its pool holds for some seconds. Without it every job
- * waits behind ones that can no longer be in time, and all of them are late instead of some. By the
- * end of the objective alone, long jobs start too late while short ones that come after them could wait.
+ * Compares waiting jobs: those that can finish in time come first, then those that can
+ * finish late but before they expire, then the rest; within each group they are sorted
+ * by priority and by the latest start that still meets the objective.
+ * Load: a queue that needs several times its pool's capacity for some seconds. Without
+ * it, every job waits behind jobs that can no longer finish in time, and all of them
+ * are late instead of some. Sorted by deadline alone, long jobs start too late although
+ * short jobs with earlier deadlines could wait.
  */
 export function compareWaitingJobs(left: RankedJob, right: RankedJob): number {
   if (left.rank !== right.rank) return left.rank - right.rank;
@@ -71,7 +76,7 @@
   return latestStart(left) - latestStart(right);
 }
 
-/** When a job must start at the latest to meet its objective. */
+/** Returns the latest start with which a job meets its objective. */
 export function latestStart(job: WaitingJob): number {
   return job.dueAt - job.remainingCriticalPathMilliseconds;
 }
--- a/packages/scheduling/src/least-recently-served-order.ts
+++ b/packages/scheduling/src/least-recently-served-order.ts
@@ -1,23 +1,24 @@
 /**
- * Order in which services get orders that are to be shared.
- * Load: two queues ask for more orders than their coordinator gives. Without turns the service that
- * is looked at first takes every order that becomes free, and a task of the other one that is to last
- * does not run beside free room.
+ * Order in which services receive orders from a shared limit.
+ * Load: two queues request more orders than their coordinator can send. Without
+ * rotation, the service that is considered first takes every order that becomes free,
+ * and long-running tasks of the other service do not start although there is free
+ * capacity.
  */
 export class LeastRecentlyServedOrder {
   private readonly lastServed = new Map<string, number>();
-  private turns = 0;
+  private servedCount = 0;
 
-  /** The services, the one first that has been without a turn for longest. */
+  /** Returns the services, the least recently served one first. */
   order(services: Iterable<string>): string[] {
     return [...services].sort(
       (left, right) => this.lastServedOf(left) - this.lastServedOf(right),
     );
   }
 
-  /** The service was given orders. */
+  /** Records that the service received orders. */
   recordServed(service: string): void {
-    this.lastServed.set(service, ++this.turns);
+    this.lastServed.set(service, ++this.servedCount);
   }
 
   private lastServedOf(service: string): number {
--- a/packages/scheduling/src/order-concurrency-limiter.ts
+++ b/packages/scheduling/src/order-concurrency-limiter.ts
@@ -1,68 +1,76 @@
-/** Response time above which the window shrinks. */
+/** Response time above which the limit shrinks. */
 const SLOW_RESPONSE_MILLISECONDS = 100;
-/** Interval over which response times are judged. */
+/** Interval after which response times are evaluated and the limit is adjusted. */
 const INTERVAL_MILLISECONDS = 250;
-/** Lower limit of the window, in orders. */
+/** Lower bound of the limit, in orders. */
 const MINIMUM_LIMIT = 24;
-/** Initial size of the window, in orders. */
+/** Initial limit, in orders. */
 const INITIAL_LIMIT = 384;
 const MAXIMUM_LIMIT = 4_000;
-/** The window shrinks at most to this share at once. */
+/** The limit shrinks at most by this factor at once. */
 const MINIMUM_SHRINK_FACTOR = 0.5;
 const GROWTH_FACTOR = 1.25;
 
 /**
- * How many orders a coordinator may have under way.
- * Load: a turn asks for more starts a second than the coordinator's link or processor gives. Without
- * a bound hundreds of orders wait behind each other for a second, with the polls that renew leases and
- * the writes that renew the term among them, and by then the jobs they were chosen for are late. The
- * bound falls while even the quickest answer of an interval is late, which a burst alone never brings
- * about, and grows while it is used and they are not.
+ * Limits how many orders a coordinator may have in flight.
+ * Load: a burst that requires more starts per second than the coordinator's link or
+ * processor can handle. Without a limit, hundreds of orders queue for a second,
+ * together with the polls that renew leases and the writes that renew the term, and by
+ * then the jobs for which they were chosen are late. The limit shrinks while even the
+ * fastest response of an interval is slow, which a burst alone never causes, and grows
+ * while it is used and responses are fast.
  */
 export class OrderConcurrencyLimiter {
   private inFlight = 0;
   private limit = INITIAL_LIMIT;
-  private intervalFrom = -Infinity;
+  private intervalStart = -Infinity;
   private fastestResponseMilliseconds = Infinity;
   private peakInFlight = 0;
 
-  /** Whether `count` orders may be begun together; a gang that is larger than the bound goes alone. */
+  /**
+   * Whether `count` orders may be started together; a gang larger than the limit is
+   * sent when nothing else is in flight.
+   */
   allows(count: number): boolean {
     return this.inFlight === 0 || this.inFlight + count <= this.limit;
   }
 
-  /** An order was decided. */
+  /** Records that an order was decided. */
   begin(): void {
     this.inFlight++;
     this.peakInFlight = Math.max(this.peakInFlight, this.inFlight);
   }
 
-  /** Its fate is known. */
+  /** Records that the outcome of an order is known. */
   end(): void {
     this.inFlight--;
   }
 
-  /** A worker answered at once, as far as it is concerned, and the answer came after `milliseconds`. */
+  /**
+   * Records the time until the response to an order that the worker itself answered
+   * without delay.
+   */
   recordResponse(milliseconds: number, now: number): void {
     this.fastestResponseMilliseconds = Math.min(
       this.fastestResponseMilliseconds,
       milliseconds,
     );
-    if (now - this.intervalFrom < INTERVAL_MILLISECONDS) return;
+    if (now - this.intervalStart < INTERVAL_MILLISECONDS) return;
     if (this.fastestResponseMilliseconds > SLOW_RESPONSE_MILLISECONDS)
       this.shrink();
     else if (2 * this.peakInFlight >= this.limit) this.grow();
-    this.intervalFrom = now;
+    this.intervalStart = now;
     this.fastestResponseMilliseconds = Infinity;
     this.peakInFlight = this.inFlight;
   }
 
   private shrink(): void {
     const used = Math.min(this.limit, this.peakInFlight);
-    const share = SLOW_RESPONSE_MILLISECONDS / this.fastestResponseMilliseconds;
+    const factor =
+      SLOW_RESPONSE_MILLISECONDS / this.fastestResponseMilliseconds;
     this.limit = Math.max(
       MINIMUM_LIMIT,
-      used * Math.max(MINIMUM_SHRINK_FACTOR, share),
+      used * Math.max(MINIMUM_SHRINK_FACTOR, factor),
     );
   }
 
--- a/packages/scheduling/src/placement-worker.ts
+++ b/packages/scheduling/src/placement-worker.ts
@@ -1,32 +1,38 @@
 import type {StepSpecification} from '@gentiandoor/jobs';
 
-/** What a worker can still take, as a placement sees it. */
+/** A worker and its free capacity, as seen by placement. */
 export interface PlacementWorker {
   readonly id: string;
   readonly dataCentre: string;
-  /** Rack and kind among others. */
+  /** Include the rack and the kind of the worker. */
   readonly labels: readonly string[];
   readonly freeMillicores: number;
   readonly freeMegabytes: number;
   readonly freeAccelerators: number;
   readonly totalMillicores: number;
-  /** Long-running tasks that serve on it. */
+  /** Number of long-running tasks on it that serve requests. */
   readonly latencySensitiveTaskCount: number;
-  /** Tasks on it that use processor time that others leave. */
+  /** Number of tasks on it that use only processor time left over by others. */
   readonly bestEffortTasks: number;
-  /** All tasks on it. */
+  /** Number of all tasks on it. */
   readonly tasks: number;
-  /** Share of trust in [0, 1]; 0 takes one task at a time. */
+  /** Reliability in [0, 1]; a worker with 0 takes one task at a time. */
   readonly reliability: number;
-  /** Tasks of a step on it. */
+  /** Returns the number of tasks of a step on it. */
   taskCountOfStep(stepKey: string): number;
-  /** Job whose task is kept apart on it; undefined for none. */
+  /** Returns the job whose task is isolated on it; undefined if there is none. */
   isolatedJob(now: number): string | undefined;
-  /** Whether a task of another job than `job` has not run on it for long. */
+  /**
+   * Whether a task of a job other than `job` has started on it so recently that it may
+   * still crash the worker.
+   */
   hasCrashRiskFromOtherJob(job: string, now: number): boolean;
 }
 
-/** Whether a task of `step` fits. */
+/**
+ * Whether the worker has the required label and enough free capacity for a task of
+ * `step`.
+ */
 export function fitsOnWorker(
   worker: PlacementWorker,
   step: StepSpecification,
@@ -37,7 +43,7 @@
   return step.bestEffort || worker.freeMillicores >= step.processorMillicores;
 }
 
-/** Whether a worker is of the kind that `step` asks for. */
+/** Whether a worker has the label that `step` requires, if any. */
 export function hasRequiredLabel(
   worker: PlacementWorker,
   step: StepSpecification,
--- a/packages/scheduling/src/pool-plan.ts
+++ b/packages/scheduling/src/pool-plan.ts
@@ -1,27 +1,30 @@
 /** A pool as the planner sees it. */
 export interface PlannedPool {
   readonly service: string;
-  /** Its VMs are off and cost nothing. */
+  /** Whether this is the standby pool, whose VMs are off and cost nothing. */
   readonly standby: boolean;
-  /** Millicores in use, weighed by what the work is still worth. */
+  /** Millicores in use, weighted by the remaining value of the work. */
   readonly usedMillicores: number;
-  /** Millicores of work that finds no room, weighed alike. */
+  /** Millicores of work that finds no free capacity, weighted in the same way. */
   readonly waitingMillicores: number;
-  /** How long there has been such work without a break; 0 while there is none. */
+  /** How long such work has been waiting without interruption; 0 if there is none. */
   readonly waitingMilliseconds: number;
-  /** Millicores that work which arrives at the present rate keeps busy. */
+  /** Millicores that work arriving at the current rate keeps busy. */
   readonly offeredLoadMillicores: number;
-  /** Millicores by which that lies off by chance. */
+  /** Standard error of `offeredLoadMillicores`. */
   readonly standardErrorMillicores: number;
-  /** VMs that work which waits needs since its tasks may not share them; 0 for none. */
+  /**
+   * Number of VMs that waiting work needs because its tasks may not share them; 0 for
+   * none.
+   */
   readonly spreadConstraintVms: number;
-  /** VMs that are on their way into it. */
+  /** Number of VMs that are being moved into it. */
   readonly incomingVms: number;
-  /** VMs that take work, or are being emptied. */
+  /** Number of VMs that accept work or are cordoned. */
   readonly usableVms: number;
-  /** VMs that may leave it. */
+  /** VMs that may be moved out of it. */
   readonly vms: readonly PlannedVm[];
-  /** Millicores of one of its VMs. */
+  /** Millicores of one VM of the pool. */
   readonly vmMillicores: number;
 }
 
@@ -29,46 +32,72 @@
 export interface PlannedVm {
   readonly name: string;
   readonly millicores: number;
-  /** How long nothing has run on it; undefined while something does. */
+  /** How long nothing has run on it; undefined while something runs. */
   readonly idleMilliseconds: number | undefined;
-  /** It is being emptied: nothing new starts on it. */
+  /** It is cordoned: no new tasks start on it. */
   readonly isCordoned: boolean;
-  /** Millicores in use, weighed by what the work is still worth. */
+  /** Millicores in use, weighted by the remaining value of the work. */
   readonly usedMillicores: number;
 }
 
-/** A VM that is to change its pool. */
+/** A VM to move from one pool to another. */
 export interface PlannedMove {
   readonly vm: string;
   readonly from: string;
   readonly to: string;
 }
 
-/** Weights of a deployment. */
+/** Settings of the planner for a deployment. */
 export interface PoolPlanOptions {
-  /** A VM over what its pool needs that idles so long is sent to the standby pool. */
+  /** A surplus VM is moved to the standby pool after it has been idle for this time. */
   readonly idleBeforeStandbyMilliseconds: number;
-  /** A VM over what its pool needs that idles so long may be given to a pool that lacks room. */
+  /**
+   * A surplus VM may be moved to a pool that is short of VMs after it has been idle for
+   * this time.
+   */
   readonly idleBeforeReassignmentMilliseconds: number;
-  /** Work that finds no room for so long gets a VM, however little it is. */
+  /**
+   * A pool gets a VM once any amount of work has found no free capacity for this time.
+   */
   readonly maximumWaitMilliseconds: number;
-  /** VMs that a pool keeps over what it uses: the first second of a burst finds them. */
+  /**
+   * Number of VMs that a pool keeps beyond its demand, for the first second of a burst.
+   */
   readonly spareVms: number;
-  /** The same for a pool without work that waits, while another one has such work and no VM is off. */
+  /**
+   * Used instead of `spareVms` for a pool without waiting work while another pool has
+   * waiting work and no VM is left in the standby pool.
+   */
   readonly spareVmsUnderPressure: number;
-  /** Room that a pool has for each unit of demand: tasks don't fill VMs to the brim, and rates are guesses. */
+  /**
+   * Capacity per unit of demand: tasks do not fill VMs completely, and rates are
+   * estimates.
+   */
   readonly headroom: number;
-  /** A VM that is ordered now takes work after about this. */
+  /** Approximate time from ordering a VM until it accepts work. */
   readonly leadTimeMilliseconds: number;
-  /** What gathers until the VMs come is worked off within this, so that callers of a turn's beginning are in time. */
+  /**
+   * Time within which the backlog that builds up until the VMs arrive is worked off, so
+   * that callers at the start of a burst are served in time.
+   */
   readonly catchUpMilliseconds: number;
-  /** Most VMs that are fetched for one pool at a time, where the share below is not more. */
+  /**
+   * Maximum number of VMs moving into one pool at a time, unless `maximumIncomingShare`
+   * allows more.
+   */
   readonly maximumIncomingVms: number;
-  /** The same as a share of all VMs that take work or may: a burst asks for as large a part of any fleet. */
+  /**
+   * The same limit as a share of all VMs that accept work or could: a burst needs an
+   * equally large part of any fleet.
+   */
   readonly maximumIncomingShare: number;
 }
 
-/** A move costs about as much as a second of a VM in a pool, and the queues' turns last several: the waits are near one move's time. */
+/**
+ * Default settings. A move costs about as much as one second of a VM in a pool, and
+ * bursts of a queue last several seconds, so the idle times and waits are close to the
+ * duration of one move.
+ */
 export const DEFAULT_POOL_PLAN: PoolPlanOptions = {
   idleBeforeStandbyMilliseconds: 1_200,
   idleBeforeReassignmentMilliseconds: 250,
@@ -82,36 +111,41 @@
   maximumIncomingShare: 0.5,
 };
 
-/** What is done about pools now. */
+/** Actions to take for the pools now. */
 export interface PoolPlan {
   readonly moves: readonly PlannedMove[];
-  /** VMs on which nothing new is to start, so that they can move soon. */
+  /** VMs to cordon, so that they can be moved soon. */
   readonly cordon: readonly string[];
 }
 
 /**
- * Moves VMs to where work waits or comes, and out of pools where they idle.
- * Load: queues that ask by turns for several times their mean. Without it one pool turns work away
- * while the VMs of the next one idle, at full cost, or go on with work that is too late for anybody.
+ * Moves VMs to pools where work is waiting or arriving, and out of pools where they are
+ * idle.
+ * Load: queues that alternate in bursts of several times their mean load. Without it,
+ * one pool rejects work while the VMs of another pool are idle at full cost, or
+ * continue with work that is too late to be useful.
  */
 export function planPools(
   pools: readonly PlannedPool[],
   options: PoolPlanOptions = DEFAULT_POOL_PLAN,
 ): PoolPlan {
-  const givers = donorVms(pools, options);
-  const most = maximumIncomingVms(pools, options);
-  const needs = pools
-    .map(pool => ({pool, missingVms: missingVms(pool, most, options)}))
-    .filter(need => need.missingVms > 0);
-  const moves = assignOneByOne(needs, givers);
-  moves.push(...assignSpareVms(pools, needs, moves, options));
-  const empty = vmsToCordon(pools, needs, moves, options);
+  const donors = donorVms(pools, options);
+  const maximumIncoming = maximumIncomingVms(pools, options);
+  const shortages = pools
+    .map(pool => ({
+      pool,
+      missingVms: missingVms(pool, maximumIncoming, options),
+    }))
+    .filter(shortage => shortage.missingVms > 0);
+  const moves = assignOneByOne(shortages, donors);
+  moves.push(...assignSpareVms(pools, shortages, moves, options));
+  const cordon = vmsToCordon(pools, shortages, moves, options);
   const standby = pools.find(pool => pool.standby);
-  if (standby) moves.push(...releaseIdle(givers, standby, options));
-  return {moves, cordon: empty};
+  if (standby) moves.push(...releaseIdle(donors, standby, options));
+  return {moves, cordon};
 }
 
-/** VMs that a pool should have. */
+/** Returns the number of VMs that a pool should have. */
 export function wantedVms(
   pool: PlannedPool,
   options: PoolPlanOptions = DEFAULT_POOL_PLAN,
@@ -119,34 +153,37 @@
   if (pool.standby) return 0;
   const demand = Math.max(
     pool.usedMillicores + pool.waitingMillicores,
-    demandWhenVmsCome(pool, options),
+    demandAfterLeadTime(pool, options),
   );
   const vms = (demand * options.headroom) / Math.max(1, pool.vmMillicores);
   return Math.max(Math.ceil(vms) + options.spareVms, pool.spreadConstraintVms);
 }
 
 /**
- * Demand at the time when VMs that are ordered now take work: what arrives, and what has gathered until then.
- * Load: the beginning of a turn, many times what the pool holds. VMs for what arrives alone never catch up with
- * the two seconds of work that came before them, and the callers of the first half of a turn are late.
+ * Returns the demand at the time when VMs ordered now accept work: the arriving load
+ * and the backlog that has built up until then.
+ * Load: the start of a burst of many times the pool's capacity. VMs for the arriving
+ * load alone never catch up with the two seconds of work that arrived before them, and
+ * the callers of the first half of the burst are served late.
  */
-function demandWhenVmsCome(
+function demandAfterLeadTime(
   {
-    offeredLoadMillicores: arrivingMillicores,
-    standardErrorMillicores: chanceMillicores,
-    usableVms: usable,
+    offeredLoadMillicores,
+    standardErrorMillicores,
+    usableVms,
     vmMillicores,
   }: PlannedPool,
-  {
-    leadTimeMilliseconds: leadMilliseconds,
-    catchUpMilliseconds,
-  }: PoolPlanOptions,
+  {leadTimeMilliseconds, catchUpMilliseconds}: PoolPlanOptions,
 ): number {
-  // A few jobs that come together by chance are worked off by the VMs that are there.
-  const certain = arrivingMillicores - chanceMillicores;
-  const lacking = Math.max(0, certain - usable * vmMillicores);
+  // The existing VMs absorb a few jobs that arrive together by chance.
+  const lowerBoundMillicores = offeredLoadMillicores - standardErrorMillicores;
+  const missingMillicores = Math.max(
+    0,
+    lowerBoundMillicores - usableVms * vmMillicores,
+  );
   return (
-    arrivingMillicores + (lacking * leadMilliseconds) / catchUpMilliseconds
+    offeredLoadMillicores +
+    (missingMillicores * leadTimeMilliseconds) / catchUpMilliseconds
   );
 }
 
@@ -159,20 +196,20 @@
   missingVms: number;
 }
 
-/** VMs that may leave their pool at once, the cheapest to take last. */
+/** Returns the VMs that may leave their pool immediately, the cheapest to take last. */
 function donorVms(
   pools: readonly PlannedPool[],
   options: PoolPlanOptions,
 ): DonorVm[] {
-  const givers = pools.flatMap(pool =>
+  const donors = pools.flatMap(pool =>
     pool.vms
       .filter(vm => pool.standby || isIdleEnough(vm, options))
       .sort((one, other) => idleOf(other) - idleOf(one))
       .slice(0, pool.standby ? pool.vms.length : surplusVms(pool, options))
       .map(vm => ({...vm, from: pool})),
   );
-  // A VM that idles in a pool that costs goes before one that is off.
-  return givers.sort(
+  // An idle VM in a pool that costs money is taken before one that is off.
+  return donors.sort(
     (left, right) => Number(right.from.standby) - Number(left.from.standby),
   );
 }
@@ -197,7 +234,7 @@
   pools: readonly PlannedPool[],
   options: PoolPlanOptions,
 ): number {
-  const fleet = pools.reduce(
+  const fleetVms = pools.reduce(
     (sum, pool) =>
       sum +
       pool.incomingVms +
@@ -206,63 +243,73 @@
   );
   return Math.max(
     options.maximumIncomingVms,
-    Math.ceil(options.maximumIncomingShare * fleet),
+    Math.ceil(options.maximumIncomingShare * fleetVms),
   );
 }
 
 function missingVms(
   pool: PlannedPool,
-  mostArrivingVms: number,
+  maximumIncoming: number,
   options: PoolPlanOptions,
 ): number {
   if (pool.standby) return 0;
-  const lacking = wantedVms(pool, options) - pool.usableVms - pool.incomingVms;
-  // Work can wait beside free room: a bound of tasks on one worker, or memory.
-  const stuck = pool.incomingVms === 0 && hasWaitedTooLong(pool, options);
+  const missing = wantedVms(pool, options) - pool.usableVms - pool.incomingVms;
+  // Work can wait although there is free capacity, because of a limit of tasks per
+  // worker or because of memory.
+  const isStuck = pool.incomingVms === 0 && hasWaitedTooLong(pool, options);
   return Math.min(
-    Math.max(lacking, stuck ? 1 : 0),
-    mostArrivingVms - pool.incomingVms,
+    Math.max(missing, isStuck ? 1 : 0),
+    maximumIncoming - pool.incomingVms,
   );
 }
 
-/** One VM at a time to the pool that lacks most, so that no pool takes all. */
+/**
+ * Assigns one VM at a time to the pool with the largest shortage, so that no pool takes
+ * all of them.
+ */
 function assignOneByOne(
-  needs: readonly PoolShortage[],
-  givers: DonorVm[],
+  shortages: readonly PoolShortage[],
+  donors: DonorVm[],
 ): PlannedMove[] {
   const moves: PlannedMove[] = [];
   for (;;) {
-    const need = needs.reduce<PoolShortage | undefined>(
-      (best, one) => (one.missingVms > (best?.missingVms ?? 0) ? one : best),
+    const largest = shortages.reduce<PoolShortage | undefined>(
+      (best, shortage) =>
+        shortage.missingVms > (best?.missingVms ?? 0) ? shortage : best,
       undefined,
     );
-    const giver = givers.at(-1);
-    if (!need || !giver) return moves;
-    givers.pop();
-    need.missingVms--;
+    const donor = donors.at(-1);
+    if (!largest || !donor) return moves;
+    donors.pop();
+    largest.missingVms--;
     moves.push({
-      vm: giver.name,
-      from: giver.from.service,
-      to: need.pool.service,
+      vm: donor.name,
+      from: donor.from.service,
+      to: largest.pool.service,
     });
   }
 }
 
 /**
- * Spare VMs of pools at rest, to pools whose work waits while no VM is off.
- * Load: a turn that asks for more than the whole fleet. Without it VMs of every other pool idle beside it.
+ * Assigns spare VMs of pools without waiting work to pools whose work is waiting while
+ * no VM is left in the standby pool.
+ * Load: a burst that needs more than the whole fleet. Without it, spare VMs of every
+ * other pool stay idle during the burst.
  */
 function assignSpareVms(
   pools: readonly PlannedPool[],
-  needs: readonly PoolShortage[],
+  shortages: readonly PoolShortage[],
   moves: readonly PlannedMove[],
   options: PoolPlanOptions,
 ): PlannedMove[] {
-  const pressed = needs.filter(
-    need => need.missingVms > 0 && need.pool.waitingMillicores > 0,
+  const pressing = shortages.filter(
+    shortage => shortage.missingVms > 0 && shortage.pool.waitingMillicores > 0,
   );
-  if (pressed.length === 0) return [];
-  const least = {...options, spareVms: options.spareVmsUnderPressure};
+  if (pressing.length === 0) return [];
+  const optionsUnderPressure = {
+    ...options,
+    spareVms: options.spareVmsUnderPressure,
+  };
   const taken = new Set(moves.map(move => move.vm));
   const spares = pools
     .filter(pool => !pool.standby && pool.waitingMillicores === 0)
@@ -270,25 +317,31 @@
       const given = pool.vms.filter(vm => taken.has(vm.name)).length;
       return pool.vms
         .filter(vm => !taken.has(vm.name) && isIdleEnough(vm, options))
-        .slice(0, Math.max(0, surplusVms(pool, least) - given))
+        .slice(0, Math.max(0, surplusVms(pool, optionsUnderPressure) - given))
         .map(vm => ({...vm, from: pool}));
     });
-  return assignOneByOne(pressed, spares);
+  return assignOneByOne(pressing, spares);
 }
 
-/** Busy VMs of pools that have more than their work is worth, the least useful first. */
+/**
+ * Returns busy VMs of pools that have more VMs than their work is worth, the least
+ * useful first.
+ */
 function vmsToCordon(
   pools: readonly PlannedPool[],
-  needs: readonly PoolShortage[],
+  shortages: readonly PoolShortage[],
   moves: readonly PlannedMove[],
   options: PoolPlanOptions,
 ): string[] {
-  let wanted = needs.reduce((sum, need) => sum + need.missingVms, 0);
+  let remaining = shortages.reduce(
+    (sum, shortage) => sum + shortage.missingVms,
+    0,
+  );
   const chosen: string[] = [];
   for (const pool of pools) {
     if (pool.standby) continue;
     const given = moves.filter(move => move.from === pool.service).length;
-    const most = Math.min(wanted, surplusVms(pool, options) - given);
+    const maximum = Math.min(remaining, surplusVms(pool, options) - given);
     const busy = pool.vms
       .filter(vm => vm.idleMilliseconds === undefined)
       .sort(
@@ -296,8 +349,8 @@
           Number(other.isCordoned) - Number(one.isCordoned) ||
           one.usedMillicores - other.usedMillicores,
       )
-      .slice(0, Math.max(0, most));
-    wanted -= busy.length;
+      .slice(0, Math.max(0, maximum));
+    remaining -= busy.length;
     chosen.push(...busy.map(vm => vm.name));
   }
   return chosen;
@@ -311,11 +364,11 @@
 }
 
 function releaseIdle(
-  givers: readonly DonorVm[],
+  donors: readonly DonorVm[],
   standby: PlannedPool,
   options: PoolPlanOptions,
 ): PlannedMove[] {
-  return givers
+  return donors
     .filter(
       vm =>
         !vm.from.standby && idleOf(vm) >= options.idleBeforeStandbyMilliseconds,
--- a/packages/scheduling/src/priority-boost-budget.ts
+++ b/packages/scheduling/src/priority-boost-budget.ts
@@ -1,18 +1,18 @@
-/** At most one job in this many is moved forward. */
+/** At most one in this many served jobs gets a priority boost. */
 const JOBS_PER_BOOST = 12;
 const MAXIMUM_AVAILABLE_BOOSTS = 4;
 
 /**
- * Bounds how many late jobs go ahead of ones that can still be in time.
- * Load: a burst just over what the pool holds. Without rescues the few jobs that fell behind are
- * never served, because something in time is always there; without a bound a long overload makes
- * everything late instead of some.
+ * Limits how many late jobs go ahead of jobs that can still finish in time.
+ * Load: a burst slightly larger than the pool. Without boosts, the few jobs that fell
+ * behind are never served, because there is always a job that can finish in time;
+ * without a limit, a long overload makes all jobs late instead of some.
  */
 export class PriorityBoostBudget {
   private availableBoosts = MAXIMUM_AVAILABLE_BOOSTS;
   private readonly granted = new Set<string>();
 
-  /** A job was served. */
+  /** Records that a job was served, which earns a fraction of a boost. */
   recordServed(): void {
     this.availableBoosts = Math.min(
       MAXIMUM_AVAILABLE_BOOSTS,
@@ -20,7 +20,7 @@
     );
   }
 
-  /** Whether `jobId` may go ahead; a job that may once may until it ends. */
+  /** Whether `jobId` may go ahead; once granted, the boost lasts until the job ends. */
   allows(jobId: string): boolean {
     if (this.granted.has(jobId)) return true;
     if (this.availableBoosts < 1) return false;
@@ -29,6 +29,7 @@
     return true;
   }
 
+  /** Forgets a job that has ended. */
   forget(jobId: string): void {
     this.granted.delete(jobId);
   }
--- a/packages/scheduling/src/round-delays.ts
+++ b/packages/scheduling/src/round-delays.ts
@@ -1,39 +1,54 @@
-/** How often something is done that costs what it costs. */
+/**
+ * Limits of the delay between two rounds of a recurring activity, relative to its own
+ * duration.
+ */
 interface DelayBounds {
   readonly minimumMilliseconds: number;
   readonly maximumMilliseconds: number;
-  /** Time between two goes, in times that the last one took. */
+  /** The delay as a multiple of the duration of the last round. */
   readonly durationMultiplier: number;
 }
 
-/** Least: one round serves the ends of several runs. Longest: room that is free for longer is felt by callers. */
+/**
+ * Minimum: one round handles the ends of several runs. Maximum: callers notice when
+ * free capacity stays unused for longer.
+ */
 const PLACEMENT: DelayBounds = {
   minimumMilliseconds: 5,
   maximumMilliseconds: 60,
-  // Rounds get a fifth of the processor time at most; the orders that they lead to need the rest.
+  // Rounds use at most a fifth of the processor time; the orders that result from them
+  // need the rest.
   durationMultiplier: 4,
 };
 
-/** Least: short against a move, so that a pool gets VMs within the first part of a burst. Longest: a wave's VM that is back counts as away for no more than this. */
+/**
+ * Minimum: short compared with a move, so that a pool gets VMs within the first part of
+ * a burst. Maximum: a VM that has returned from a wave's maintenance counts as absent
+ * for no longer than this.
+ */
 const FLEET_LIST: DelayBounds = {
   minimumMilliseconds: 100,
   maximumMilliseconds: 800,
-  // The list gets a fifth of the link at most: orders and polls go over it as well.
+  // The list uses at most a fifth of the link, which orders and polls use as well.
   durationMultiplier: 4,
 };
 
-/** Least: a VM is ordered this much after its work has come at most. Longest: short against a move. */
+/**
+ * Minimum: a VM is ordered at most this long after its work has arrived. Maximum: short
+ * compared with a move.
+ */
 const PLANNING: DelayBounds = {
   minimumMilliseconds: 40,
   maximumMilliseconds: 250,
-  // A round of planning looks at every VM and worker; orders need the processor more.
+  // A planning round examines every VM and worker; orders need the processor more.
   durationMultiplier: 15,
 };
 
 /**
- * Time to wait between two rounds of planning the pools.
- * Load: a turn that fills the coordinator's processor. Without a gap that grows with what a round
- * takes, planning a large fleet delays the orders that the VMs are wanted for.
+ * Returns the delay between two rounds of planning the pools.
+ * Load: a burst that saturates the coordinator's processor. Without a delay that grows
+ * with the duration of a round, planning a large fleet delays the very orders that the
+ * VMs are needed for.
  */
 export function planningDelayMilliseconds(
   lastRoundMilliseconds: number,
@@ -42,10 +57,11 @@
 }
 
 /**
- * Time to wait between two rounds of placement.
- * Load: a backlog of hundreds of jobs, while runs end hundreds of times a second. A round looks at
- * all jobs and workers of a service. Without a gap that grows with it the coordinator does nothing
- * but look, and the longer the backlog the fewer orders it gives.
+ * Returns the delay between two rounds of placement.
+ * Load: a backlog of hundreds of jobs, while hundreds of runs end per second. A round
+ * examines all jobs and workers of a service. Without a delay that grows with the
+ * duration of a round, the coordinator does nothing but placement rounds, and a longer
+ * backlog leads to fewer orders.
  */
 export function placementDelayMilliseconds(
   lastRoundMilliseconds: number,
@@ -54,9 +70,10 @@
 }
 
 /**
- * Time to wait between two readings of the list of VMs.
- * Load: a turn that fills the coordinator's link. The list names every VM; read at a fixed pace it takes
- * most of a small VM's link before the first order is given.
+ * Returns the delay between two reads of the list of VMs.
+ * Load: a burst that saturates the coordinator's link. The list contains every VM; read
+ * at a fixed interval, it takes most of a small VM's bandwidth before the first order
+ * is sent.
  */
 export function vmListDelayMilliseconds(
   lastReadingMilliseconds: number,
--- a/packages/scheduling/src/running-mean.ts
+++ b/packages/scheduling/src/running-mean.ts
@@ -1,15 +1,18 @@
-/** What a running mean has seen, for a successor. */
+/** State of a running mean, from which a successor continues. */
 export interface MeanSnapshot {
   readonly count: number;
   readonly mean: number;
 }
 
-/** Mean of the last so many figures, older ones counting less and less. */
+/**
+ * Mean of recent samples: an average of all of them up to `maximumWeight` samples,
+ * after which older samples count less and less.
+ */
 export class RunningMean {
   private count = 0;
   private mean = 0;
 
-  constructor(private readonly memory: number) {}
+  constructor(private readonly maximumWeight: number) {}
 
   get value(): number {
     return this.mean;
@@ -19,16 +22,16 @@
     return {count: this.count, mean: this.mean};
   }
 
-  /** Goes on from what another one has seen. */
+  /** Continues from the state of another running mean. */
   restore({count, mean}: MeanSnapshot): void {
-    this.count = Math.min(count, this.memory);
+    this.count = Math.min(count, this.maximumWeight);
     this.mean = mean;
   }
 
-  /** Notes a figure; returns the mean with it. */
-  observe(figure: number): number {
-    this.count = Math.min(this.count + 1, this.memory);
-    this.mean += (figure - this.mean) / this.count;
+  /** Records a sample and returns the updated mean. */
+  observe(sample: number): number {
+    this.count = Math.min(this.count + 1, this.maximumWeight);
+    this.mean += (sample - this.mean) / this.count;
     return this.mean;
   }
 }
--- a/packages/scheduling/src/sliding-maximum.ts
+++ b/packages/scheduling/src/sliding-maximum.ts
@@ -4,21 +4,25 @@
 }
 
 /**
- * Highest figure of the last moments.
- * Load: demand that is measured over less than a second and falls for a moment within a turn.
- * Without it VMs leave a pool and are fetched back: two moves, and work that waits in between.
+ * Maximum of the samples within a sliding time window.
+ * Load: demand that is measured over less than a second and drops briefly within a
+ * burst. Without it, VMs leave a pool and are moved back, which costs two moves while
+ * work waits.
  */
 export class SlidingMaximum {
-  /** Falling values, each with the newest time at which it was reached. */
+  /**
+   * Samples with strictly decreasing values, each with the latest time at which its
+   * value was reached.
+   */
   private samples: Sample[] = [];
 
   constructor(private readonly windowMilliseconds: number) {}
 
-  /** Notes the figure of now; returns the highest of the time that is held. */
+  /** Records the current value and returns the maximum within the window. */
   observe(value: number, now: number): number {
     const from = now - this.windowMilliseconds;
     this.samples = this.samples.filter(
-      figure => figure.at > from && figure.value > value,
+      sample => sample.at > from && sample.value > value,
     );
     this.samples.push({value, at: now});
     return this.samples[0].value;
--- a/packages/scheduling/src/spread-constraint.ts
+++ b/packages/scheduling/src/spread-constraint.ts
@@ -1,16 +1,19 @@
-/** Tasks of one step that wait or run, where only so many may share a worker. */
+/** Numbers of waiting and running tasks of a step that limits its tasks per worker. */
 export interface SpreadConstrainedStep {
   readonly waiting: number;
   readonly running: number;
-  /** Most tasks of the step on one worker; 0 for no bound. */
+  /** Maximum number of tasks of the step on one worker; 0 for no limit. */
   readonly maximumPerWorker: number;
 }
 
 /**
- * VMs that a pool needs since tasks of one step may not share them, however little room they take.
- * Load: tasks that last, one or two to a worker, in a pool at rest. By processor time they ask for a few VMs
- * that are there already: the pool is enlarged by one VM each time the last one has come, and the tasks wait
- * for half a minute beside room that they may not use. Steps share VMs with each other, so the widest counts.
+ * Returns the number of VMs that a pool needs because tasks of one step may not share
+ * them, however little capacity they take.
+ * Load: long-running tasks, one or two to a worker, in a pool that is otherwise quiet.
+ * Their processor time is covered by the few VMs already there, so without this the
+ * pool grows by one VM each time the previous one has arrived, and the tasks wait for
+ * half a minute next to capacity that they may not use. Steps can share VMs with each
+ * other, so the step that needs most VMs decides.
  */
 export function vmsForSpreadConstraint(
   steps: Iterable<SpreadConstrainedStep>,
--- a/packages/scheduling/src/stall-detection.ts
+++ b/packages/scheduling/src/stall-detection.ts
@@ -1,18 +1,18 @@
-/** A run as its worker shows it. */
+/** A run as reported by its worker. */
 export interface ObservedRun {
   /** Progress in whole percent. */
   readonly progressPercent: number;
-  /** How long the run has been known. */
+  /** Time since the run was first seen. */
   readonly ageMilliseconds: number;
-  /** How long `percent` has been the same. */
+  /** Time since `progressPercent` last changed. */
   readonly unchangedMilliseconds: number;
-  /** Run time to expect. */
+  /** Expected run time. */
   readonly expectedMilliseconds: number;
 }
 
 /** Share of the expected run time without progress that counts as a stall. */
 const STALL_SHARE = 0.25;
-/** Minimum time without progress; covers two polls. */
+/** Minimum time without progress that counts as a stall; covers two polls. */
 const MINIMUM_STALL_MILLISECONDS = 600;
 /** Minimum time before the first percent, which includes restoring a checkpoint. */
 const MINIMUM_STALL_AT_START_MILLISECONDS = 1_500;
@@ -22,21 +22,25 @@
 const FULL_PERCENT = 100;
 
 /**
- * Whether a run stands still and never ends.
- * Load: workers whose tasks hang while they answer all calls. Without it such a run keeps its job
- * waiting until the worker is replaced, and its lease is renewed all the while.
+ * Whether a run has stopped making progress and is not expected to end.
+ * Load: workers whose tasks hang while they still answer all calls. Without it, such a
+ * run keeps its job waiting until the worker is replaced, and its lease is renewed all
+ * the while.
  */
 export function isStalled(run: ObservedRun): boolean {
   if (run.progressPercent >= FULL_PERCENT) return false;
-  const least =
+  const minimum =
     run.progressPercent === 0
       ? MINIMUM_STALL_AT_START_MILLISECONDS
       : MINIMUM_STALL_MILLISECONDS;
-  const bound = Math.max(least, STALL_SHARE * run.expectedMilliseconds);
-  return run.unchangedMilliseconds >= bound;
+  const threshold = Math.max(minimum, STALL_SHARE * run.expectedMilliseconds);
+  return run.unchangedMilliseconds >= threshold;
 }
 
-/** Time until a run is late enough to be looked at more closely, in milliseconds; at most 0 when it is. */
+/**
+ * Returns the time in milliseconds until a run is so late that it is examined more
+ * closely; 0 or less if it already is.
+ */
 export function timeUntilOverdue(run: ObservedRun): number {
   const overdueAge =
     OVERDUE_FACTOR * run.expectedMilliseconds + OVERDUE_MILLISECONDS;
--- a/packages/scheduling/src/waiting-order.ts
+++ b/packages/scheduling/src/waiting-order.ts
@@ -6,59 +6,63 @@
   type RankedJob,
 } from './job-order.js';
 
-/** A waiting job with what it asks of its pool. */
+/** A waiting job with the work that it requires from its pool. */
 export interface WaitingWork extends RankedJob {
-  /** Millicores times milliseconds that its open tasks are expected to take. */
+  /** Sum over its open tasks of millicores times expected milliseconds. */
   readonly remainingMillicoreMilliseconds: number;
 }
 
-/** Room of a pool, in millicores. */
+/** Processor capacity of a pool, in millicores. */
 export interface PoolMillicores {
   readonly usableMillicores: number;
-  /** Of VMs that are on their way into it. */
+  /** Millicores of the VMs that are being moved into it. */
   readonly incomingMillicores: number;
 }
 
 /** Safety margin for wrong estimates, as a share of a job's critical path. */
 const ESTIMATE_MARGIN = 0.2;
-/** Safety margin when checking whether all jobs can be in time. */
+/**
+ * Safety margin when checking whether all jobs can finish in time, as a share of a
+ * job's critical path.
+ */
 const FEASIBILITY_MARGIN = 0.1;
-/** Rank of jobs that are put off: after those that can be in time, before late ones. */
+/** Rank of postponed jobs: after those that can finish in time, before late ones. */
 const POSTPONED_RANK = 1.2;
 
 /**
- * Sorts waiting jobs into the order in which they get room.
- * Load: a turn asks for more than the whole fleet holds. By latest start, which is best while VMs can
- * still be fetched, every job starts as late as it may and most are late by a little. So once not all can
- * be in time, the jobs that ask for most are put off until the others can be: most jobs are in time then.
+ * Sorts waiting jobs into the order in which they get capacity.
+ * Load: a burst that needs more than the whole fleet. Sorted by latest start, which is
+ * best while more VMs can still be moved in, every job starts as late as possible and
+ * most are slightly late. So once not all jobs can finish in time, those that require
+ * the most work are postponed until the others can: most jobs then finish in time.
  */
 export function orderWaiting<Job extends WaitingWork>(
   jobs: readonly Job[],
-  room: PoolMillicores,
+  pool: PoolMillicores,
   now: number,
 ): Job[] {
   const inTimeRank = rankOf(DeadlineFeasibility.InTime, false);
-  const hopeful = jobs.filter(job => job.rank === inTimeRank);
-  if (canAllBeInTime(hopeful, room, now))
+  const feasible = jobs.filter(job => job.rank === inTimeRank);
+  if (canAllBeInTime(feasible, pool, now))
     return [...jobs].sort(compareWaitingJobs);
-  const postponed = jobsToPostpone(hopeful, room.usableMillicores, now);
-  const rankNow = (job: Job) =>
+  const postponed = jobsToPostpone(feasible, pool.usableMillicores, now);
+  const effectiveRank = (job: Job) =>
     postponed.has(job) ? POSTPONED_RANK : job.rank;
   return [...jobs].sort(
     (left, right) =>
-      rankNow(left) - rankNow(right) ||
+      effectiveRank(left) - effectiveRank(right) ||
       left.priority - right.priority ||
       left.dueAt - right.dueAt,
   );
 }
 
-/** Whether each job starts in time when they get the room one after the other. */
+/** Whether every job starts in time if they get the capacity one after the other. */
 function canAllBeInTime(
   jobs: readonly WaitingWork[],
-  {usableMillicores, incomingMillicores: arrivingMillicores}: PoolMillicores,
+  {usableMillicores, incomingMillicores}: PoolMillicores,
   now: number,
 ): boolean {
-  const millicores = Math.max(1, usableMillicores + arrivingMillicores);
+  const millicores = Math.max(1, usableMillicores + incomingMillicores);
   let work = 0;
   for (const job of [...jobs].sort(compareWaitingJobs)) {
     const margin = FEASIBILITY_MARGIN * job.remainingCriticalPathMilliseconds;
@@ -69,8 +73,9 @@
 }
 
 /**
- * The jobs without which most others can be in time, by Moore and Hodgson: in the order of their ends,
- * each time one would be late the largest so far is put off.
+ * Returns the jobs whose postponement lets most of the others finish in time, by the
+ * Moore-Hodgson algorithm: goes through the jobs by deadline and, whenever one would be
+ * late, postpones the largest so far.
  */
 function jobsToPostpone<Job extends WaitingWork>(
   jobs: readonly Job[],
@@ -81,15 +86,16 @@
   const postponed = new Set<Job>();
   const kept: Job[] = [];
   let work = 0;
-  const byEnd = [...jobs].sort(
+  const byDeadline = [...jobs].sort(
     (left, right) => left.priority - right.priority || left.dueAt - right.dueAt,
   );
-  for (const job of byEnd) {
+  for (const job of byDeadline) {
     const startsAt = now + work / millicores;
-    const takes = (1 + ESTIMATE_MARGIN) * job.remainingCriticalPathMilliseconds;
+    const durationMilliseconds =
+      (1 + ESTIMATE_MARGIN) * job.remainingCriticalPathMilliseconds;
     insertByWork(kept, job);
     work += job.remainingMillicoreMilliseconds;
-    if (startsAt + takes <= job.dueAt) continue;
+    if (startsAt + durationMilliseconds <= job.dueAt) continue;
     const largest = kept.pop();
     if (!largest) continue;
     postponed.add(largest);
@@ -98,7 +104,7 @@
   return postponed;
 }
 
-/** Keeps the largest last. */
+/** Inserts a job so that `kept` stays sorted by work, the largest last. */
 function insertByWork<Job extends WaitingWork>(kept: Job[], job: Job): void {
   let low = 0;
   let high = kept.length;
--- a/packages/scheduling/src/wave-plan.ts
+++ b/packages/scheduling/src/wave-plan.ts
@@ -1,109 +1,127 @@
 /** A VM that is due for maintenance. */
 export interface DueVm {
   readonly name: string;
-  /** Nothing runs on it, or it is off. */
+  /** Nothing runs on it, or it is powered off. */
   readonly idle: boolean;
-  /** It is being emptied for the wave. */
+  /** It is being evacuated for the wave. */
   readonly isEvacuating: boolean;
-  /** Tasks that end by themselves. */
+  /** Number of tasks that end by themselves. */
   readonly shortTasks: number;
-  /** Long-running tasks that must be started elsewhere. */
+  /** Number of long-running tasks that must be restarted elsewhere. */
   readonly longRunningTasks: number;
-  /** Work waits in its pool. */
+  /** Work is waiting in its pool. */
   readonly inDemand: boolean;
 }
 
-/** A wave as it stands. */
+/** Current status of a wave. */
 export interface WaveStatus {
-  /** VMs that are up and have not had their maintenance. */
+  /** VMs that are up and still need their maintenance. */
   readonly due: readonly DueVm[];
-  /** VMs in maintenance or on their way there. */
+  /** Number of VMs in maintenance or about to enter it. */
   readonly inMaintenance: number;
   readonly maximumAtOnce: number;
   readonly remainingMilliseconds: number;
-  /** A maintenance with what comes after it. */
+  /** Duration of one maintenance, including what follows it. */
   readonly maintenanceMilliseconds: number;
-  /** Work waits that the VMs could take. */
+  /** Work is waiting that the VMs could take. */
   readonly hasWaitingWork: boolean;
 }
 
-/** What is done for a wave now. */
+/** Actions to take for a wave now. */
 export interface WavePlan {
-  /** VMs to maintain at once. */
+  /** VMs whose maintenance starts immediately. */
   readonly maintain: readonly string[];
-  /** VMs to empty: nothing new starts on them. */
+  /** VMs to evacuate: no new tasks start on them. */
   readonly evacuate: readonly string[];
 }
 
-/** Time to empty a VM. */
+/** Estimated time to evacuate a VM. */
 const EVACUATION_MILLISECONDS = 2_500;
-/** Time to move one long-running task; tasks of one step move one at a time. */
+/**
+ * Estimated time to move one long-running task; tasks of one step move one at a time.
+ */
 const LONG_RUNNING_TASK_MILLISECONDS = 700;
-/** Share of the remaining time that a wave plans to use. */
+/** Share of the remaining time within which a wave is planned to finish. */
 const PLANNED_SHARE = 0.65;
-/** Added to the weight of a VM whose pool lacks room. */
+/** Added to the evacuation cost of a VM whose pool is short of capacity. */
 const DEMAND_WEIGHT = 100;
 
 /**
- * Steps of a wave of maintenance.
- * Load: a wave over half of the VMs beside queues that ask by turns. Without it the wave takes the
- * spare VMs in one go just when a burst needs them, or ends late: VMs that idle go first and no
- * more at once than the time left asks for, and others are emptied when time runs short.
+ * Plans the next actions of a maintenance wave.
+ * Load: a wave over half of the VMs, next to queues whose bursts alternate. Without it,
+ * the wave takes all spare VMs at once just when a burst needs them, or finishes late.
+ * Idle VMs go first, and no more at once than the remaining time requires; other VMs
+ * are evacuated when time runs short.
  */
-export function planWave(standing: WaveStatus): WavePlan {
-  const allowed = Math.max(0, standing.maximumAtOnce - standing.inMaintenance);
-  const pace = Math.max(0, neededAtOnce(standing) - standing.inMaintenance);
-  const idle = standing.due.filter(vm => vm.idle);
-  const wanted = standing.hasWaitingWork && !isShortOfTime(standing) ? 0 : pace;
+export function planWave(status: WaveStatus): WavePlan {
+  const allowed = Math.max(0, status.maximumAtOnce - status.inMaintenance);
+  const needed = Math.max(0, neededAtOnce(status) - status.inMaintenance);
+  const idle = status.due.filter(vm => vm.idle);
+  const wanted = status.hasWaitingWork && !isShortOfTime(status) ? 0 : needed;
   const maintain = idle
     .slice(0, Math.min(allowed, Math.max(wanted, evacuatedCount(idle))))
     .map(vm => vm.name);
   return {
     maintain,
-    evacuate: vmsToEvacuate(standing, allowed - maintain.length),
+    evacuate: vmsToEvacuate(status, allowed - maintain.length),
   };
 }
 
-/** VMs that were emptied for the wave are of no other use. */
+/**
+ * Counts idle VMs that were evacuated for the wave: nothing new starts on them, so they
+ * are of no other use.
+ */
 function evacuatedCount(idle: readonly DueVm[]): number {
   return idle.filter(vm => vm.isEvacuating).length;
 }
 
-function vmsToEvacuate(standing: WaveStatus, free: number): string[] {
-  const busy = standing.due.filter(vm => !vm.idle);
-  const going = busy.filter(vm => vm.isEvacuating).map(vm => vm.name);
-  if (!isShortOfTime(standing)) return going;
+function vmsToEvacuate(status: WaveStatus, free: number): string[] {
+  const busy = status.due.filter(vm => !vm.idle);
+  const evacuating = busy.filter(vm => vm.isEvacuating).map(vm => vm.name);
+  if (!isShortOfTime(status)) return evacuating;
   const others = busy
     .filter(vm => !vm.isEvacuating)
     .sort((one, other) => evacuationCost(one) - evacuationCost(other))
     .map(vm => vm.name);
-  return [...going, ...others].slice(0, Math.max(going.length, free));
+  return [...evacuating, ...others].slice(0, Math.max(evacuating.length, free));
 }
 
-/** VMs that must be in maintenance at the same time for the wave to end in its planned time. */
-function neededAtOnce(standing: WaveStatus): number {
-  const usable = Math.max(1, PLANNED_SHARE * standing.remainingMilliseconds);
-  const work = standing.due.length * standing.maintenanceMilliseconds;
-  return Math.ceil(work / usable);
+/**
+ * Returns how many VMs must be in maintenance at the same time for the wave to finish
+ * within its planned time.
+ */
+function neededAtOnce(status: WaveStatus): number {
+  const plannedMilliseconds = Math.max(
+    1,
+    PLANNED_SHARE * status.remainingMilliseconds,
+  );
+  const totalMilliseconds = status.due.length * status.maintenanceMilliseconds;
+  return Math.ceil(totalMilliseconds / plannedMilliseconds);
 }
 
-/** Whether the VMs that don't idle by themselves must be emptied now. */
-function isShortOfTime(standing: WaveStatus): boolean {
+/**
+ * Whether so little time remains that VMs that do not become idle by themselves must be
+ * evacuated now.
+ */
+function isShortOfTime(status: WaveStatus): boolean {
   const rounds = Math.ceil(
-    standing.due.length / Math.max(1, standing.maximumAtOnce),
+    status.due.length / Math.max(1, status.maximumAtOnce),
   );
-  const longRunning = standing.due.reduce(
+  const longRunning = status.due.reduce(
     (sum, vm) => sum + vm.longRunningTasks,
     0,
   );
-  const needed =
-    rounds * standing.maintenanceMilliseconds +
+  const neededMilliseconds =
+    rounds * status.maintenanceMilliseconds +
     EVACUATION_MILLISECONDS +
     longRunning * LONG_RUNNING_TASK_MILLISECONDS;
-  return needed > PLANNED_SHARE * standing.remainingMilliseconds;
+  return neededMilliseconds > PLANNED_SHARE * status.remainingMilliseconds;
 }
 
-/** A long-running task is away for a while when it moves; one that ends only has to be waited for. */
+/**
+ * Returns the relative cost of evacuating a VM. A long-running task is interrupted when
+ * it moves, so it costs more than a task that only has to be waited for.
+ */
 function evacuationCost(vm: DueVm): number {
   return (
     (vm.inDemand ? DEMAND_WEIGHT : 0) + vm.longRunningTasks * 10 + vm.shortTasks
--- a/packages/scheduling/src/worker-choice.ts
+++ b/packages/scheduling/src/worker-choice.ts
@@ -5,50 +5,57 @@
   type PlacementWorker,
 } from './placement-worker.js';
 
-/** A task that is to be placed. */
+/** A task to be placed. */
 export interface PlacementRequest {
-  /** Names the step of the occurrence, for the bound of tasks on one worker. */
+  /** Identifies the step and its occurrence, for the limit of tasks per worker. */
   readonly stepKey: string;
   readonly step: StepSpecification;
-  /** Names its job. */
+  /** Identifies its job. */
   readonly job: string;
   readonly avoid: Avoidance;
-  /** Whether it is kept apart from other jobs' tasks that may crash the worker. */
+  /**
+   * Whether it must not share a worker with other jobs' tasks that may crash the
+   * worker.
+   */
   readonly isIsolated: boolean;
-  /** Monotonic milliseconds. */
+  /** Current monotonic time, in milliseconds. */
   readonly now: number;
 }
 
 /** Workers on which runs of a task have failed. */
 export interface Avoidance {
   readonly workers: ReadonlySet<string>;
-  /** The task rather waits than goes there; else they are its last choice. */
+  /**
+   * Whether the task waits rather than being placed on one of these workers; otherwise
+   * they are its last choice.
+   */
   readonly isMandatory: boolean;
 }
 
 /** Chooses a worker for a task. */
 export interface WorkerChoice {
-  /** Undefined when no worker can take the task now. */
+  /** Returns undefined if no worker can take the task now. */
   choose(
     request: PlacementRequest,
     workers: readonly PlacementWorker[],
   ): PlacementWorker | undefined;
 }
 
-/** Added for a worker on the preferred rack. */
+/** Added to the score of a worker on the preferred rack. */
 const RACK_BONUS = 10;
-/** Subtracted for a worker on which the task has failed before. */
+/** Subtracted from the score of a worker on which the task has failed before. */
 const AVOID_PENALTY = 100;
-/** Weight of trust: above fullness, below the rack. */
+/** Weight of reliability: above that of fullness, below that of the rack. */
 const RELIABILITY_WEIGHT = 4;
-/** Subtracted per best-effort task already on the worker. */
+/** Subtracted from the score for each best-effort task already on the worker. */
 const BEST_EFFORT_PENALTY = 1;
 
 /**
- * Fullest worker that fits.
- * Load: bursts of short tasks beside long-running tasks, in pools that give VMs away when they idle.
- * Without it every VM carries a little, none is ever idle, and the pool can't shrink. Best-effort
- * tasks go to the emptiest worker instead, since they slow down what serves beside them.
+ * Chooses the fullest worker on which the task fits.
+ * Load: bursts of short tasks next to long-running tasks, in pools that release idle
+ * VMs. Without it, every VM carries a little work, none is ever idle, and the pool
+ * cannot shrink. Best-effort tasks go to the emptiest worker instead, because they slow
+ * down the serving tasks on the same worker.
  */
 export class FullestFirst implements WorkerChoice {
   choose(
@@ -57,9 +64,9 @@
   ): PlacementWorker | undefined {
     let best: PlacementWorker | undefined;
     let bestScore = -Infinity;
-    const barred = excludedWorkers(request, workers);
+    const excluded = excludedWorkers(request, workers);
     for (const worker of workers) {
-      if (barred.has(worker.id) || !this.allowed(request, worker)) continue;
+      if (excluded.has(worker.id) || !this.canPlace(request, worker)) continue;
       const score = this.score(request, worker);
       if (score <= bestScore) continue;
       best = worker;
@@ -68,17 +75,21 @@
     return best;
   }
 
-  private allowed(request: PlacementRequest, worker: PlacementWorker): boolean {
+  private canPlace(
+    request: PlacementRequest,
+    worker: PlacementWorker,
+  ): boolean {
     const {step, stepKey} = request;
     if (!fitsOnWorker(worker, step)) return false;
-    if (!this.allowedBeside(request, worker)) return false;
-    // A suspect shows with one task at a time whether it is well again; more would be lost on it.
+    if (!this.satisfiesIsolation(request, worker)) return false;
+    // A single task shows whether a suspect worker has recovered; several would all be
+    // lost if it has not.
     if (worker.reliability <= 0 && worker.tasks > 0) return false;
     if (step.maximumPerWorker === 0) return true;
     return worker.taskCountOfStep(stepKey) < step.maximumPerWorker;
   }
 
-  private allowedBeside(
+  private satisfiesIsolation(
     {job, isIsolated, now}: PlacementRequest,
     worker: PlacementWorker,
   ): boolean {
@@ -103,20 +114,23 @@
 }
 
 /**
- * Workers on which the task has failed, for a while and while there is any other: in a full pool the
- * worker that fails at once is the one with room, and a task used up its attempts there. Not for good: the
- * others can be full of tasks that last, and a job with one attempt left waited beside an idle worker for
- * ever. A task that lasts fails now and then on sound workers too and must not run out of them.
+ * Returns the workers on which the task must not be placed because it has failed there,
+ * as long as there is any other worker. In a full pool the worker that fails tasks
+ * immediately is the one with free capacity, and a task used up all its attempts there.
+ * The exclusion is temporary: the other workers can be full of long-running tasks, and
+ * a job with one attempt left used to wait forever next to an idle worker. Long-running
+ * tasks are exempt: they occasionally fail on healthy workers too and must not run out
+ * of workers.
  */
 function excludedWorkers(
   {step, avoid}: PlacementRequest,
   workers: readonly PlacementWorker[],
 ): ReadonlySet<string> {
-  if (!avoid.isMandatory || step.longRunning) return NONE;
+  if (!avoid.isMandatory || step.longRunning) return NO_WORKERS;
   const other = workers.some(
     worker => !avoid.workers.has(worker.id) && hasRequiredLabel(worker, step),
   );
-  return other ? avoid.workers : NONE;
+  return other ? avoid.workers : NO_WORKERS;
 }
 
-const NONE: ReadonlySet<string> = new Set();
+const NO_WORKERS: ReadonlySet<string> = new Set();
--- a/packages/scheduling/src/worker-reliability.ts
+++ b/packages/scheduling/src/worker-reliability.ts
@@ -1,32 +1,36 @@
-/** Failure score at which a worker becomes suspect; each job adds at most one. */
+/** Failure score at which a worker becomes a suspect; each job adds at most 1. */
 const SUSPICION_THRESHOLD = 2.5;
-/** Time for which a suspect worker takes one task at a time. */
+/** Time for which a suspect worker gets one task at a time. */
 const SUSPICION_MILLISECONDS = 4_000;
 /** Half-life of the failure score. */
 const HALF_LIFE_MILLISECONDS = 4_000;
 /** Factor applied to the failure score after a successful run. */
 const KEPT_ON_SUCCESS = 0.5;
-/** Failures of a job on this many workers are attributed to the job. */
+/**
+ * Once a job has failed on this many workers, its failures are attributed to the job.
+ */
 const WORKERS_FOR_BAD_JOB = 2;
 
 interface WorkerRecord {
   failureScore: number;
   failureScoreAt: number;
   suspectUntil: number;
-  /** Jobs for which it was blamed. */
+  /** Jobs whose failures count in the score. */
   readonly jobs: Set<string>;
 }
 
 /**
- * Tells bad workers from bad jobs.
- * Load: a worker that fails all that it starts looks idle and draws all work; and beside it jobs
- * that fail wherever they run. Without it jobs use up their attempts on the worker. A job's first
- * failure is blamed on its worker; once the job has failed on a second one, the blame is taken back.
+ * Distinguishes faulty workers from faulty jobs.
+ * Load: a worker that fails every task that it starts looks idle and attracts all work;
+ * at the same time, some jobs fail wherever they run. Without it, jobs use up their
+ * attempts on the worker. A job's first failure counts against its worker; once the job
+ * has failed on a second worker, that is retracted.
  */
 export class WorkerReliability {
   private readonly workers = new Map<string, WorkerRecord>();
   private readonly failedOn = new Map<string, Set<string>>();
 
+  /** Records a successful run, which lowers the failure score and ends suspicion. */
   recordSuccess(worker: string): void {
     const record = this.workers.get(worker);
     if (!record) return;
@@ -35,7 +39,7 @@
     record.jobs.clear();
   }
 
-  /** Returns true when this makes the worker a suspect. */
+  /** Records a failed run; returns true if this makes the worker a suspect. */
   recordFailure(worker: string, job: string, now: number): boolean {
     const workers = this.workersOf(job);
     workers.add(worker);
@@ -54,7 +58,7 @@
     );
   }
 
-  /** The worker itself is to blame, whatever the job; returns false when it is a suspect already. */
+  /** Marks a worker as suspect whatever the job; returns false if it already is one. */
   markSuspect(worker: string, now: number): boolean {
     const record = this.recordOf(worker);
     const isNew = now >= record.suspectUntil;
@@ -62,13 +66,15 @@
     return isNew;
   }
 
-  /** Share of trust in [0, 1]; 0 for a suspect. */
+  /** Returns the reliability of a worker in [0, 1]; 0 for a suspect. */
   score(worker: string, now: number): number {
     const record = this.workers.get(worker);
     if (!record) return 1;
     if (now < record.suspectUntil) return 0;
-    const most = 2 * SUSPICION_THRESHOLD;
-    return 1 - Math.min(decayedFailureScore(record, now), most - 1) / most;
+    const maximum = 2 * SUSPICION_THRESHOLD;
+    return (
+      1 - Math.min(decayedFailureScore(record, now), maximum - 1) / maximum
+    );
   }
 
   forgetWorker(worker: string): void {
@@ -110,6 +116,6 @@
 
 function decayedFailureScore(record: WorkerRecord, now: number): number {
   if (record.failureScore === 0) return 0;
-  const halves = (now - record.failureScoreAt) / HALF_LIFE_MILLISECONDS;
-  return record.failureScore * 2 ** -halves;
+  const halfLives = (now - record.failureScoreAt) / HALF_LIFE_MILLISECONDS;
+  return record.failureScore * 2 ** -halfLives;
 }
