--- a/packages/organisations/src/__tests__/access.test.ts
+++ b/packages/organisations/src/__tests__/access.test.ts
@@ -9,7 +9,7 @@
   type Organisation,
 } from '../index.js';
 
-const BOUNDS = {
+const LIMITS = {
   configurationInForceMilliseconds: 3_000,
   extensionMilliseconds: 6_000,
 };
@@ -29,16 +29,11 @@
     wasRefreshed: undefined,
     ...differences,
   };
-  return decideAccess(facts, BOUNDS);
+  return decideAccess(facts, LIMITS);
 }
 
-describe('judgeAccess', () => {
-  const {
-    Admitted,
-    Refused,
-    NeedsRefresh: Verify,
-    Undetermined: Unsure,
-  } = AccessVerdict;
+describe('decideAccess', () => {
+  const {Admitted, Refused, NeedsRefresh, Undetermined} = AccessVerdict;
   const known = {organisation: ORGANISATION};
   const reads = {changesJobs: false};
   const cases: ReadonlyArray<
@@ -46,38 +41,42 @@
   > = [
     ['a public queue', {isPublic: true}, Admitted],
     [
-      'a public queue, nothing read for long',
+      'a public queue, configuration never read',
       {isPublic: true, ageMilliseconds: Infinity},
       Admitted,
     ],
     ['a known key', known, Admitted],
-    ['a known key, asked for a job', {...known, ...reads}, Admitted],
+    ['a known key, query about a job', {...known, ...reads}, Admitted],
     [
-      'new work by a configuration past its bound',
+      'new work, configuration past its maximum age',
       {...known, ageMilliseconds: 2_600},
-      Unsure,
+      Undetermined,
     ],
     [
-      'a question by a configuration past its bound',
+      'a query, configuration past its maximum age',
       {...known, ...reads, ageMilliseconds: 2_600},
       Admitted,
     ],
     [
-      'a question past the stretched bound',
+      'a query, configuration past the extended maximum age',
       {...known, ...reads, ageMilliseconds: 8_600},
-      Unsure,
+      Undetermined,
     ],
     [
-      'nothing was ever read',
+      'a query, configuration never read',
       {...known, ...reads, ageMilliseconds: Infinity},
-      Unsure,
+      Undetermined,
     ],
-    ['an unknown key', {}, Verify],
-    ['an unknown key, by an old configuration', {ageMilliseconds: 9e9}, Verify],
-    ['an unknown key, read again', {wasRefreshed: true}, Refused],
-    ['an unknown key, the store is silent', {wasRefreshed: false}, Unsure],
+    ['an unknown key', {}, NeedsRefresh],
+    ['an unknown key, old configuration', {ageMilliseconds: 9e9}, NeedsRefresh],
+    ['an unknown key, configuration read again', {wasRefreshed: true}, Refused],
     [
-      'a key that came with the reading',
+      'an unknown key, the store does not respond',
+      {wasRefreshed: false},
+      Undetermined,
+    ],
+    [
+      'a key that was added by the configuration read again',
       {...known, wasRefreshed: true},
       Admitted,
     ],
@@ -86,7 +85,7 @@
     it(`${what}: ${expected}`, () => assert.equal(verdict(facts), expected));
 });
 
-describe('maySee', () => {
+describe('mayAccessJob', () => {
   const job = {organisation: 'advisers', queue: 'quotes'};
   const caller = {
     organisation: 'advisers',
@@ -94,20 +93,28 @@
     isPublicQueue: false,
   };
 
-  it('shows a job to its organisation, through any of its queues', () => {
+  it('allows access to a job for its organisation, through any queue', () => {
     assert.ok(mayAccessJob(job, caller));
     assert.ok(mayAccessJob(job, {...caller, queue: 'reviews'}));
   });
 
-  it('hides a job from other organisations and from public queues', () => {
+  it('denies access to a job for other organisations and through public queues', () => {
     assert.ok(!mayAccessJob(job, {...caller, organisation: 'auditors'}));
-    const stranger = {...caller, organisation: undefined, isPublicQueue: true};
-    assert.ok(!mayAccessJob(job, {...stranger, queue: 'reviews'}));
+    const publicCaller = {
+      ...caller,
+      organisation: undefined,
+      isPublicQueue: true,
+    };
+    assert.ok(!mayAccessJob(job, {...publicCaller, queue: 'reviews'}));
   });
 
-  it('shows a job of no organisation, and one whose queue was opened', () => {
+  it('allows access to a job without an organisation and to one whose queue was made public', () => {
     assert.ok(mayAccessJob({queue: 'quotes'}, caller));
-    const stranger = {...caller, organisation: undefined, isPublicQueue: true};
-    assert.ok(mayAccessJob(job, stranger));
+    const publicCaller = {
+      ...caller,
+      organisation: undefined,
+      isPublicQueue: true,
+    };
+    assert.ok(mayAccessJob(job, publicCaller));
   });
 });
--- a/packages/organisations/src/__tests__/keys.test.ts
+++ b/packages/organisations/src/__tests__/keys.test.ts
@@ -19,41 +19,41 @@
   return {name, keyDigests: keys.map(digestKey), weight: 1, limit: NO_LIMIT};
 }
 
-describe('KeyRing', () => {
-  it('finds the owner of a key and of no other', () => {
-    const ring = new KeyOwnerIndex([
+describe('KeyOwnerIndex', () => {
+  it('finds the owner of a known key and none for an unknown one', () => {
+    const index = new KeyOwnerIndex([
       organisation('advisers', 'a1', 'a2'),
       organisation('auditors', 'b1'),
     ]);
-    assert.equal(ring.ownerOf('a2')?.name, 'advisers');
-    assert.equal(ring.ownerOf('b1')?.name, 'auditors');
-    assert.equal(ring.ownerOf('b'), undefined);
-    assert.equal(ring.ownerOf(''), undefined);
+    assert.equal(index.ownerOf('a2')?.name, 'advisers');
+    assert.equal(index.ownerOf('b1')?.name, 'auditors');
+    assert.equal(index.ownerOf('b'), undefined);
+    assert.equal(index.ownerOf(''), undefined);
   });
 
-  it('opens nothing with a key that two organisations hold', () => {
-    const ring = new KeyOwnerIndex([
+  it('finds no owner for a key that two organisations hold', () => {
+    const index = new KeyOwnerIndex([
       organisation('advisers', 'a1', 'same'),
       organisation('auditors', 'same', 'b1'),
     ]);
-    assert.equal(ring.ownerOf('same'), undefined);
-    assert.equal(ring.ownerOf('a1')?.name, 'advisers');
-    assert.deepEqual([...ring.conflictingOrganisations].sort(), [
+    assert.equal(index.ownerOf('same'), undefined);
+    assert.equal(index.ownerOf('a1')?.name, 'advisers');
+    assert.deepEqual([...index.conflictingOrganisations].sort(), [
       'advisers',
       'auditors',
     ]);
   });
 
-  it('knows every key that it was given, whatever its bytes, and no other', () => {
+  it('finds exactly the keys of its organisations, whatever their bytes', () => {
     fastCheck.assert(
       fastCheck.property(
         fastCheck.uniqueArray(fastCheck.string({minLength: 1, unit: 'binary'})),
         fastCheck.string({unit: 'binary', maxLength: 10_000}),
         (keys, other) => {
-          const ring = new KeyOwnerIndex([organisation('advisers', ...keys)]);
+          const index = new KeyOwnerIndex([organisation('advisers', ...keys)]);
           for (const key of keys)
-            assert.equal(ring.ownerOf(key)?.name, 'advisers');
-          const isKnown = ring.ownerOf(other) !== undefined;
+            assert.equal(index.ownerOf(key)?.name, 'advisers');
+          const isKnown = index.ownerOf(other) !== undefined;
           assert.equal(isKnown, keys.includes(other));
         },
       ),
@@ -61,12 +61,12 @@
   });
 });
 
-describe('OrganisationBook', () => {
-  it('goes on with what an organisation was while its settings are bad', () => {
-    const book = new OrganisationRegistry();
+describe('OrganisationRegistry', () => {
+  it('keeps the previous settings of an organisation while its new ones are invalid', () => {
+    const registry = new OrganisationRegistry();
     const before = organisation('advisers', 'a1');
-    book.replace({organisations: [before], rejected: []});
-    book.replace({
+    registry.replace({organisations: [before], rejected: []});
+    registry.replace({
       organisations: [organisation('auditors', 'b1')],
       rejected: [
         {name: 'advisers', reason: 'cap is not an object'},
@@ -74,29 +74,29 @@
         {name: undefined, reason: 'organisation is not an object'},
       ],
     });
-    assert.equal(book.keyOwners.ownerOf('a1')?.name, 'advisers');
-    assert.equal(book.keyOwners.ownerOf('b1')?.name, 'auditors');
-    assert.equal([...book.all()].length, 2);
+    assert.equal(registry.keyOwners.ownerOf('a1')?.name, 'advisers');
+    assert.equal(registry.keyOwners.ownerOf('b1')?.name, 'auditors');
+    assert.equal([...registry.all()].length, 2);
   });
 
-  it('keeps the limit of an organisation that has left, but not its keys', () => {
-    const book = new OrganisationRegistry();
+  it('keeps the limit of a removed organisation, but not its keys', () => {
+    const registry = new OrganisationRegistry();
     const limit = {...NO_LIMIT, processorMillicores: 4_000};
     const before = {...organisation('advisers', 'a1'), limit};
-    book.replace({organisations: [before], rejected: []});
-    book.replace({organisations: [], rejected: []});
-    assert.equal(book.keyOwners.ownerOf('a1'), undefined);
-    assert.deepEqual(book.find('advisers')?.limit, limit);
-    assert.deepEqual([...book.all()], []);
+    registry.replace({organisations: [before], rejected: []});
+    registry.replace({organisations: [], rejected: []});
+    assert.equal(registry.keyOwners.ownerOf('a1'), undefined);
+    assert.deepEqual(registry.find('advisers')?.limit, limit);
+    assert.deepEqual([...registry.all()], []);
   });
 });
 
-describe('OrganisationLabels', () => {
-  it('bounds the number of labels', () => {
+describe('OrganisationMetricLabels', () => {
+  it('limits the number of labels', () => {
     const labels = new OrganisationMetricLabels();
     const seen = new Set<string>();
-    for (let index = 0; index < 5_000; index++)
-      seen.add(labels.labelFor(`o${index}`));
+    for (let count = 0; count < 5_000; count++)
+      seen.add(labels.labelFor(`o${count}`));
     assert.ok(seen.size <= 51, `${seen.size} labels`);
     assert.equal(labels.labelFor('o0'), 'o0');
   });
@@ -119,7 +119,7 @@
     }
   }
 
-  const bounds = {
+  const limits = {
     configurationInForceMilliseconds: 3_000,
     extensionMilliseconds: 6_000,
   };
@@ -130,55 +130,57 @@
     clock: VirtualClock,
     key: string,
   ): Promise<AccessDecision> {
-    const admission = guard.admit({...call, key});
+    const decision = guard.admit({...call, key});
     await clock.advanceAsync(300);
-    return admission;
+    return decision;
   }
 
-  // An organisation's new key is refused by the daemons that have not read of it yet, though the operators'
-  // change is acknowledged: its callers give up on a key that is good. The guard reads again before it says no.
-  it('lets a new key in that the configuration at hand does not hold yet', async () => {
+  // A new key of an organisation was refused by daemons that had not read it yet,
+  // although the operators' change was acknowledged, and callers gave up on a valid
+  // key. The guard reads the configuration again before it refuses a key.
+  it('admits a new key that the current configuration does not contain yet', async () => {
     const source = new Source();
     source.next = new KeyOwnerIndex([organisation('advisers', 'old', 'new')]);
     const clock = new VirtualClock();
-    const guard = new AccessGuard(source, bounds, clock);
-    const admission = await admitted(guard, clock, 'new');
-    assert.equal(admission.verdict, AccessVerdict.Admitted);
-    assert.equal(admission.organisation?.name, 'advisers');
+    const guard = new AccessGuard(source, limits, clock);
+    const decision = await admitted(guard, clock, 'new');
+    assert.equal(decision.verdict, AccessVerdict.Admitted);
+    assert.equal(decision.organisation?.name, 'advisers');
   });
 
-  it('does not refuse a key while it can not be looked up', async () => {
+  it('does not refuse a key while the store does not respond', async () => {
     const source = new Source();
     source.answers = false;
     const clock = new VirtualClock();
-    const guard = new AccessGuard(source, bounds, clock);
+    const guard = new AccessGuard(source, limits, clock);
     const {verdict} = await admitted(guard, clock, 'new');
     assert.equal(verdict, AccessVerdict.Undetermined);
   });
 
-  // A caller that tries keys one after the other makes each daemon read the store for each of them: with
-  // forty daemons the store refuses everybody's calls. The calls of a quarter of a second share one reading.
-  it('reads a few times a second at most, however many unknown keys are tried', async () => {
+  // If a caller tries many keys and each makes every daemon read the store, with forty
+  // daemons the store rejects everybody's calls. The calls of a quarter of a second
+  // share one read.
+  it('reads at most a few times per second, however many unknown keys are tried', async () => {
     const clock = new VirtualClock();
     const source = new Source();
-    const guard = new AccessGuard(source, bounds, clock);
+    const guard = new AccessGuard(source, limits, clock);
     const verdicts: AccessVerdict[] = [];
-    for (let index = 0; index < 1_000; index++) {
+    for (let count = 0; count < 1_000; count++) {
       void guard
-        .admit({...call, key: `guess-${index}`})
+        .admit({...call, key: `guess-${count}`})
         .then(({verdict}) => verdicts.push(verdict));
       await clock.advanceAsync(1);
     }
     await clock.advanceAsync(500);
     assert.equal(verdicts.length, 1_000);
     assert.ok(verdicts.every(verdict => verdict === AccessVerdict.Refused));
-    assert.ok(source.reads <= 6, `${source.reads} readings`);
+    assert.ok(source.reads <= 6, `${source.reads} reads`);
   });
 
-  it('reads again for each unknown key that comes after the last reading', async () => {
+  it('reads again for an unknown key that arrives after the last read', async () => {
     const clock = new VirtualClock();
     const source = new Source();
-    const guard = new AccessGuard(source, bounds, clock);
+    const guard = new AccessGuard(source, limits, clock);
     assert.equal(
       (await admitted(guard, clock, 'new')).verdict,
       AccessVerdict.Refused,
@@ -190,9 +192,9 @@
     );
   });
 
-  it('reads nothing for a key that is known', async () => {
+  it('does not read the configuration for a known key', async () => {
     const source = new Source();
-    const guard = new AccessGuard(source, bounds, new VirtualClock());
+    const guard = new AccessGuard(source, limits, new VirtualClock());
     await guard.admit({...call, key: 'old'});
     assert.equal(source.reads, 0);
   });
--- a/packages/organisations/src/__tests__/share-policy.test.ts
+++ b/packages/organisations/src/__tests__/share-policy.test.ts
@@ -29,12 +29,12 @@
   ['other', 2],
 ]);
 
-function claims(ledger: ResourceReservations): PoolShares {
+function poolShares(reservations: ResourceReservations): PoolShares {
   return {
     capacity: POOL,
     totalWeight: 5,
     weightOf: name => WEIGHTS.get(name) ?? 0,
-    usedBy: name => ledger.usedBy(name),
+    usedBy: name => reservations.usedBy(name),
   };
 }
 
@@ -43,9 +43,12 @@
   readonly at: number;
 }
 
-/** A pool in which jobs take a second on average; counts the jobs of each organisation that wait for no more than that. */
+/**
+ * A pool in which jobs take one second on average; counts the jobs of each organisation
+ * that wait for at most that long.
+ */
 class Pool {
-  private readonly ledger = new ResourceReservations();
+  private readonly reservations = new ResourceReservations();
   private readonly random = new SeededRandom(11);
   private running: Array<{id: number; until: number}> = [];
   private waiting: Job[] = [];
@@ -62,14 +65,17 @@
 
   step(now: number): void {
     for (const {id, until} of this.running)
-      if (until <= now) this.ledger.release(String(id));
+      if (until <= now) this.reservations.release(String(id));
     this.running = this.running.filter(({until}) => until > now);
     const started = new Set<Job>();
-    for (const job of this.order.order(this.waiting, claims(this.ledger))) {
+    for (const job of this.order.order(
+      this.waiting,
+      poolShares(this.reservations),
+    )) {
       if (this.running.length >= 100) break;
       const takes = 200 + 1_600 * this.random.nextFraction();
       this.running.push({id: job.id, until: now + takes});
-      this.ledger.reserve(String(job.id), job.organisation ?? '', TASK);
+      this.reservations.reserve(String(job.id), job.organisation ?? '', TASK);
       started.add(job);
       if (now - job.at <= 1_000) this.notePrompt(job);
     }
@@ -90,8 +96,11 @@
   }
 }
 
-/** Ten seconds in which `hot` sends `times` its usual of 40 jobs a second, the others half of the room. */
-function playHotOrganisation(order: SharePolicy, times: number): Pool {
+/**
+ * Simulates ten seconds in which `hot` sends `times` its usual 40 jobs per second, and
+ * the others use half of the capacity.
+ */
+function simulateOverload(order: SharePolicy, times: number): Pool {
   const pool = new Pool(order);
   const random = new SeededRandom(5);
   const rates = new Map([
@@ -101,55 +110,56 @@
   ]);
   for (let now = 0; now < 10_000; now += 10) {
     for (const [organisation, rate] of rates)
-      for (let chance = rate * 10; chance > 0; chance--)
-        if (random.nextFraction() < chance) pool.send(organisation, now);
+      for (let expected = rate * 10; expected > 0; expected--)
+        if (random.nextFraction() < expected) pool.send(organisation, now);
     pool.step(now);
   }
   return pool;
 }
 
-describe('one organisation that sends five times its usual', () => {
-  // Everybody's jobs wait behind those of one organisation, which takes as much of the pool as it sends.
-  it('makes the others wait where nobody looks at shares', () => {
-    const pool = playHotOrganisation(new UnchangedOrder(), 5);
+describe('an organisation that sends five times its usual load', () => {
+  // All jobs wait behind those of one organisation, which takes capacity in proportion
+  // to what it sends.
+  it('makes the others wait if shares are ignored', () => {
+    const pool = simulateOverload(new UnchangedOrder(), 5);
     assert.ok(pool.promptShare('small') < 0.5);
     assert.ok(pool.promptShare('other') < 0.5);
   });
 
   for (const order of [new LeastShareFirst(), new OverShareLast()])
-    it(`costs the others nothing with ${order.constructor.name}`, () => {
-      const pool = playHotOrganisation(order, 5);
+    it(`does not delay the others with ${order.constructor.name}`, () => {
+      const pool = simulateOverload(order, 5);
       assert.ok(pool.promptShare('small') > 0.98);
       assert.ok(pool.promptShare('other') > 0.98);
-      assert.equal(pool.used, 100, 'what the others leave is used');
+      assert.equal(pool.used, 100, 'capacity left by the others is used');
     });
 
-  it('changes nothing while there is room for all', () => {
-    const pool = playHotOrganisation(new OverShareLast(), 1);
+  it('changes nothing while there is capacity for all', () => {
+    const pool = simulateOverload(new OverShareLast(), 1);
     for (const name of WEIGHTS.keys())
       assert.equal(pool.promptShare(name), 1, name);
   });
 });
 
-describe('useOfShare', () => {
-  it('counts the amount of which an organisation has most, for its weight', () => {
-    const ledger = new ResourceReservations();
-    ledger.reserve('a', 'small', {...TASK, memoryMegabytes: 40_000});
-    assert.equal(shareUtilisation('small', claims(ledger)), 1);
-    ledger.reserve('b', 'other', {...TASK, processorMillicores: 80_000});
-    assert.equal(shareUtilisation('other', claims(ledger)), 2);
+describe('shareUtilisation', () => {
+  it('uses the resource of which an organisation uses most, relative to its weight', () => {
+    const reservations = new ResourceReservations();
+    reservations.reserve('a', 'small', {...TASK, memoryMegabytes: 40_000});
+    assert.equal(shareUtilisation('small', poolShares(reservations)), 1);
+    reservations.reserve('b', 'other', {...TASK, processorMillicores: 80_000});
+    assert.equal(shareUtilisation('other', poolShares(reservations)), 2);
   });
 
-  it('gives no share to a weight of 0: its work goes last', () => {
-    const ledger = new ResourceReservations();
+  it('defers the work of an organisation with a weight of 0', () => {
+    const reservations = new ResourceReservations();
     const work: OrganisationWork[] = [
       {organisation: 'nobody'},
       {organisation: 'small'},
       {organisation: undefined},
     ];
-    const order = [...new OverShareLast().order(work, claims(ledger))].map(
-      ({organisation}) => organisation,
-    );
+    const order = [
+      ...new OverShareLast().order(work, poolShares(reservations)),
+    ].map(({organisation}) => organisation);
     assert.deepEqual(order, ['small', undefined, 'nobody']);
   });
 });
--- a/packages/organisations/src/access-guard.ts
+++ b/packages/organisations/src/access-guard.ts
@@ -8,68 +8,84 @@
 import type {KeyOwnerIndex} from './key-owner-index.js';
 import type {Organisation} from './organisation.js';
 
-/** The configuration as a guard needs it. */
+/** The configuration of keys as an access guard needs it. */
 export interface KeyConfiguration {
   readonly keyOwners: KeyOwnerIndex;
-  /** Milliseconds since the configuration at hand was the newest one for certain. */
+  /**
+   * Time in milliseconds since the current configuration was last known to be the
+   * newest one.
+   */
   readonly ageMilliseconds: number;
-  /** Reads the configuration anew; false when the store does not answer. */
+  /** Reads the configuration again; returns false if the store does not respond. */
   refresh(): Promise<boolean>;
 }
 
-/** A call that is to be judged. */
+/** A call for which access is decided. */
 export interface AccessRequest {
   readonly isPublic: boolean;
-  /** Empty where the call shows none. */
+  /** Empty if the call carries no key. */
   readonly key: string;
-  /** Whether the call hands in or cancels a job. */
+  /** Whether the call submits or cancels a job. */
   readonly changesJobs: boolean;
 }
 
-/** How a call was judged. */
+/** The decision on a call. */
 export interface AccessDecision {
   readonly verdict: AccessVerdict;
   readonly organisation: Organisation | undefined;
 }
 
-/** Unknown keys cost the store so many reads a second at most, however many calls show them. */
+/**
+ * Minimum time between two reads of the configuration, which limits the load that
+ * unknown keys put on the store, however many calls carry them.
+ */
 const MINIMUM_REFRESH_INTERVAL_MILLISECONDS = 250;
 
-/** Judges calls by their keys, and reads the configuration again before it refuses one. */
+/**
+ * Decides on calls by their keys, and reads the configuration again before it refuses
+ * one.
+ */
 export class AccessGuard {
   private refreshedAt = -Infinity;
-  /** A reading that has not begun yet. */
+  /** A read that has not started yet. */
   private pendingRefresh: Promise<boolean> | undefined;
 
   constructor(
     private readonly source: KeyConfiguration,
-    private readonly bounds: ConfigurationAgeLimits,
+    private readonly limits: ConfigurationAgeLimits,
     private readonly clock: Clock,
   ) {}
 
-  async admit(call: AccessRequest): Promise<AccessDecision> {
-    const first = this.decide(call, undefined);
-    if (first.verdict !== AccessVerdict.NeedsRefresh) return first;
-    return this.decide(call, await this.refresh());
+  /**
+   * Returns the decision on a call, after a refresh of the configuration if it is
+   * needed.
+   */
+  async admit(request: AccessRequest): Promise<AccessDecision> {
+    const decision = this.decide(request, undefined);
+    if (decision.verdict !== AccessVerdict.NeedsRefresh) return decision;
+    return this.decide(request, await this.refresh());
   }
 
   private decide(
     {isPublic, key, changesJobs}: AccessRequest,
-    wasVerified: boolean | undefined,
+    wasRefreshed: boolean | undefined,
   ): AccessDecision {
-    const {keyOwners: keys, ageMilliseconds} = this.source;
-    const organisation = isPublic ? undefined : keys.ownerOf(key);
+    const {keyOwners, ageMilliseconds} = this.source;
+    const organisation = isPublic ? undefined : keyOwners.ownerOf(key);
     const facts: AccessFacts = {
       isPublic,
       organisation,
       changesJobs,
       ageMilliseconds,
-      wasRefreshed: wasVerified,
+      wasRefreshed,
     };
-    return {verdict: decideAccess(facts, this.bounds), organisation};
+    return {verdict: decideAccess(facts, this.limits), organisation};
   }
 
-  /** Calls share the next reading: one that is under way may have missed what they wait for. */
+  /**
+   * Calls share the next read, since a read in flight may have missed the change that
+   * they are waiting for.
+   */
   private refresh(): Promise<boolean> {
     this.pendingRefresh ??= this.refreshAfterInterval();
     return this.pendingRefresh;
--- a/packages/organisations/src/access.ts
+++ b/packages/organisations/src/access.ts
@@ -1,72 +1,80 @@
 import type {Organisation} from './organisation.js';
 
-/** What is to be done with a call. */
+/** The outcome of an access decision. */
 export enum AccessVerdict {
   Admitted = 'admitted',
-  /** Its key opens nothing, by a configuration that was read after the call came. */
+  /**
+   * Its key gives no access according to a configuration read after the call arrived.
+   */
   Refused = 'refused',
-  /** The key is not known; a newer configuration may hold it. */
+  /** The key is unknown, but a newer configuration may contain it. */
   NeedsRefresh = 'verify',
-  /** The configuration at hand is too old to tell. */
+  /** The current configuration is too old to decide. */
   Undetermined = 'unsure',
 }
 
-/** What is known of a call when it is judged. */
+/** Facts on which the decision about a call is based. */
 export interface AccessFacts {
-  /** The queue asks for no key. */
+  /** Whether the queue requires no key. */
   readonly isPublic: boolean;
-  /** Whose key it is by the configuration at hand. */
+  /** Owner of the key according to the current configuration. */
   readonly organisation: Organisation | undefined;
-  /** Whether the call hands in or cancels a job. */
+  /** Whether the call submits or cancels a job. */
   readonly changesJobs: boolean;
-  /** Milliseconds since the configuration at hand was the newest one for certain. */
+  /**
+   * Time in milliseconds since the current configuration was last known to be the
+   * newest one.
+   */
   readonly ageMilliseconds: number;
-  /** Whether the configuration was read again since the call came; undefined where that was not tried. */
+  /**
+   * Whether the configuration has been read again since the call arrived; undefined if
+   * that has not been attempted.
+   */
   readonly wasRefreshed: boolean | undefined;
 }
 
-/** How old a configuration may be, in milliseconds. */
+/** Maximum age of a configuration, in milliseconds. */
 export interface ConfigurationAgeLimits {
-  /** Within this a configuration is in force everywhere. */
+  /** Time within which a configuration is in force everywhere. */
   readonly configurationInForceMilliseconds: number;
-  /** So much longer where the store serves only some of the daemons. */
+  /**
+   * Added to the maximum age for calls that change nothing, for times when the store
+   * serves only some of the daemons.
+   */
   readonly extensionMilliseconds: number;
 }
 
-/** Room for the way of a call and for clocks that run apart. */
+/** Allows for the latency of a call and for clocks that differ. */
 const MARGIN_MILLISECONDS = 500;
 
 /**
- * Judges a call by its key.
- * Load: a store that turns some daemons away while keys come and go. A daemon that goes on by an old
- * configuration serves a key that was taken away; one that refuses all it does not know turns away an
- * organisation with a new key. So a key is refused only by what was read after the call came, and new work is
- * taken only while the configuration is within its bound; asking for a job goes on until that is stretched.
+ * Decides on a call by its key.
+ * Load: a store that rejects some daemons while keys are added and revoked. Without
+ * these rules, a daemon that continues with an old configuration accepts a revoked key,
+ * and one that refuses every unknown key rejects an organisation with a new key. So a
+ * key is refused only by a configuration read after the call arrived, and new work is
+ * accepted only while the configuration is within its maximum age; queries about jobs
+ * are answered until the extended maximum age.
  */
 export function decideAccess(
   facts: AccessFacts,
-  bounds: ConfigurationAgeLimits,
+  limits: ConfigurationAgeLimits,
 ): AccessVerdict {
-  const {
-    isPublic,
-    organisation,
-    changesJobs,
-    wasRefreshed: wasVerified,
-  } = facts;
+  const {isPublic, organisation, changesJobs, wasRefreshed} = facts;
   if (isPublic) return AccessVerdict.Admitted;
   if (!organisation) {
-    if (wasVerified === undefined) return AccessVerdict.NeedsRefresh;
-    return wasVerified ? AccessVerdict.Refused : AccessVerdict.Undetermined;
+    if (wasRefreshed === undefined) return AccessVerdict.NeedsRefresh;
+    return wasRefreshed ? AccessVerdict.Refused : AccessVerdict.Undetermined;
   }
-  const bound =
-    bounds.configurationInForceMilliseconds +
-    (changesJobs ? 0 : bounds.extensionMilliseconds);
-  return facts.ageMilliseconds <= bound - MARGIN_MILLISECONDS
+  const maximumAge =
+    limits.configurationInForceMilliseconds +
+    (changesJobs ? 0 : limits.extensionMilliseconds);
+  return facts.ageMilliseconds <= maximumAge - MARGIN_MILLISECONDS
     ? AccessVerdict.Admitted
     : AccessVerdict.Undetermined;
 }
 
-/** Who calls, and through which queue. */
+/** A caller and the queue through which it calls. */
 export interface Caller {
   /** Undefined for a caller of a public queue. */
   readonly organisation: string | undefined;
@@ -74,17 +82,17 @@
   readonly isPublicQueue: boolean;
 }
 
-/** The part of a job that decides who may see it. */
+/** The part of a job that decides who may access it. */
 export interface OwnedJob {
   /** Undefined for a job of a public queue. */
   readonly organisation?: string;
   readonly queue: string;
 }
 
-/** Whether a caller may ask for a job or cancel it. */
+/** Whether a caller may query a job or cancel it. */
 export function mayAccessJob(job: OwnedJob, caller: Caller): boolean {
   if (job.organisation === undefined) return true;
   if (job.organisation === caller.organisation) return true;
-  // Operators have opened the queue of the job to all.
+  // Operators have made the queue of the job public.
   return caller.isPublicQueue && caller.queue === job.queue;
 }
--- a/packages/organisations/src/limit-fit.ts
+++ b/packages/organisations/src/limit-fit.ts
@@ -1,17 +1,18 @@
 import type {Resources} from './organisation.js';
 import {isWithin} from './resource-reservations.js';
 
-/** The part of a step that says what must run together. */
+/** The part of a step that determines which resources are needed at the same time. */
 export interface StepResources extends Resources {
   readonly taskCount: number;
-  /** The tasks work only together. */
+  /** The tasks can only run together. */
   readonly gang: boolean;
 }
 
 /**
- * Whether each step of a job can run at some time within a limit.
- * Load: a job whose single task, or whose gang, asks for more than its organisation may ever have. Taken in it
- * would wait for room that never comes; its caller is better told at once.
+ * Whether each step of a job can ever run within a limit.
+ * Load: a job whose single task or whose gang needs more than its organisation may ever
+ * have. Without this check, the job is accepted and waits for capacity that never
+ * becomes available; rejecting it immediately tells its caller.
  */
 export function canEverRun(
   steps: readonly StepResources[],
--- a/packages/organisations/src/organisation-registry.ts
+++ b/packages/organisations/src/organisation-registry.ts
@@ -6,19 +6,19 @@
   type Resources,
 } from './organisation.js';
 
-/** Organisations as one version of the configuration names them. */
+/** The organisations in one version of the configuration. */
 export interface OrganisationList {
   readonly organisations: readonly Organisation[];
   readonly rejected: readonly RejectedOrganisation[];
 }
 
-/** The organisations in force, through all versions of the configuration. */
+/** Keeps the current organisations across all versions of the configuration. */
 export class OrganisationRegistry {
   private present = new Map<string, Organisation>();
   private readonly departed = new Map<string, Organisation>();
   private keyOwnerIndex = new KeyOwnerIndex([]);
 
-  /** Organisations of the newest version. */
+  /** Returns the organisations of the newest version. */
   all(): Iterable<Organisation> {
     return this.present.values();
   }
@@ -27,7 +27,10 @@
     return this.keyOwnerIndex;
   }
 
-  /** Takes a newer version. One whose settings can't be read stays as it was: the others must not wait for it. */
+  /**
+   * Applies a newer version. An organisation whose settings cannot be read keeps its
+   * previous ones, so that it does not hold up the others.
+   */
   replace({organisations, rejected}: OrganisationList): void {
     const next = new Map(organisations.map(one => [one.name, one]));
     for (const {name = ''} of rejected) {
@@ -41,12 +44,18 @@
     this.keyOwnerIndex = new KeyOwnerIndex(next.values());
   }
 
-  /** Also finds one that has left the configuration: what was taken in from it goes on within its last limit. */
+  /**
+   * Also finds an organisation that was removed from the configuration: its accepted
+   * work continues within its last limit.
+   */
   find(name: string): Organisation | undefined {
     return this.present.get(name) ?? this.departed.get(name);
   }
 
-  /** Its limit, also of one that has left; none where it is not known. */
+  /**
+   * Returns the limit of an organisation, including a removed one; no limit if it is
+   * unknown.
+   */
   limitOf(name: string): Resources {
     return this.find(name)?.limit ?? NO_LIMIT;
   }
--- a/packages/organisations/src/resource-reservations.ts
+++ b/packages/organisations/src/resource-reservations.ts
@@ -12,16 +12,17 @@
 };
 
 /**
- * What each organisation may have running, over all workers.
- * A run counts from before its order is sent until it is known to be over: an order that is answered late
- * or never, a run on a silent worker, and one that an earlier coordinator ordered may all be alive, and an
- * organisation would be brought over its limit by what is started in their place.
+ * Tracks the resources that each organisation's runs may be using, over all workers.
+ * A run counts from before its order is sent until it is known to have ended. An order
+ * that is answered late or never, a run on an unresponsive worker and a run ordered by
+ * an earlier coordinator may all be alive; without counting them, the runs started in
+ * their place would take the organisation over its limit.
  */
 export class ResourceReservations {
   private readonly entries = new Map<string, Entry>();
   private readonly sums = new Map<string, Resources>();
 
-  /** Counts a run; `runName` is its own among all runs. */
+  /** Reserves resources for a run; `runName` is unique among all runs. */
   reserve(runName: string, organisation: string, amount: Resources): void {
     if (this.entries.has(runName)) return;
     this.entries.set(runName, {organisation, amount});
@@ -31,60 +32,67 @@
     );
   }
 
-  /** The run is over; returns its organisation, undefined where it was not counted. */
+  /**
+   * Releases the resources of a run that has ended; returns its organisation, or
+   * undefined if the run was not counted.
+   */
   release(runName: string): string | undefined {
     const entry = this.entries.get(runName);
     if (!entry) return undefined;
     this.entries.delete(runName);
     const {organisation, amount} = entry;
-    const left = difference(this.usedBy(organisation), amount);
-    if (isNothing(left)) this.sums.delete(organisation);
-    else this.sums.set(organisation, left);
+    const remaining = difference(this.usedBy(organisation), amount);
+    if (isZero(remaining)) this.sums.delete(organisation);
+    else this.sums.set(organisation, remaining);
     return organisation;
   }
 
-  /** Organisations of which runs are counted. */
+  /** Returns the organisations whose runs are counted. */
   organisations(): Iterable<string> {
     return this.sums.keys();
   }
 
+  /** Returns the resources reserved by an organisation. */
   usedBy(organisation: string): Resources {
     return this.sums.get(organisation) ?? NO_RESOURCES;
   }
 
-  /** Whether tasks of these amounts may all start now. */
+  /** Whether tasks with these amounts may all start now. */
   canReserve(
     organisation: string,
     limit: Resources,
     amounts: readonly Resources[],
   ): boolean {
     const used = this.usedBy(organisation);
-    const isAlone = amounts.length === 1 && isNothing(used);
-    // A limit below the size of one task must not hold up for good what was taken in.
+    const isAlone = amounts.length === 1 && isZero(used);
+    // A limit below the size of one task must not block accepted work forever.
     return isAlone || isWithin(sumResources([used, ...amounts]), limit);
   }
 
-  /** Whether what is counted for an organisation is within a limit, that of a single run at least. */
+  /**
+   * Whether the resources reserved by an organisation are within a limit; those of a
+   * single run always are.
+   */
   isWithinLimit(
     organisation: string,
     limit: Resources,
     last: Resources,
   ): boolean {
     const used = this.usedBy(organisation);
-    return isWithin(used, limit) || isNothing(difference(used, last));
+    return isWithin(used, limit) || isZero(difference(used, last));
   }
 }
 
-/** Whether an amount is within a limit; a limit of 0 is none. */
+/** Whether an amount is within a limit, where 0 means no limit. */
 export function isWithin(amount: Resources, limit: Resources): boolean {
   return (
-    isUnder(amount.processorMillicores, limit.processorMillicores) &&
-    isUnder(amount.memoryMegabytes, limit.memoryMegabytes) &&
-    isUnder(amount.accelerators, limit.accelerators)
+    isValueWithin(amount.processorMillicores, limit.processorMillicores) &&
+    isValueWithin(amount.memoryMegabytes, limit.memoryMegabytes) &&
+    isValueWithin(amount.accelerators, limit.accelerators)
   );
 }
 
-/** Sum of amounts of room. */
+/** Returns the sum of resource amounts. */
 export function sumResources(amounts: readonly Resources[]): Resources {
   return amounts.reduce(
     (total, one) => ({
@@ -104,11 +112,11 @@
   };
 }
 
-function isUnder(value: number, limit: number): boolean {
+function isValueWithin(value: number, limit: number): boolean {
   return limit === 0 || value <= limit;
 }
 
-function isNothing(amount: Resources): boolean {
+function isZero(amount: Resources): boolean {
   return (
     amount.processorMillicores <= 0 &&
     amount.memoryMegabytes <= 0 &&
--- a/packages/organisations/src/share-policy.ts
+++ b/packages/organisations/src/share-policy.ts
@@ -1,35 +1,36 @@
 import {groupBy} from '@gentiandoor/kernel';
 import type {Resources} from './organisation.js';
 
-/** Claims of organisations on the room of one pool, as they are now. */
+/** Current shares of organisations in the capacity of one pool. */
 export interface PoolShares {
-  /** Room of all its workers. */
+  /** Capacity of all its workers. */
   readonly capacity: Resources;
-  /** Of the organisations that have work there. */
+  /** Sum of the weights of the organisations that have work there. */
   readonly totalWeight: number;
   weightOf(organisation: string): number;
   usedBy(organisation: string): Resources;
 }
 
-/** Work of an organisation that waits. */
+/** Waiting work of an organisation. */
 export interface OrganisationWork {
-  /** Undefined for work of no organisation: it is never put behind. */
+  /** Undefined for work without an organisation, which is never deferred. */
   readonly organisation: string | undefined;
 }
 
-/** Decides whose work goes first when a pool has no room for all of it. */
+/** Decides whose work goes first when a pool has no capacity for all of it. */
 export interface SharePolicy {
   /**
-   * Yields waiting work, which comes in the order in which it would get room by itself. Each piece may be
-   * given room before the next one is asked for: the claims change with it.
+   * Yields waiting work, which is passed in the order in which it would otherwise get
+   * capacity. Each item may get capacity before the next one is requested, which
+   * changes the shares.
    */
   order<Work extends OrganisationWork>(
     waiting: readonly Work[],
-    claims: PoolShares,
+    shares: PoolShares,
   ): Iterable<Work>;
 }
 
-/** Leaves the order as it is. */
+/** Keeps the order unchanged. */
 export class UnchangedOrder implements SharePolicy {
   order<Work extends OrganisationWork>(
     waiting: readonly Work[],
@@ -38,76 +39,90 @@
   }
 }
 
-/** Always the work of the organisation that has least of the pool for its weight. */
+/**
+ * Always yields work of the organisation that uses the least of the pool relative to
+ * its weight.
+ */
 export class LeastShareFirst implements SharePolicy {
   *order<Work extends OrganisationWork>(
     waiting: readonly Work[],
-    claims: PoolShares,
+    shares: PoolShares,
   ): Iterable<Work> {
-    const lanes = groupBy(waiting, ({organisation}) => organisation);
-    while (lanes.size > 0) {
-      const [organisation, lane] = laneWithLeastShare(lanes, claims);
-      const [first] = lane.splice(0, 1);
-      if (lane.length === 0) lanes.delete(organisation);
+    const queues = groupBy(waiting, ({organisation}) => organisation);
+    while (queues.size > 0) {
+      const [organisation, queue] = queueWithLeastShare(queues, shares);
+      const [first] = queue.splice(0, 1);
+      if (queue.length === 0) queues.delete(organisation);
       yield first;
     }
   }
 }
 
-function laneWithLeastShare<Work>(
-  lanes: ReadonlyMap<string | undefined, Work[]>,
-  claims: PoolShares,
+function queueWithLeastShare<Work>(
+  queues: ReadonlyMap<string | undefined, Work[]>,
+  shares: PoolShares,
 ): [string | undefined, Work[]] {
   let best: [string | undefined, Work[]] | undefined;
   let least = Infinity;
-  for (const lane of lanes) {
-    const [organisation] = lane;
-    const use =
-      organisation === undefined ? 0 : shareUtilisation(organisation, claims);
-    if (best && use >= least) continue;
-    best = lane;
-    least = use;
+  for (const queue of queues) {
+    const [organisation] = queue;
+    const utilisation =
+      organisation === undefined ? 0 : shareUtilisation(organisation, shares);
+    if (best && utilisation >= least) continue;
+    best = queue;
+    least = utilisation;
   }
-  if (!best) throw new RangeError('no lane is left');
+  if (!best)
+    throw new RangeError(
+      'expected at least one organisation with waiting work, found none',
+    );
   return best;
 }
 
-/** An organisation may have so many times its share before its work goes behind: jobs come in clusters. */
+/**
+ * Share utilisation above which the work of an organisation is deferred. Since jobs
+ * arrive in clusters, an organisation may use up to this multiple of its share.
+ */
 const MAXIMUM_SHARE_UTILISATION = 1;
 
 /**
- * Work of organisations that have more of the pool than their weight gives them goes behind all other work.
- * Load: one organisation sends several times its usual, and the pool is full. Without it its jobs, which are as
- * urgent as those of the others, take as much of the room as there are of them, and everybody is late. What
- * the others leave it still gets.
+ * Defers the work of organisations that use more of the pool than their weight entitles
+ * them to, behind all other work.
+ * Load: one organisation sends several times its usual amount of work, and the pool is
+ * full. Without it, its jobs, which are as urgent as those of the others, take capacity
+ * in proportion to their number, and every organisation's jobs are late. It still gets
+ * what the others leave unused.
  */
 export class OverShareLast implements SharePolicy {
   *order<Work extends OrganisationWork>(
     waiting: readonly Work[],
-    claims: PoolShares,
+    shares: PoolShares,
   ): Iterable<Work> {
-    const behind: Work[] = [];
+    const deferred: Work[] = [];
     for (const work of waiting) {
       const {organisation} = work;
-      const isBeyond =
+      const isOverShare =
         organisation !== undefined &&
-        shareUtilisation(organisation, claims) > MAXIMUM_SHARE_UTILISATION;
-      if (isBeyond) behind.push(work);
+        shareUtilisation(organisation, shares) > MAXIMUM_SHARE_UTILISATION;
+      if (isOverShare) deferred.push(work);
       else yield work;
     }
-    yield* behind;
+    yield* deferred;
   }
 }
 
-/** How many times its share of the pool an organisation has, by the amount of which it has most. */
+/**
+ * Returns how many times its share of the pool an organisation uses, by the resource of
+ * which it uses most.
+ */
 export function shareUtilisation(
   organisation: string,
-  claims: PoolShares,
+  shares: PoolShares,
 ): number {
-  const weight = claims.weightOf(organisation);
+  const weight = shares.weightOf(organisation);
   if (weight <= 0) return Infinity;
-  const share = weight / claims.totalWeight;
-  return dominantShare(claims.usedBy(organisation), claims.capacity) / share;
+  const share = weight / shares.totalWeight;
+  return dominantShare(shares.usedBy(organisation), shares.capacity) / share;
 }
 
 function dominantShare(amount: Resources, pool: Resources): number {
