--- a/packages/decisions/src/__tests__/ejection.test.ts
+++ b/packages/decisions/src/__tests__/ejection.test.ts
@@ -11,7 +11,7 @@
 const {InUse, Ejected, Probation} = EjectionState;
 const {ServerError, Succeeded, Unreachable, CallerGone, Busy} = OutcomeKind;
 
-function targetsOf(sizes: readonly number[], nearRacks = sizes.length) {
+function targetsOf(sizes: readonly number[], localRacks = sizes.length) {
   const targets: EjectionTarget[] = [];
   sizes.forEach((size, rack) => {
     for (let index = 0; index < size; index++) {
@@ -19,7 +19,7 @@
       targets.push({
         id,
         rack: `rack-${rack}`,
-        isSameDataCentre: rack < nearRacks,
+        isSameDataCentre: rack < localRacks,
       });
     }
   });
@@ -38,15 +38,15 @@
 }
 
 describe('BoundedEjection', () => {
-  function build(sizes: readonly number[], nearRacks?: number) {
+  function build(sizes: readonly number[], localRacks?: number) {
     const changes: EjectionStateChange[] = [];
     const ejection = new BoundedEjection(change => changes.push(change));
-    ejection.setTargets(targetsOf(sizes, nearRacks));
+    ejection.setTargets(targetsOf(sizes, localRacks));
     return {ejection, changes};
   }
 
-  describe('with a target that fails everything', () => {
-    it('ejects it after five failures in a row and says so', () => {
+  describe('with a target that fails every request', () => {
+    it('ejects it after five consecutive failures and notifies of the change', () => {
       const {ejection, changes} = build([4, 4]);
       fail(ejection, 'vm-0', 4);
       assert.equal(ejection.stateOf('vm-0', 0), InUse);
@@ -58,13 +58,13 @@
       );
     });
 
-    it('needs three refused connections only', () => {
+    it('ejects it after only three refused connections', () => {
       const {ejection} = build([4, 4]);
       fail(ejection, 'vm-0', 3, 0, Unreachable);
       assert.equal(ejection.stateOf('vm-0', 0), Ejected);
     });
 
-    it('stays out twice as long after a failed probation', () => {
+    it('doubles the ejection after a failed probation', () => {
       const {ejection} = build([4, 4]);
       fail(ejection, 'vm-0', 5);
       assert.equal(ejection.stateOf('vm-0', 2000), Probation);
@@ -73,7 +73,7 @@
       assert.equal(ejection.stateOf('vm-0', 6000), Probation);
     });
 
-    it('comes back after three good answers on probation', () => {
+    it('restores it after three successes on probation', () => {
       const {ejection} = build([4, 4]);
       fail(ejection, 'vm-0', 5);
       for (let count = 0; count < 3; count++)
@@ -83,7 +83,7 @@
   });
 
   describe('with late failures of exchanges begun before the ejection', () => {
-    it('does not lengthen the time out', () => {
+    it('does not extend the ejection', () => {
       const {ejection} = build([4, 4]);
       fail(ejection, 'vm-0', 20);
       assert.equal(ejection.stateOf('vm-0', 2000), Probation);
@@ -91,7 +91,7 @@
   });
 
   describe('with a target that fails half of its exchanges', () => {
-    it('ejects it though never five fail in a row', () => {
+    it('ejects it although five failures never occur in a row', () => {
       const {ejection} = build([4, 4]);
       for (let count = 0; count < 100; count++) {
         const isGood = count % 3 === 0;
@@ -101,8 +101,8 @@
     });
   });
 
-  describe('with callers that leave and targets that are busy', () => {
-    it('holds it against no target', () => {
+  describe('with callers that give up and busy targets', () => {
+    it('counts neither against a target', () => {
       const {ejection} = build([4, 4]);
       fail(ejection, 'vm-0', 50, 0, CallerGone);
       fail(ejection, 'vm-0', 50, 0, Busy);
@@ -119,21 +119,21 @@
     });
   });
 
-  // A database behind all targets fails, so every target answers errors. Callers get those errors
-  // whatever is ejected; but with seven of eight ejected the whole load would go to the last one
-  // and fell it, and after the fault the callers would still meet one overloaded target. Past the
-  // bound all are used, and as the fault ends none stays out for what was not its fault.
-  describe('with a fault that all targets share', () => {
+  // A database behind all targets fails, so every target returns errors, whatever is ejected. With
+  // seven of eight targets ejected the whole load would overload the last one, and callers would
+  // still meet one overloaded target after the fault. Above the limit all targets are used, and
+  // when the fault ends none stays ejected because of it.
+  describe('with a fault shared by all targets', () => {
     const all = targetsOf([4, 4]).map(({id}) => id);
 
-    it('uses every target once more than the bound look bad', () => {
+    it('uses every target once more targets are failing than may be ejected', () => {
       const {ejection} = build([4, 4]);
       for (const id of all) fail(ejection, id, 5);
       assert.equal(ejection.isSharedFault, true);
       assert.ok(all.every(id => ejection.stateOf(id, 0) === InUse));
     });
 
-    it('leaves none ejected when the fault ends', () => {
+    it('leaves no target ejected when the fault ends', () => {
       const {ejection} = build([4, 4]);
       for (const id of all) fail(ejection, id, 30);
       for (const id of all.slice(0, 4)) {
@@ -145,22 +145,23 @@
     });
   });
 
-  // The data centre is cut off: what is near works, all else fails after a wait. If the far targets
-  // counted as a fault that all share, each request past the near slots would wait for a dead one.
+  // The data centre is cut off: targets in it work, all others time out. If those of other data
+  // centres counted as a shared fault, each request beyond the local slots would wait for an
+  // unreachable target.
   describe('with all targets of other data centres failing', () => {
-    it('keeps them out and goes on with its own', () => {
+    it('keeps them ejected and continues with its own data centre', () => {
       const {ejection} = build([2, 4, 4], 1);
-      const far = targetsOf([2, 4, 4], 1).filter(
+      const remote = targetsOf([2, 4, 4], 1).filter(
         ({isSameDataCentre: isNear}) => !isNear,
       );
-      for (const {id} of far) fail(ejection, id, 5);
+      for (const {id} of remote) fail(ejection, id, 5);
       assert.equal(ejection.isSharedFault, false);
-      assert.ok(far.every(({id}) => ejection.stateOf(id, 0) === Ejected));
+      assert.ok(remote.every(({id}) => ejection.stateOf(id, 0) === Ejected));
     });
   });
 
-  describe('with all near targets failing', () => {
-    it('ejects them while far ones work', () => {
+  describe('with all targets of its own data centre failing', () => {
+    it('ejects them while those of other data centres work', () => {
       const {ejection} = build([2, 4, 4], 1);
       fail(ejection, 'vm-0', 5);
       fail(ejection, 'vm-1', 5);
@@ -176,8 +177,8 @@
     });
   });
 
-  describe('with a target that leaves the pool while it is out', () => {
-    it('forgets it, so that the bound counts those that are left', () => {
+  describe('with a target that leaves the pool while ejected', () => {
+    it('forgets it, so that the limit counts only the remaining targets', () => {
       const {ejection} = build([4, 4]);
       for (const id of ['vm-0', 'vm-1', 'vm-2', 'vm-3']) fail(ejection, id, 5);
       const rest = targetsOf([4, 4]).filter(({id}) => id > 'vm-3');
--- a/packages/decisions/src/__tests__/fair-queue.test.ts
+++ b/packages/decisions/src/__tests__/fair-queue.test.ts
@@ -13,14 +13,14 @@
 } from '../request-queue.js';
 import {WorkLength} from '../work-length.js';
 
-const LONGEST_WAIT = 1000;
-const HOLD = 50;
+const MAXIMUM_WAIT_MILLISECONDS = 1000;
+const SLOT_MILLISECONDS = 50;
 
-function team(name: string, terms: Partial<TeamPolicy> = {}): TeamPolicy {
-  return {name, weight: 1, slots: 1000, urgent: false, ...terms};
+function team(name: string, overrides: Partial<TeamPolicy> = {}): TeamPolicy {
+  return {name, weight: 1, slots: 1000, urgent: false, ...overrides};
 }
 
-function waiter(changes: Partial<QueuedRequest> = {}): QueuedRequest {
+function queuedRequest(changes: Partial<QueuedRequest> = {}): QueuedRequest {
   const enqueuedAt = changes.enqueuedAt ?? 0;
   return {
     service: 'counter-preview',
@@ -28,30 +28,30 @@
     work: WorkLength.Short,
     team: team('counter'),
     caller: 'tailor',
-    enqueuedAt: enqueuedAt,
-    deadline: enqueuedAt + LONGEST_WAIT,
+    enqueuedAt,
+    deadline: enqueuedAt + MAXIMUM_WAIT_MILLISECONDS,
     ...changes,
   };
 }
 
-/** A pool with `slots` exchanges of 50 ms in flight. */
-function busyDrain(slots: number): SlotReleaseRate {
-  const drain = new SlotReleaseRate();
+/** Builds the release rate of a pool with `slots` exchanges of 50 ms in flight. */
+function busyReleaseRate(slots: number): SlotReleaseRate {
+  const releaseRate = new SlotReleaseRate();
   for (let count = 0; count < slots; count++) {
-    drain.onStart(WorkLength.Short);
-    drain.onAnswered(WorkLength.Short, HOLD);
+    releaseRate.onStart(WorkLength.Short);
+    releaseRate.onAnswered(WorkLength.Short, SLOT_MILLISECONDS);
   }
-  return drain;
+  return releaseRate;
 }
 
 function build(
   slots = 8,
-  gate: WorkLengthPolicy = new EqualWorkLengthPolicy(),
+  policy: WorkLengthPolicy = new EqualWorkLengthPolicy(),
 ) {
-  return new FairQueue<QueuedRequest>(busyDrain(slots), gate);
+  return new FairQueue<QueuedRequest>(busyReleaseRate(slots), policy);
 }
 
-function drainAll(queue: FairQueue<QueuedRequest>, now = 0): QueuedRequest[] {
+function dequeueAll(queue: FairQueue<QueuedRequest>, now = 0): QueuedRequest[] {
   const order: QueuedRequest[] = [];
   for (;;) {
     const item = queue.dequeue(now, () => true);
@@ -61,24 +61,24 @@
 }
 
 describe('FairQueue', () => {
-  describe('with one caller that sends most', () => {
-    it('takes callers of a team in turn', () => {
+  describe('with one caller that sends most requests', () => {
+    it('serves the callers of a team in turn', () => {
       const queue = build();
       for (let count = 0; count < 10; count++)
-        queue.enqueue(waiter({caller: 'heavy'}), 0);
-      queue.enqueue(waiter({caller: 'light'}), 0);
-      const order = drainAll(queue).map(item => item.caller);
+        queue.enqueue(queuedRequest({caller: 'heavy'}), 0);
+      queue.enqueue(queuedRequest({caller: 'light'}), 0);
+      const order = dequeueAll(queue).map(item => item.caller);
       assert.ok(order.indexOf('light') <= 1, order.join());
     });
 
-    it('lets its newest give way when the line is full', () => {
+    it('evicts its newest request when the queue is full', () => {
       const queue = build(64);
       for (let count = 0; count < 64; count++)
-        queue.enqueue(waiter({caller: 'heavy'}), 0);
-      const light = waiter({caller: 'light'});
-      const turned = queue.enqueue(light, 0);
+        queue.enqueue(queuedRequest({caller: 'heavy'}), 0);
+      const light = queuedRequest({caller: 'light'});
+      const rejections = queue.enqueue(light, 0);
       assert.deepEqual(
-        turned.map(({item, reason}) => [item.caller, reason]),
+        rejections.map(({item, reason}) => [item.caller, reason]),
         [['heavy', QueueRejectionReason.Full]],
       );
       assert.equal(queue.length, 64);
@@ -86,30 +86,33 @@
     });
   });
 
-  describe('with one team that sends most', () => {
+  describe('with one team that sends most requests', () => {
     it('serves teams by weight', () => {
       const queue = build(64);
       for (let count = 0; count < 30; count++) {
-        queue.enqueue(waiter({team: team('one'), caller: `a${count}`}), 0);
         queue.enqueue(
-          waiter({team: team('two', {weight: 2}), caller: `b${count}`}),
+          queuedRequest({team: team('one'), caller: `a${count}`}),
+          0,
+        );
+        queue.enqueue(
+          queuedRequest({team: team('two', {weight: 2}), caller: `b${count}`}),
           0,
         );
       }
-      const first = drainAll(queue).slice(0, 30);
+      const first = dequeueAll(queue).slice(0, 30);
       const two = first.filter(item => item.team.name === 'two').length;
       assert.equal(two, 20);
     });
 
-    it('gives a team that was away no savings', () => {
+    it('gives a team no credit for the time it was absent', () => {
       const queue = build(64);
       const busy = team('busy');
       for (let count = 0; count < 40; count++)
-        queue.enqueue(waiter({team: busy}), 0);
+        queue.enqueue(queuedRequest({team: busy}), 0);
       for (let count = 0; count < 20; count++) queue.dequeue(0, () => true);
       for (let count = 0; count < 10; count++)
-        queue.enqueue(waiter({team: team('late')}), 0);
-      const next = drainAll(queue).slice(0, 10);
+        queue.enqueue(queuedRequest({team: team('late')}), 0);
+      const next = dequeueAll(queue).slice(0, 10);
       const late = next.filter(item => item.team.name === 'late').length;
       assert.equal(late, 5);
     });
@@ -120,17 +123,17 @@
 
     it('serves it first', () => {
       const queue = build();
-      queue.enqueue(waiter(), 0);
-      queue.enqueue(waiter({team: urgent}), 0);
+      queue.enqueue(queuedRequest(), 0);
+      queue.enqueue(queuedRequest({team: urgent}), 0);
       assert.equal(queue.dequeue(0, () => true)?.team.name, 'rescue');
     });
 
-    it('lets one in eight others through a flood of it', () => {
+    it('serves one other request in eight during a flood of urgent work', () => {
       const queue = build(64);
       for (let count = 0; count < 40; count++)
-        queue.enqueue(waiter({team: urgent, service: 'rescue'}), 0);
-      for (let count = 0; count < 3; count++) queue.enqueue(waiter(), 0);
-      const order = drainAll(queue).map(item => item.team.name);
+        queue.enqueue(queuedRequest({team: urgent, service: 'rescue'}), 0);
+      for (let count = 0; count < 3; count++) queue.enqueue(queuedRequest(), 0);
+      const order = dequeueAll(queue).map(item => item.team.name);
       assert.equal(order.indexOf('counter'), 7);
       assert.equal(
         order.slice(0, 24).filter(name => name === 'counter').length,
@@ -139,46 +142,47 @@
     });
   });
 
-  describe('with more than can be served in time', () => {
-    it('turns a request away as it comes in', () => {
+  describe('with more requests than can be served in time', () => {
+    it('rejects a request on entry', () => {
       const queue = build(1);
-      let turned = 0;
+      let rejections = 0;
       for (let count = 0; count < 64; count++)
-        turned += queue.enqueue(waiter(), 0).length;
-      // One slot of 50 ms serves 20 in the second that they may wait.
+        rejections += queue.enqueue(queuedRequest(), 0).length;
+      // One slot of 50 ms serves 20 in the second for which they may wait.
       assert.equal(queue.length, 19);
-      assert.equal(turned, 45);
+      assert.equal(rejections, 45);
     });
 
-    it('turns it away again when the wait turned out longer', () => {
+    it('rejects a queued request later if its wait turns out longer', () => {
       const queue = build();
-      const item = waiter();
+      const item = queuedRequest();
       queue.enqueue(item, 0);
-      assert.deepEqual(queue.removeExpired(LONGEST_WAIT - 1), []);
-      assert.deepEqual(queue.removeExpired(LONGEST_WAIT), [
+      assert.deepEqual(queue.removeExpired(MAXIMUM_WAIT_MILLISECONDS - 1), []);
+      assert.deepEqual(queue.removeExpired(MAXIMUM_WAIT_MILLISECONDS), [
         {item, reason: QueueRejectionReason.DeadlineExceeded},
       ]);
       assert.equal(queue.remove(item), false);
     });
   });
 
-  // Requests come at four times what the targets can do, without end. With a bound on length only
-  // every caller waits for the whole line: the answers come late and the line never gets shorter.
-  // A team that has waited for longer than a burst may last is kept to two exchanges' time.
+  // Requests arrive without end at four times the capacity of the targets. With a limit on length
+  // only, every caller waits for the whole queue: responses are late and the queue never shrinks. A
+  // team that has been waiting for longer than a burst may last is limited to the time of two
+  // exchanges.
   describe('with a standing queue', () => {
-    function standing() {
+    function buildStandingQueue() {
       const queue = build(8);
-      queue.enqueue(waiter({deadline: 10_000}), 0);
+      queue.enqueue(queuedRequest({deadline: 10_000}), 0);
       return queue;
     }
 
-    it('turns away what would wait for more than two exchanges', () => {
-      const queue = standing();
-      const now = LONGEST_WAIT + 1;
+    it('rejects requests that would wait for more than two exchanges', () => {
+      const queue = buildStandingQueue();
+      const now = MAXIMUM_WAIT_MILLISECONDS + 1;
       const reasons: QueueRejectionReason[] = [];
       for (let count = 0; count < 32; count++) {
-        const turned = queue.enqueue(waiter({enqueuedAt: now}), now);
-        reasons.push(...turned.map(({reason}) => reason));
+        const rejections = queue.enqueue(queuedRequest({enqueuedAt: now}), now);
+        reasons.push(...rejections.map(({reason}) => reason));
       }
       assert.equal(queue.length, 16);
       assert.ok(
@@ -186,14 +190,14 @@
       );
     });
 
-    it('does not cut another team short', () => {
-      const queue = standing();
-      const now = LONGEST_WAIT + 1;
+    it('does not shorten the wait of another team', () => {
+      const queue = buildStandingQueue();
+      const now = MAXIMUM_WAIT_MILLISECONDS + 1;
       for (let count = 0; count < 32; count++)
-        queue.enqueue(waiter({enqueuedAt: now}), now);
+        queue.enqueue(queuedRequest({enqueuedAt: now}), now);
       const other = {team: team('crest'), enqueuedAt: now};
       for (let count = 0; count < 16; count++)
-        assert.deepEqual(queue.enqueue(waiter(other), now), []);
+        assert.deepEqual(queue.enqueue(queuedRequest(other), now), []);
     });
   });
 
@@ -204,10 +208,10 @@
       onStart: () => {},
     };
 
-    it('goes on to short work behind it', () => {
+    it('serves the short work behind it', () => {
       const queue = build(8, closed);
-      queue.enqueue(waiter({work: WorkLength.Long}), 0);
-      queue.enqueue(waiter(), 0);
+      queue.enqueue(queuedRequest({work: WorkLength.Long}), 0);
+      queue.enqueue(queuedRequest(), 0);
       assert.equal(queue.dequeue(0, () => true)?.work, WorkLength.Short);
       assert.equal(
         queue.dequeue(0, () => true),
@@ -217,10 +221,10 @@
   });
 
   describe('with a team that may not start', () => {
-    it('goes on to the next team', () => {
+    it('serves the next team', () => {
       const queue = build();
-      queue.enqueue(waiter({team: team('bounded')}), 0);
-      queue.enqueue(waiter({team: team('free')}), 0);
+      queue.enqueue(queuedRequest({team: team('bounded')}), 0);
+      queue.enqueue(queuedRequest({team: team('free')}), 0);
       const item = queue.dequeue(0, ({team: {name}}) => name !== 'bounded');
       assert.equal(item?.team.name, 'free');
     });
--- a/packages/decisions/src/__tests__/fair-share.test.ts
+++ b/packages/decisions/src/__tests__/fair-share.test.ts
@@ -16,21 +16,21 @@
 }
 
 describe('fairShare', () => {
-  describe('with nobody else', () => {
-    it('gives everything', () => {
+  describe('with no other participant', () => {
+    it('assigns everything', () => {
       assert.equal(fairShare('vm', SLOTS, 'a', []), SLOTS);
     });
   });
 
-  describe('with a peer that wants little', () => {
-    it('gives what the peer leaves', () => {
+  describe('with a peer of small demand', () => {
+    it('assigns what the peer leaves', () => {
       const others = [{name: 'b', demand: 2}];
       assert.equal(fairShare('vm', SLOTS, 'a', others), SLOTS - 2);
     });
   });
 
-  describe('with peers that all want everything', () => {
-    it('gives out each slot once, whatever the number of daemons', () => {
+  describe('with peers of unbounded demand', () => {
+    it('assigns each slot once, whatever the number of daemons', () => {
       fc.assert(
         fc.property(
           fc.uniqueArray(fc.string({minLength: 1}), {
@@ -47,7 +47,7 @@
       );
     });
 
-    it('does not give the slot left over to one daemon for all targets', () => {
+    it('does not assign the leftover slot to the same daemon for all targets', () => {
       const names = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
       const winners = new Set<number>();
       for (let target = 0; target < 40; target++) {
--- a/packages/decisions/src/__tests__/retry-budget.test.ts
+++ b/packages/decisions/src/__tests__/retry-budget.test.ts
@@ -10,7 +10,7 @@
 } from '../retry-budget.js';
 import {OutcomeKind} from '../target-outcome.js';
 
-function question(changes: Partial<FailedAttempt> = {}): FailedAttempt {
+function failedAttempt(changes: Partial<FailedAttempt> = {}): FailedAttempt {
   return {
     kind: OutcomeKind.ServerError,
     sent: true,
@@ -21,25 +21,25 @@
 }
 
 describe('RetryBudget', () => {
-  describe('for a request that may not run twice', () => {
-    const once = question({idempotent: false});
+  describe('for a request that must not run twice', () => {
+    const once = failedAttempt({idempotent: false});
 
-    it('never sends again what went out', () => {
+    it('never retries if bytes were sent', () => {
       for (const kind of [
         OutcomeKind.ServerError,
         OutcomeKind.ConnectionLost,
         OutcomeKind.TimedOut,
         OutcomeKind.Truncated,
       ]) {
-        const verdict = new RetryBudget(new VirtualClock()).decide({
+        const decision = new RetryBudget(new VirtualClock()).decide({
           ...once,
           kind,
         });
-        assert.equal(verdict, RetryDecision.MayHaveRun);
+        assert.equal(decision, RetryDecision.MayHaveRun);
       }
     });
 
-    it('sends again what did not go out or what the target refused', () => {
+    it('retries if nothing was sent or the target refused it', () => {
       const budget = new RetryBudget(new VirtualClock());
       const unsent = {...once, kind: OutcomeKind.Unreachable, sent: false};
       assert.equal(budget.decide(unsent), RetryDecision.Retry);
@@ -48,36 +48,39 @@
     });
   });
 
-  describe('when everything fails', () => {
+  describe('when every request fails', () => {
     it('adds no more than a fifth to the load', () => {
       const budget = new RetryBudget(new VirtualClock());
       let retries = 0;
       for (let request = 0; request < 1000; request++) {
         budget.onFirstAttempt();
-        if (budget.decide(question()) === RetryDecision.Retry) retries++;
+        if (budget.decide(failedAttempt()) === RetryDecision.Retry) retries++;
       }
       assert.ok(retries >= 195 && retries <= 205, `${retries} retries`);
-      assert.equal(budget.decide(question()), RetryDecision.BudgetExhausted);
+      assert.equal(
+        budget.decide(failedAttempt()),
+        RetryDecision.BudgetExhausted,
+      );
     });
   });
 
   describe('after a quiet night', () => {
-    it('has saved no more than fifty retries', () => {
+    it('has accumulated no more than fifty retries', () => {
       const clock = new VirtualClock();
       const budget = new RetryBudget(clock);
       clock.advance(12 * 3600 * 1000);
       let retries = 0;
-      while (budget.decide(question()) === RetryDecision.Retry) retries++;
+      while (budget.decide(failedAttempt()) === RetryDecision.Retry) retries++;
       assert.equal(retries, 50);
     });
   });
 
-  describe('for a request that had its attempts', () => {
-    it('stops', () => {
+  describe('for a request that has used all its attempts', () => {
+    it('does not retry', () => {
       const budget = new RetryBudget(new VirtualClock());
-      const last = question({attempts: MAXIMUM_ATTEMPTS});
+      const last = failedAttempt({attempts: MAXIMUM_ATTEMPTS});
       assert.equal(budget.decide(last), RetryDecision.AttemptsExhausted);
-      const busy = question({
+      const busy = failedAttempt({
         kind: OutcomeKind.Busy,
         attempts: MAXIMUM_BUSY_ATTEMPTS,
       });
@@ -85,10 +88,10 @@
     });
   });
 
-  describe('for a caller that left', () => {
-    it('does nothing', () => {
+  describe('for a caller that gave up', () => {
+    it('does not retry', () => {
       const budget = new RetryBudget(new VirtualClock());
-      const gone = question({kind: OutcomeKind.CallerGone, sent: false});
+      const gone = failedAttempt({kind: OutcomeKind.CallerGone, sent: false});
       assert.equal(budget.decide(gone), RetryDecision.CallerGone);
     });
   });
--- a/packages/decisions/src/__tests__/routable-targets.test.ts
+++ b/packages/decisions/src/__tests__/routable-targets.test.ts
@@ -4,7 +4,7 @@
 
 const LIMITS = {slots: 8, connections: 64};
 
-function facts(id: string, changes: Partial<PoolVm> = {}): PoolVm {
+function poolVm(id: string, changes: Partial<PoolVm> = {}): PoolVm {
   return {
     id,
     isDraining: false,
@@ -32,65 +32,69 @@
 const NAMES = ['a', 'b', 'c', 'd'];
 
 describe('RoutableTargets', () => {
-  it('tells near targets from far ones', () => {
-    const [near] = new RoutableTargets('hall-a').select(
-      [facts('a')],
+  it('distinguishes targets of its own data centre from others', () => {
+    const [local] = new RoutableTargets('hall-a').select(
+      [poolVm('a')],
+      LIMITS,
+      0,
+    );
+    const [remote] = new RoutableTargets('hall-b').select(
+      [poolVm('a')],
       LIMITS,
       0,
     );
-    const [far] = new RoutableTargets('hall-b').select([facts('a')], LIMITS, 0);
     assert.deepEqual(
-      [near.isSameDataCentre, far.isSameDataCentre],
+      [local.isSameDataCentre, remote.isSameDataCentre],
       [true, false],
     );
   });
 
   describe('with a drain record or a leaving mark', () => {
-    it('takes the VM out at once, whatever it answers', () => {
+    it('removes the VM at once, even if it responds', () => {
       const pool = [
-        facts('a', {isDraining: true, lastAnswerAt: 0}),
-        facts('b', {listed: LEAVING, lastAnswerAt: 0}),
-        facts('c'),
+        poolVm('a', {isDraining: true, lastAnswerAt: 0}),
+        poolVm('b', {listed: LEAVING, lastAnswerAt: 0}),
+        poolVm('c'),
       ];
       assert.deepEqual(ids(new RoutableTargets('hall-a'), pool, 0), ['c']);
     });
   });
 
-  // The list misses a VM in one reading and shows it again in the next, while it serves all along.
-  // Without patience each reading moves a share of the load away and back.
-  describe('with a VM that the list no longer shows', () => {
-    const answering = facts('a', {listed: undefined, lastAnswerAt: 1000});
+  // The list omits a VM in one reading and contains it again in the next, while the VM serves all
+  // along. Without a grace period each reading would move a share of the load away and back.
+  describe('with a VM that is missing from the list', () => {
+    const answering = poolVm('a', {listed: undefined, lastAnswerAt: 1000});
 
-    it('keeps it for two seconds while it answers', () => {
+    it('keeps it for two seconds while it responds', () => {
       const routable = new RoutableTargets('hall-a');
       ids(
         routable,
-        NAMES.map(name => facts(name)),
+        NAMES.map(name => poolVm(name)),
         0,
       );
-      const pool = [answering, facts('b'), facts('c'), facts('d')];
+      const pool = [answering, poolVm('b'), poolVm('c'), poolVm('d')];
       assert.ok(ids(routable, pool, 1999).includes('a'));
       assert.equal(routable.retainsMissing, true);
       assert.ok(!ids(routable, pool, 2000).includes('a'));
       assert.equal(routable.retainsMissing, false);
     });
 
-    it('drops it at once when it has not answered lately', () => {
+    it('removes it at once if it has not responded recently', () => {
       const routable = new RoutableTargets('hall-a');
       ids(
         routable,
-        NAMES.map(name => facts(name)),
+        NAMES.map(name => poolVm(name)),
         0,
       );
-      const silent = facts('a', {listed: undefined});
-      const pool = [silent, facts('b'), facts('c'), facts('d')];
+      const silent = poolVm('a', {listed: undefined});
+      const pool = [silent, poolVm('b'), poolVm('c'), poolVm('d')];
       assert.ok(!ids(routable, pool, 1).includes('a'));
     });
 
-    it('does not keep one that was leaving before', () => {
+    it('does not keep one that was already leaving', () => {
       const routable = new RoutableTargets('hall-a');
-      const rest = [facts('b'), facts('c'), facts('d')];
-      ids(routable, [facts('a', {listed: LEAVING}), ...rest], 0);
+      const rest = [poolVm('b'), poolVm('c'), poolVm('d')];
+      ids(routable, [poolVm('a', {listed: LEAVING}), ...rest], 0);
       assert.ok(!ids(routable, [answering, ...rest], 1).includes('a'));
     });
 
@@ -101,15 +105,15 @@
   });
 
   describe('with most of the pool missing in one reading', () => {
-    it('goes on for a minute with those that answer', () => {
+    it('keeps those that respond for a minute', () => {
       const routable = new RoutableTargets('hall-a');
       ids(
         routable,
-        NAMES.map(name => facts(name)),
+        NAMES.map(name => poolVm(name)),
         0,
       );
       const missing = (lastAnswerAt: number) =>
-        NAMES.map(name => facts(name, {listed: undefined, lastAnswerAt}));
+        NAMES.map(name => poolVm(name, {listed: undefined, lastAnswerAt}));
       assert.equal(ids(routable, missing(59_000), 59_999).length, 4);
       assert.equal(ids(routable, missing(59_000), 60_000).length, 0);
     });
--- a/packages/decisions/src/__tests__/slot-limiter.test.ts
+++ b/packages/decisions/src/__tests__/slot-limiter.test.ts
@@ -6,71 +6,72 @@
 const SLOTS = 8;
 const EXPIRY = 1000;
 
-function use(inFlight: number, waiting = false) {
+function usage(inFlight: number, waiting = false) {
   return new Map([['vm', {inFlight, waiting}]]);
 }
 
-describe('PeerShare', () => {
+describe('PeerAwareLimiter', () => {
   describe('with no peer that uses the target', () => {
-    it('uses every slot', () => {
-      const share = new PeerAwareLimiter(new VirtualClock(), 'a');
-      assert.equal(share.limit('vm', SLOTS), SLOTS);
-      assert.equal(share.ownLimit('vm', SLOTS), SLOTS);
+    it('allows every slot', () => {
+      const limiter = new PeerAwareLimiter(new VirtualClock(), 'a');
+      assert.equal(limiter.limit('vm', SLOTS), SLOTS);
+      assert.equal(limiter.ownLimit('vm', SLOTS), SLOTS);
     });
   });
 
-  describe('with a peer that has a few in flight', () => {
-    it('leaves it those and one more, and borrows the rest', () => {
-      const share = new PeerAwareLimiter(new VirtualClock(), 'a');
-      share.onPeerUsage('b', use(1), EXPIRY);
-      assert.equal(share.limit('vm', SLOTS), SLOTS - 2);
-      assert.equal(share.ownLimit('vm', SLOTS), SLOTS / 2);
+  describe('with a peer that has a few exchanges in flight', () => {
+    it('leaves the peer those and one more, and borrows the rest', () => {
+      const limiter = new PeerAwareLimiter(new VirtualClock(), 'a');
+      limiter.onPeerUsage('b', usage(1), EXPIRY);
+      assert.equal(limiter.limit('vm', SLOTS), SLOTS - 2);
+      assert.equal(limiter.ownLimit('vm', SLOTS), SLOTS / 2);
     });
   });
 
-  describe('with a peer whose requests wait', () => {
-    it('goes back to an even split', () => {
-      const share = new PeerAwareLimiter(new VirtualClock(), 'a');
-      share.onPeerUsage('b', use(1, true), EXPIRY);
-      assert.equal(share.limit('vm', SLOTS), SLOTS / 2);
+  describe('with a peer that has waiting requests', () => {
+    it('returns to an even split', () => {
+      const limiter = new PeerAwareLimiter(new VirtualClock(), 'a');
+      limiter.onPeerUsage('b', usage(1, true), EXPIRY);
+      assert.equal(limiter.limit('vm', SLOTS), SLOTS / 2);
     });
   });
 
-  describe('with a peer that is no longer heard', () => {
-    it('takes its part back when the last summary expires', () => {
+  describe('with a peer that no longer reports', () => {
+    it('reclaims its part when the last summary expires', () => {
       const clock = new VirtualClock();
-      const share = new PeerAwareLimiter(clock, 'a');
-      share.onPeerUsage('b', use(8, true), EXPIRY);
+      const limiter = new PeerAwareLimiter(clock, 'a');
+      limiter.onPeerUsage('b', usage(8, true), EXPIRY);
       clock.advance(EXPIRY - 1);
-      assert.equal(share.limit('vm', SLOTS), SLOTS / 2);
+      assert.equal(limiter.limit('vm', SLOTS), SLOTS / 2);
       clock.advance(1);
-      assert.equal(share.limit('vm', SLOTS), SLOTS);
+      assert.equal(limiter.limit('vm', SLOTS), SLOTS);
     });
   });
 
-  describe('with peers that it cannot hear', () => {
-    it('learns from busy answers and grows back by successes', () => {
+  describe('with unreachable peers', () => {
+    it('learns from busy responses and increases again with successes', () => {
       const clock = new VirtualClock();
-      const share = new PeerAwareLimiter(clock, 'a');
-      share.onBusy('vm', 4, SLOTS);
-      assert.equal(share.limit('vm', SLOTS), 2);
+      const limiter = new PeerAwareLimiter(clock, 'a');
+      limiter.onBusy('vm', 4, SLOTS);
+      assert.equal(limiter.limit('vm', SLOTS), 2);
       for (let round = 0; round < 60; round++) {
-        share.onSuccess('vm', share.limit('vm', SLOTS), SLOTS);
+        limiter.onSuccess('vm', limiter.limit('vm', SLOTS), SLOTS);
       }
-      assert.equal(share.limit('vm', SLOTS), SLOTS);
+      assert.equal(limiter.limit('vm', SLOTS), SLOTS);
     });
   });
 
   describe('with a quota smaller than the number of daemons', () => {
-    it('may give a daemon nothing, never more than the quota in all', () => {
+    it('may assign a daemon nothing, and never more than the quota in total', () => {
       const names = ['a', 'b', 'c', 'd'];
       const sum = names
         .map(self => {
-          const share = new PeerAwareLimiter(new VirtualClock(), self, 0);
+          const limiter = new PeerAwareLimiter(new VirtualClock(), self, 0);
           for (const peer of names) {
-            if (peer !== self) share.onPeerUsage(peer, use(1, true), EXPIRY);
+            if (peer !== self)
+              limiter.onPeerUsage(peer, usage(1, true), EXPIRY);
           }
-          return share.limit('vm', 3);
+          return limiter.limit('vm', 3);
         })
         .reduce((left, right) => left + right, 0);
       assert.equal(sum, 3);
@@ -78,17 +79,17 @@
   });
 });
 
-describe('AdditiveIncreaseShare', () => {
-  describe('with several busy answers to requests sent together', () => {
-    it('cuts once', () => {
+describe('AdditiveIncreaseLimiter', () => {
+  describe('with several busy responses to requests sent together', () => {
+    it('decreases the limit once', () => {
       const clock = new VirtualClock();
-      const share = new AdditiveIncreaseLimiter(clock);
-      share.onBusy('vm', 8, SLOTS);
-      share.onBusy('vm', 8, SLOTS);
-      assert.equal(share.limit('vm', SLOTS), 5);
+      const limiter = new AdditiveIncreaseLimiter(clock);
+      limiter.onBusy('vm', 8, SLOTS);
+      limiter.onBusy('vm', 8, SLOTS);
+      assert.equal(limiter.limit('vm', SLOTS), 5);
       clock.advance(100);
-      share.onBusy('vm', 5, SLOTS);
-      assert.equal(share.limit('vm', SLOTS), 3);
+      limiter.onBusy('vm', 5, SLOTS);
+      assert.equal(limiter.limit('vm', SLOTS), 3);
     });
   });
 });
--- a/packages/decisions/src/__tests__/slot-pool.test.ts
+++ b/packages/decisions/src/__tests__/slot-pool.test.ts
@@ -40,8 +40,8 @@
     onEjectionStateChange: () => {},
   });
   pool.setTargets(targets);
-  const ask = (changes: Partial<SlotRequest> = {}) => {
-    const got: {slot?: PoolSlot; refusal?: SlotRefusal} = {};
+  const requestSlot = (changes: Partial<SlotRequest> = {}) => {
+    const result: {slot?: PoolSlot; refusal?: SlotRefusal} = {};
     const now = clock.monotonicMilliseconds();
     const item: SlotRequest = {
       service: 'counter-preview',
@@ -53,19 +53,19 @@
       enqueuedAt: now,
       deadline: now + 1000,
       grant: slot => {
-        assert.ok(!got.slot && !got.refusal, 'answered twice');
-        got.slot = slot;
+        assert.ok(!result.slot && !result.refusal, 'answered twice');
+        result.slot = slot;
       },
       refuse: refusal => {
-        assert.ok(!got.slot && !got.refusal, 'answered twice');
-        got.refusal = refusal;
+        assert.ok(!result.slot && !result.refusal, 'answered twice');
+        result.refusal = refusal;
       },
       ...changes,
     };
     pool.acquire(item);
-    return {got, item};
+    return {result, item};
   };
-  return {clock, pool, ask, spills};
+  return {clock, pool, requestSlot, spills};
 }
 
 function answer(
@@ -81,61 +81,64 @@
 
 describe('SlotPool', () => {
   describe('with a free slot', () => {
-    it('grants at once, never more than the slots', () => {
-      const {ask, pool} = build([target('a'), target('b')]);
-      const granted = [1, 2, 3, 4, 5].map(() => ask().got);
+    it('grants at once, but never more than the slots', () => {
+      const {requestSlot, pool} = build([target('a'), target('b')]);
+      const granted = [1, 2, 3, 4, 5].map(() => requestSlot().result);
       assert.equal(granted.filter(({slot}) => slot).length, 4);
       assert.equal(pool.waiting, 1);
     });
   });
 
-  describe('with a request that waits', () => {
-    it('grants it the slot that is given back', () => {
-      const {ask, clock} = build([target('a', {slots: 1})]);
-      const first = ask().got;
-      const second = ask().got;
+  describe('with a waiting request', () => {
+    it('grants it the slot that is released', () => {
+      const {requestSlot, clock} = build([target('a', {slots: 1})]);
+      const first = requestSlot().result;
+      const second = requestSlot().result;
       assert.ok(!('slot' in second));
       answer(clock, first.slot);
       assert.equal(second.slot?.target.id, 'a');
     });
 
-    it('turns it away at its deadline, with when to come again', () => {
-      const {ask, clock} = build([target('a', {slots: 1})]);
-      ask();
-      const {got} = ask();
+    it('refuses it at its deadline, with a time to retry after', () => {
+      const {requestSlot, clock} = build([target('a', {slots: 1})]);
+      requestSlot();
+      const {result} = requestSlot();
       clock.advance(1100);
-      assert.equal(got.refusal?.reason, QueueRejectionReason.DeadlineExceeded);
-      assert.ok((got.refusal?.retryAfterSeconds ?? 0) >= 1);
+      assert.equal(
+        result.refusal?.reason,
+        QueueRejectionReason.DeadlineExceeded,
+      );
+      assert.ok((result.refusal?.retryAfterSeconds ?? 0) >= 1);
     });
 
-    // The wait runs out while the slot it waits for comes free. The caller must get one of the two:
-    // a refusal that says "not run", or the slot. With both, "not run" would be false.
+    // The wait expires while the slot it waits for is released. The caller must get exactly one of
+    // the two: a refusal that says "not run", or the slot. With both, "not run" would be false.
     it('either grants or refuses, never both', () => {
-      const {ask, clock, pool} = build([target('a', {slots: 1})]);
-      const first = ask().got;
-      const {got, item} = ask();
+      const {requestSlot, clock, pool} = build([target('a', {slots: 1})]);
+      const first = requestSlot().result;
+      const {result, item} = requestSlot();
       clock.advance(1100);
       answer(clock, first.slot);
-      assert.ok(got.refusal && !got.slot);
+      assert.ok(result.refusal && !result.slot);
       assert.equal(pool.cancel(item), false);
     });
 
-    it('gives the place up when its caller leaves', () => {
-      const {ask, clock, pool} = build([target('a', {slots: 1})]);
-      const first = ask().got;
-      const {got, item} = ask();
-      const third = ask().got;
+    it('removes it when its caller gives up', () => {
+      const {requestSlot, clock, pool} = build([target('a', {slots: 1})]);
+      const first = requestSlot().result;
+      const {result, item} = requestSlot();
+      const third = requestSlot().result;
       assert.equal(pool.cancel(item), true);
       answer(clock, first.slot);
-      assert.ok(!got.slot && !got.refusal);
+      assert.ok(!result.slot && !result.refusal);
       assert.ok(third.slot);
     });
   });
 
-  describe('with a slot given back twice', () => {
-    it('counts it once', () => {
-      const {ask, pool} = build([target('a', {slots: 1})]);
-      const {slot} = ask().got;
+  describe('with a slot released twice', () => {
+    it('counts the release once', () => {
+      const {requestSlot, pool} = build([target('a', {slots: 1})]);
+      const {slot} = requestSlot().result;
       slot?.release();
       slot?.release();
       assert.equal(pool.inFlight, 0);
@@ -144,42 +147,44 @@
 
   describe('with no target', () => {
     it('refuses at once', () => {
-      const {got} = build([]).ask();
-      assert.ok(got.refusal);
-      assert.equal(got.refusal.reason, undefined);
+      const {result} = build([]).requestSlot();
+      assert.ok(result.refusal);
+      assert.equal(result.refusal.reason, undefined);
     });
   });
 
-  // A target is chosen and, before the first byte goes out, a sign of leaving comes: the new work
-  // would still go to it, and be cut when it stops. The question at dispatch catches it.
-  describe('with a target that leaves after it was chosen', () => {
-    it('says so at dispatch when the list takes it out', () => {
-      const {ask, pool} = build([target('a'), target('b')]);
-      const {slot} = ask().got;
+  // A target is reported as leaving after it was selected but before the first byte is sent: the
+  // new work would still be sent to it and be cut off when it stops. The check at dispatch prevents
+  // this.
+  describe('with a target that leaves after it was selected', () => {
+    it('detects at dispatch that the list no longer contains it', () => {
+      const {requestSlot, pool} = build([target('a'), target('b')]);
+      const {slot} = requestSlot().result;
       assert.equal(slot?.isRoutable(), true);
       pool.setTargets([target(slot?.target.id === 'a' ? 'b' : 'a')]);
       assert.equal(slot?.isRoutable(), false);
     });
 
-    it('says so when the target itself or a peer said it', () => {
-      const {ask, pool} = build([target('a')]);
-      const {slot} = ask().got;
+    it('detects that the target itself or a peer reported it as leaving', () => {
+      const {requestSlot, pool} = build([target('a')]);
+      const {slot} = requestSlot().result;
       pool.onTargetLeaving('a');
       assert.equal(slot?.isRoutable(), false);
       assert.deepEqual(pool.leavingTargets(), ['a']);
-      assert.ok(ask().got.refusal);
+      assert.ok(requestSlot().result.refusal);
     });
   });
 
-  // The list drops a VM and shows it again while exchanges run there. Counted from none, the daemon
-  // would send it its slots once more, and the target would answer busy or run too much.
-  describe('with a target that goes and returns with exchanges in flight', () => {
+  // The list omits a VM and contains it again while exchanges are in flight there. If the count
+  // restarted at zero, the daemon would use its slots a second time, and the target would respond
+  // busy or run too much.
+  describe('with a target that is removed and returns with exchanges in flight', () => {
     it('still counts them', () => {
-      const {ask, pool} = build([target('a')]);
-      const slots = [ask().got.slot, ask().got.slot];
+      const {requestSlot, pool} = build([target('a')]);
+      const slots = [requestSlot().result.slot, requestSlot().result.slot];
       pool.setTargets([]);
       pool.setTargets([target('a')]);
-      const third = ask().got;
+      const third = requestSlot().result;
       assert.ok(!('slot' in third));
       slots[0]?.release();
       assert.equal(third.slot?.target.id, 'a');
@@ -188,24 +193,26 @@
   });
 
   describe('with targets in two data centres', () => {
-    it('uses the near ones until they are full, and says why it spills', () => {
-      const {ask, spills} = build([
+    it('uses its own data centre until it is full, and reports why it spills', () => {
+      const {requestSlot, spills} = build([
         target('near'),
         target('far', {isSameDataCentre: false}),
       ]);
-      const ids = [1, 2, 3].map(() => ask().got.slot?.target.id);
+      const ids = [1, 2, 3].map(() => requestSlot().result.slot?.target.id);
       assert.deepEqual(ids, ['near', 'near', 'far']);
       assert.deepEqual(spills, [SpillReason.DataCentreFull]);
     });
 
-    it('says when no near one is left', () => {
-      const {ask, spills} = build([target('far', {isSameDataCentre: false})]);
-      ask();
+    it('reports that no target is left in its own data centre', () => {
+      const {requestSlot, spills} = build([
+        target('far', {isSameDataCentre: false}),
+      ]);
+      requestSlot();
       assert.deepEqual(spills, [SpillReason.DataCentreUnavailable]);
     });
   });
 
-  describe('with a target that fails everything', () => {
+  describe('with a target that fails every request', () => {
     function withBadTarget() {
       const built = build([
         target('bad', {slots: 8}),
@@ -214,7 +221,7 @@
         target('d', {slots: 8}),
       ]);
       const send = (idempotent: boolean) => {
-        const {slot} = built.ask({idempotent}).got;
+        const {slot} = built.requestSlot({idempotent}).result;
         const isBad = slot?.target.id === 'bad';
         answer(
           built.clock,
@@ -229,7 +236,7 @@
       return {...built, send};
     }
 
-    it('sends it next to nothing', () => {
+    it('sends it almost nothing', () => {
       const {send} = withBadTarget();
       let bad = 0;
       for (let count = 0; count < 1000; count++) {
@@ -238,7 +245,7 @@
       assert.ok(bad <= 10, `${bad} of 1000`);
     });
 
-    it('tries it again with requests that can be repeated only', () => {
+    it('tests it again only with requests that can be repeated', () => {
       const {send} = withBadTarget();
       for (let count = 0; count < 1000; count++) {
         assert.notEqual(send(false), 'bad');
@@ -247,19 +254,25 @@
   });
 
   describe('with a request that failed on a target', () => {
-    it('sends it to another, or to the same when it is the only one', () => {
-      const {ask} = build([target('a', {slots: 8}), target('b', {slots: 8})]);
+    it('selects another target, or the same if it is the only one', () => {
+      const {requestSlot} = build([
+        target('a', {slots: 8}),
+        target('b', {slots: 8}),
+      ]);
       for (let count = 0; count < 8; count++) {
-        const {slot} = ask({tried: new Set(['a'])}).got;
+        const {slot} = requestSlot({tried: new Set(['a'])}).result;
         assert.equal(slot?.target.id, 'b');
       }
-      assert.equal(ask({tried: new Set(['a'])}).got.slot?.target.id, 'a');
+      assert.equal(
+        requestSlot({tried: new Set(['a'])}).result.slot?.target.id,
+        'a',
+      );
     });
   });
 
   describe('with slow targets', () => {
     function runAt(built: ReturnType<typeof build>, slow: readonly string[]) {
-      const {slot} = built.ask().got;
+      const {slot} = built.requestSlot().result;
       assert.ok(slot);
       const isSlow = slow.includes(slot.target.id);
       const latencyMilliseconds = isSlow ? 40 * LATENCY : LATENCY;
@@ -269,20 +282,21 @@
       slot.release();
     }
 
-    it('waits for a fast one rather than take a slow one\u2019s free slot', () => {
+    it('waits for a fast target rather than use a slow one\u2019s free slot', () => {
       const built = build([target('slow'), target('fast')]);
-      const {ask, clock} = built;
+      const {requestSlot, clock} = built;
       for (let count = 0; count < 60; count++) runAt(built, ['slow']);
-      const slots = [1, 2].map(() => ask().got.slot);
+      const slots = [1, 2].map(() => requestSlot().result.slot);
       assert.ok(slots.every(slot => slot?.target.id === 'fast'));
-      const third = ask().got;
+      const third = requestSlot().result;
       assert.ok(!('slot' in third));
       answer(clock, slots[0]);
       assert.equal(third.slot?.target.id, 'fast');
     });
 
-    // What all targets call gets slow. Their estimates rise at once, the mean of the pool later:
-    // each target looks slow beside the pool, and nothing would be sent to any of them.
+    // A dependency of all targets becomes slow. Their estimates rise at once and the mean of the
+    // pool later: each target looks slow compared with the pool, and nothing would be sent to any
+    // of them.
     it('uses them when all of them are', () => {
       const built = build([target('a'), target('b'), target('c')]);
       for (let count = 0; count < 200; count++) runAt(built, []);
--- a/packages/decisions/src/__tests__/weight-ramp.test.ts
+++ b/packages/decisions/src/__tests__/weight-ramp.test.ts
@@ -2,13 +2,13 @@
 import {describe, it} from 'node:test';
 import {LinearWeightRamp} from '../weight-ramp.js';
 
-describe('SteppedRamp', () => {
-  it('gives a target that was always there its whole weight', () => {
+describe('LinearWeightRamp', () => {
+  it('gives a target present from the start its full weight', () => {
     assert.equal(new LinearWeightRamp().weight('vm', 0), 1);
   });
 
-  describe('with a target that comes in', () => {
-    it('starts at a tenth and has the whole after ten seconds', () => {
+  describe('with a target that is added', () => {
+    it('starts at a tenth and reaches the full weight after ten seconds', () => {
       const ramp = new LinearWeightRamp();
       ramp.onAdded('vm', 0);
       assert.equal(ramp.weight('vm', 0), 0.1);
@@ -18,7 +18,7 @@
   });
 
   describe('with a target that comes and goes', () => {
-    it('takes twice as long with each return, to a bound', () => {
+    it('doubles the ramp with each return, up to a maximum', () => {
       const ramp = new LinearWeightRamp();
       const times: number[] = [];
       for (let now = 0; now < 60_000; now += 10_000) {
@@ -34,7 +34,7 @@
       );
     });
 
-    it('forgets it after two calm minutes', () => {
+    it('resets after two minutes without a change', () => {
       const ramp = new LinearWeightRamp();
       ramp.onRemoved('vm', 0);
       ramp.onAdded('vm', 1000);
--- a/packages/decisions/src/__tests__/work-length-policy.test.ts
+++ b/packages/decisions/src/__tests__/work-length-policy.test.ts
@@ -10,63 +10,63 @@
 
 function build() {
   const clock = new VirtualClock();
-  const drain = new SlotReleaseRate();
-  const gate = new ShortWorkReserve(clock, drain, () => CAPACITY);
+  const releaseRate = new SlotReleaseRate();
+  const policy = new ShortWorkReserve(clock, releaseRate, () => CAPACITY);
   const start = (work: WorkLength) => {
-    drain.onStart(work);
-    gate.onStart();
+    releaseRate.onStart(work);
+    policy.onStart();
   };
   const startLong = () => {
     let started = 0;
-    while (gate.mayStart(Long)) {
+    while (policy.mayStart(Long)) {
       start(Long);
       started++;
     }
     return started;
   };
-  return {clock, drain, gate, start, startLong};
+  return {clock, releaseRate, policy, start, startLong};
 }
 
-describe('ShortReserve', () => {
+describe('ShortWorkReserve', () => {
   describe('with long work only', () => {
-    it('keeps an eighth of the slots for the first short request', () => {
+    it('reserves an eighth of the slots for the first short request', () => {
       assert.equal(build().startLong(), CAPACITY - 2);
     });
   });
 
   describe('with short work all the time', () => {
-    it('leaves it its mean and a deviation', () => {
+    it('reserves the mean of short work and one standard deviation', () => {
       const {clock, start, startLong} = build();
       for (let count = 0; count < 4; count++) start(Short);
       clock.advance(60_000);
       assert.equal(startLong(), CAPACITY - 6);
     });
 
-    it('gives the reserve back when short work has gone', () => {
-      const {clock, drain, gate, start, startLong} = build();
+    it('releases the reserve when short work has ended', () => {
+      const {clock, releaseRate, policy, start, startLong} = build();
       for (let count = 0; count < 4; count++) start(Short);
       clock.advance(60_000);
-      for (let count = 0; count < 4; count++) drain.onEnd(Short);
-      gate.mayStart(Long);
+      for (let count = 0; count < 4; count++) releaseRate.onEnd(Short);
+      policy.mayStart(Long);
       clock.advance(60_000);
       assert.equal(startLong(), CAPACITY - 2);
     });
   });
 
   describe('with short work in every slot', () => {
-    it('lets long work go first until it has a quarter', () => {
-      const {clock, gate, start, startLong} = build();
+    it('prefers long work until it has a quarter', () => {
+      const {clock, policy, start, startLong} = build();
       for (let count = 0; count < CAPACITY; count++) start(Short);
       clock.advance(60_000);
-      assert.equal(gate.preferred(), Long);
+      assert.equal(policy.preferred(), Long);
       assert.equal(startLong(), CAPACITY / 4);
-      assert.equal(gate.preferred(), Short);
+      assert.equal(policy.preferred(), Short);
     });
   });
 
   it('never holds short work back', () => {
-    const {gate, startLong} = build();
+    const {policy, startLong} = build();
     startLong();
-    assert.equal(gate.mayStart(Short), true);
+    assert.equal(policy.mayStart(Short), true);
   });
 });
--- a/packages/decisions/src/baseline-queues.ts
+++ b/packages/decisions/src/baseline-queues.ts
@@ -41,19 +41,19 @@
   }
 
   removeExpired(now: number): readonly QueueRejection<Item>[] {
-    const late: QueueRejection<Item>[] = [];
+    const expired: QueueRejection<Item>[] = [];
     for (const item of this.items) {
       if (item.deadline <= now)
-        late.push({item, reason: QueueRejectionReason.DeadlineExceeded});
+        expired.push({item, reason: QueueRejectionReason.DeadlineExceeded});
     }
-    for (const {item} of late) this.remove(item);
-    return late;
+    for (const {item} of expired) this.remove(item);
+    return expired;
   }
 }
 
 /**
- * First in, first out, with a bound and deadlines: the baseline.
- * Under a standing queue everyone waits nearly to the deadline, and those behind past it.
+ * Serves requests first in, first out, with a length limit and deadlines: the baseline. With a
+ * standing queue every request waits almost until its deadline, and those at the back past it.
  */
 export class FirstInFirstOutQueue<
   Item extends QueuedRequest,
@@ -68,13 +68,13 @@
   }
 }
 
-/** A queue that was never empty for this long is standing. */
+/** A queue that has not been empty for this long is standing. */
 const STANDING_MILLISECONDS = 100;
 
 /**
- * First in, first out, until the queue stands; then the newest first, and the oldest time out.
- * Weighed against the fair queue: those served wait little, but the others learn only at their
- * deadline that they were never going to be served.
+ * Serves requests first in, first out until the queue is standing, then newest first, so that the
+ * oldest time out. Compared with the fair queue: requests that are served wait briefly, but the
+ * others learn only at their deadline that they would never be served.
  */
 export class AdaptiveLastInFirstOutQueue<
   Item extends QueuedRequest,
@@ -87,8 +87,8 @@
   }
 
   dequeue(now: number, mayRun: (item: Item) => boolean): Item | undefined {
-    const standing = now - this.nonEmptySince > STANDING_MILLISECONDS;
-    const order = standing ? [...this.items].reverse() : this.items;
+    const isStanding = now - this.nonEmptySince > STANDING_MILLISECONDS;
+    const order = isStanding ? [...this.items].reverse() : this.items;
     for (const item of order) {
       if (item.deadline <= now || !mayRun(item)) continue;
       this.remove(item);
--- a/packages/decisions/src/cached-clock.ts
+++ b/packages/decisions/src/cached-clock.ts
@@ -1,8 +1,8 @@
 import type {Clock, Timer} from '@gentiandoor/kernel';
 
 /**
- * A clock that is read once for a whole decision. Choosing among a dozen targets asks for the time
- * some thirty times; reading it each time took more than half of a request's choice.
+ * Reads the clock once per decision. Selecting among a dozen targets needs the time about thirty
+ * times; reading the clock each time took more than half of a request's selection time.
  */
 export class CachedClock implements Clock {
   private now: number;
@@ -11,7 +11,7 @@
     this.now = clock.monotonicMilliseconds();
   }
 
-  /** Reads the time; called where a decision begins. */
+  /** Reads the underlying clock; called at the start of a decision. */
   refresh(): void {
     this.now = this.clock.monotonicMilliseconds();
   }
--- a/packages/decisions/src/ejection.ts
+++ b/packages/decisions/src/ejection.ts
@@ -1,15 +1,15 @@
 import {OutcomeKind, isFailure} from './target-outcome.js';
 
-/** Where a target stands. */
+/** The ejection state of a target. */
 export enum EjectionState {
   InUse = 'in_use',
-  /** Gets nothing. */
+  /** Receives no requests. */
   Ejected = 'ejected',
-  /** Gets one exchange at a time, to see whether it works again. */
+  /** Receives one exchange at a time, to test whether it works again. */
   Probation = 'probation',
 }
 
-/** A change of standing, for the journal. */
+/** A change of ejection state, for the decision journal. */
 export interface EjectionStateChange {
   readonly target: string;
   readonly from: EjectionState;
@@ -17,11 +17,11 @@
   readonly failuresInARow: number;
   /** Share of failures among recent exchanges. */
   readonly failureShare: number;
-  /** Milliseconds that the target stays out. */
+  /** Milliseconds for which the target stays ejected. */
   readonly ejectionMilliseconds: number;
 }
 
-/** What the bound needs to know of a target. */
+/** What the ejection limit depends on for each target. */
 export interface EjectionTarget {
   readonly id: string;
   readonly rack: string;
@@ -29,18 +29,18 @@
   readonly isSameDataCentre: boolean;
 }
 
-/** Judges the targets of one pool by what exchanges show. */
+/** Decides from the outcomes of exchanges which targets of one pool are ejected. */
 export interface EjectionPolicy {
-  /** Where a target stands now. */
+  /** Returns the ejection state of a target now. */
   stateOf(target: string, now: number): EjectionState;
   observe(target: string, kind: OutcomeKind, now: number): void;
-  /** The targets of the pool; the bound follows from them. */
+  /** Sets the targets of the pool, from which the ejection limit is derived. */
   setTargets(targets: readonly EjectionTarget[]): void;
-  /** True while so many look bad that none is treated as ejected. */
+  /** True while so many targets are failing that none is treated as ejected. */
   readonly isSharedFault: boolean;
 }
 
-/** Uses each target whatever it does: the baseline. */
+/** Never ejects a target: the baseline. */
 export class NoEjection implements EjectionPolicy {
   readonly isSharedFault = false;
 
@@ -54,16 +54,18 @@
 }
 
 const CONSECUTIVE_FAILURES_TO_EJECT = 5;
-/** A refused connection leaves little doubt: three of them are enough. */
+/** A refused connection is strong evidence: three of them are enough to eject. */
 const UNREACHABLE_WEIGHT = 2;
 const FAILURE_SHARE_TO_EJECT = 0.5;
 const MINIMUM_EXCHANGES_FOR_SHARE = 10;
-/** Exchanges over which the failure share is kept: a mean over about the last twenty. */
+/** Smoothing factor of the failure share: a mean over about the last twenty exchanges. */
 const FAILURE_SHARE_SMOOTHING_FACTOR = 0.05;
 const INITIAL_EJECTION_MILLISECONDS = 2000;
 const MAXIMUM_EJECTION_MILLISECONDS = 60_000;
 const PROBATION_SUCCESSES = 3;
-/** A target that worked this long after it came back starts again at the shortest time out. */
+/**
+ * A target that worked for this long after it was restored starts again at the shortest ejection.
+ */
 const BACKOFF_RESET_MILLISECONDS = 60_000;
 const MAXIMUM_EJECTED_SHARE = 0.5;
 
@@ -98,16 +100,18 @@
 }
 
 /**
- * Takes targets out of use that fail, for times that double, and back over a probation.
- * Answers a target that fails everything: without it one target of eight fails an eighth of all
- * requests for as long as it lives, more when it fails fast. Five failures in a row come by chance
- * once in 3 million at a failure rate of 5%, and at once with a dead target; half of the last
- * twenty catches one that fails in part.
- * The bound is half of the pool, or its largest rack where that is more, and never all: a rack
- * fails most days and its targets must go. What takes more than a rack is a shared fault, such as
- * a database behind all targets; to eject would send the whole load to the few that are left and
- * fell those. So past the bound all are used as if none were ejected, and the records stay. The
- * bound must be passed near by as well: a data centre that is cut off goes on with its own.
+ * Ejects failing targets for periods that double each time, and restores them after a probation.
+ * Load: a target that fails every request. Without ejection one such target of eight fails an
+ * eighth of all requests for as long as it runs, and more if it fails fast. Five consecutive
+ * failures happen by chance once in 3 million at a failure rate of 5%, and immediately with a dead
+ * target; a failure share of half of the last twenty exchanges detects a target that fails only
+ * some requests.
+ * The limit is half of the pool, or its largest rack if that is more, and never all targets: a rack
+ * fails on most days and its targets must be ejected. If more than a rack fails, it is a shared
+ * fault, such as a database behind all targets; ejection would send the whole load to the few
+ * remaining targets and overload them. So above the limit all targets are used as if none were
+ * ejected, and their health records are kept. The limit must also be exceeded within this daemon's
+ * data centre: a data centre that is cut off continues with its own targets.
  */
 export class BoundedEjection implements EjectionPolicy {
   private readonly healthByTarget = new Map<string, TargetHealth>();
@@ -137,10 +141,10 @@
   }
 
   stateOf(target: string, now: number): EjectionState {
-    const record = this.healthByTarget.get(target);
-    if (record?.ejectedUntil === undefined || this.isSharedFault)
+    const health = this.healthByTarget.get(target);
+    if (health?.ejectedUntil === undefined || this.isSharedFault)
       return EjectionState.InUse;
-    return now < record.ejectedUntil
+    return now < health.ejectedUntil
       ? EjectionState.Ejected
       : EjectionState.Probation;
   }
@@ -149,111 +153,113 @@
     if (kind === OutcomeKind.CallerGone || kind === OutcomeKind.Busy) return;
     if (!this.targets.has(target)) return;
     const failed = isFailure(kind);
-    const record =
+    const health =
       this.healthByTarget.get(target) ?? this.createHealth(target, failed);
-    if (!record) return;
-    record.observe(
+    if (!health) return;
+    health.observe(
       failed,
       kind === OutcomeKind.Unreachable ? UNREACHABLE_WEIGHT : 1,
     );
-    if (record.isOutOfUse) this.observeOutOfUse(target, record, failed, now);
-    else if (record.isFailing) this.eject(target, record, now);
-    else if (now - record.restoredAt > BACKOFF_RESET_MILLISECONDS)
-      record.ejectionCount = 0;
+    if (health.isOutOfUse) this.observeOutOfUse(target, health, failed, now);
+    else if (health.isFailing) this.eject(target, health, now);
+    else if (now - health.restoredAt > BACKOFF_RESET_MILLISECONDS)
+      health.ejectionCount = 0;
   }
 
-  /** A target that never failed has no record: the usual case costs nothing. */
+  /** Creates a health record on the first failure only, so that healthy targets cost nothing. */
   private createHealth(
     target: string,
     failed: boolean,
   ): TargetHealth | undefined {
     if (!failed) return undefined;
-    const record = new TargetHealth();
-    this.healthByTarget.set(target, record);
-    return record;
+    const health = new TargetHealth();
+    this.healthByTarget.set(target, health);
+    return health;
   }
 
   private observeOutOfUse(
     target: string,
-    record: TargetHealth,
+    health: TargetHealth,
     failed: boolean,
     now: number,
   ): void {
-    if (record.ejectedUntil === undefined) return;
-    // Exchanges that began before the ejection end after it and prove nothing new.
-    if (now < record.ejectedUntil && !this.isSharedFault) return;
+    if (health.ejectedUntil === undefined) return;
+    // Exchanges that began before the ejection may end after it and are no new evidence.
+    if (now < health.ejectedUntil && !this.isSharedFault) return;
     if (failed) {
-      record.probationSuccesses = 0;
-      if (!this.isSharedFault) this.eject(target, record, now);
+      health.probationSuccesses = 0;
+      if (!this.isSharedFault) this.eject(target, health, now);
       return;
     }
-    record.probationSuccesses++;
-    if (record.probationSuccesses >= PROBATION_SUCCESSES)
-      this.restore(target, record, now);
+    health.probationSuccesses++;
+    if (health.probationSuccesses >= PROBATION_SUCCESSES)
+      this.restore(target, health, now);
   }
 
-  private eject(target: string, record: TargetHealth, now: number): void {
-    const from = record.isOutOfUse
+  private eject(target: string, health: TargetHealth, now: number): void {
+    const from = health.isOutOfUse
       ? EjectionState.Probation
       : EjectionState.InUse;
     const ejectionMilliseconds = Math.min(
       MAXIMUM_EJECTION_MILLISECONDS,
-      INITIAL_EJECTION_MILLISECONDS * 2 ** record.ejectionCount,
+      INITIAL_EJECTION_MILLISECONDS * 2 ** health.ejectionCount,
     );
-    record.ejectedUntil = now + ejectionMilliseconds;
-    record.ejectionCount++;
-    record.probationSuccesses = 0;
+    health.ejectedUntil = now + ejectionMilliseconds;
+    health.ejectionCount++;
+    health.probationSuccesses = 0;
     this.updateSharedFault();
     const to = EjectionState.Ejected;
-    this.onChange(stateChange(target, record, from, to, ejectionMilliseconds));
+    this.onChange(stateChange(target, health, from, to, ejectionMilliseconds));
   }
 
-  private restore(target: string, record: TargetHealth, now: number): void {
+  private restore(target: string, health: TargetHealth, now: number): void {
     const change = stateChange(
       target,
-      record,
+      health,
       EjectionState.Probation,
       EjectionState.InUse,
       0,
     );
     const wasSharedFault = this.isSharedFault;
-    record.ejectedUntil = undefined;
-    record.restoredAt = now;
-    record.failureShare = 0;
-    record.exchanges = 0;
+    health.ejectedUntil = undefined;
+    health.restoredAt = now;
+    health.failureShare = 0;
+    health.exchanges = 0;
     this.updateSharedFault();
     this.onChange(change);
     if (wasSharedFault && !this.isSharedFault) this.endSharedFault(now);
   }
 
   /**
-   * What is still out then was so for the shared fault: it goes on probation at once. Else half of
-   * the pool would fall out just as the fault ends, with times that grew during it.
+   * Puts every target that is still ejected on probation at once, since the shared fault was the
+   * cause. Otherwise half of the pool would be ejected just as the fault ends, for periods that
+   * grew during it.
    */
   private endSharedFault(now: number): void {
-    for (const record of this.healthByTarget.values()) {
-      if (record.ejectedUntil === undefined) continue;
-      record.ejectedUntil = Math.min(record.ejectedUntil, now);
-      record.ejectionCount = 1;
+    for (const health of this.healthByTarget.values()) {
+      if (health.ejectedUntil === undefined) continue;
+      health.ejectedUntil = Math.min(health.ejectedUntil, now);
+      health.ejectionCount = 1;
     }
   }
 
   private updateSharedFault(): void {
-    let out = 0;
-    let nearOut = 0;
-    for (const [id, record] of this.healthByTarget) {
-      if (!record.isOutOfUse) continue;
-      out++;
-      if (this.targets.get(id)?.isSameDataCentre) nearOut++;
+    let outOfUse = 0;
+    let outOfUseInDataCentre = 0;
+    for (const [id, health] of this.healthByTarget) {
+      if (!health.isOutOfUse) continue;
+      outOfUse++;
+      if (this.targets.get(id)?.isSameDataCentre) outOfUseInDataCentre++;
     }
-    // Targets of this data centre that work while all others fail show a partition, not a fault
-    // that all share: the far ones stay out.
+    // If targets of this data centre work while all others fail, the cause is a partition and not a
+    // shared fault: the targets of the other data centres stay ejected.
     this.exceedsMaximum =
-      out > this.maximumEjected && nearOut > this.maximumEjectedInDataCentre;
+      outOfUse > this.maximumEjected &&
+      outOfUseInDataCentre > this.maximumEjectedInDataCentre;
   }
 }
 
-/** Targets that may be out; -1 for none at all, so that an empty group bounds nothing. */
+/** Returns how many targets may be ejected; -1 for an empty group, so that it never limits. */
 function maximumEjectedOf(targets: readonly EjectionTarget[]): number {
   const sizes = new Map<string, number>();
   for (const {rack} of targets) sizes.set(rack, (sizes.get(rack) ?? 0) + 1);
@@ -264,18 +270,18 @@
 
 function stateChange(
   target: string,
-  record: TargetHealth,
+  health: TargetHealth,
   from: EjectionState,
   to: EjectionState,
   ejectionMilliseconds: number,
 ): EjectionStateChange {
-  const {failuresInARow, failureShare} = record;
+  const {failuresInARow, failureShare} = health;
   return {
     target,
     from,
     to,
     failuresInARow,
     failureShare,
-    ejectionMilliseconds: ejectionMilliseconds,
+    ejectionMilliseconds,
   };
 }
--- a/packages/decisions/src/fair-queue.ts
+++ b/packages/decisions/src/fair-queue.ts
@@ -10,7 +10,10 @@
 } from './request-queue.js';
 import {WorkLength} from './work-length.js';
 
-/** One dispatch of so many goes past waiting urgent work, so that a flood of it starves nobody. */
+/**
+ * After this many urgent dispatches in a row one other request goes first, so that a flood of
+ * urgent work starves nobody.
+ */
 const MAXIMUM_CONSECUTIVE_URGENT = 7;
 
 class QueuesByUrgency<Item extends QueuedRequest> {
@@ -27,12 +30,13 @@
 }
 
 /**
- * The queue of one pool: urgent teams first, then teams by weight, callers of a team in turn, and
- * short and long work apart.
- * Answers one caller or team with most of the load: in one line for all, everyone waits behind it.
- * A request whose turn would come too late is turned away as it comes in, by its own flow's place
- * and the drain rate: the heavy caller is told at once and the others' wait stays short. When the
- * line is full, the newest of the longest flow gives way.
+ * The queue of one pool: urgent teams first, then teams by weight, the callers of a team in turn,
+ * and short and long work separately.
+ * Load: one caller or team sends most of the requests. Without fair queueing, in a single queue,
+ * everyone waits behind it. A request that would be served too late is rejected on entry, based on
+ * the position in its own flow and the release rate: the heavy caller is told at once and the wait
+ * of the others stays short. When the queue is full, the newest request of the longest flow is
+ * evicted.
  */
 export class FairQueue<
   Item extends QueuedRequest,
@@ -69,8 +73,8 @@
   }
 
   dequeue(now: number, mayRun: (item: Item) => boolean): Item | undefined {
-    const usualFirst = this.consecutiveUrgent >= MAXIMUM_CONSECUTIVE_URGENT;
-    const order = usualFirst ? [false, true] : [true, false];
+    const nonUrgentFirst = this.consecutiveUrgent >= MAXIMUM_CONSECUTIVE_URGENT;
+    const order = nonUrgentFirst ? [false, true] : [true, false];
     for (const urgent of order) {
       const item = this.nextOf(urgent, now, mayRun);
       if (!item) continue;
@@ -89,13 +93,13 @@
   }
 
   removeExpired(now: number): readonly QueueRejection<Item>[] {
-    const turned: QueueRejection<Item>[] = [];
+    const rejections: QueueRejection<Item>[] = [];
     for (const item of this.items) {
       const reason = this.waitingRejection(item, now);
-      if (reason) turned.push({item, reason});
+      if (reason) rejections.push({item, reason});
     }
-    for (const {item} of turned) this.remove(item);
-    return turned;
+    for (const {item} of rejections) this.remove(item);
+    return rejections;
   }
 
   private entryRejection(
@@ -111,22 +115,26 @@
   }
 
   private expectedWait(item: Item): number {
-    const lanes = this.queues[item.work];
-    const ahead = lanes.of(item).requestsAhead(item);
-    const urgent = item.team.urgent ? 0 : lanes.urgent.length;
+    const queues = this.queues[item.work];
+    const ahead = queues.of(item).requestsAhead(item);
+    const urgent = item.team.urgent ? 0 : queues.urgent.length;
     const rate = this.releaseRate.slotsPerMillisecond(item.work);
     return (ahead + urgent + 1) / rate;
   }
 
-  /** Urgent work is bounded by its teams' quotas and keeps its whole wait. */
+  /** Urgent work is limited by its teams' quotas, so it may wait until its deadline. */
   private allowedWait(item: Item, now: number): number {
-    const longest = item.deadline - item.enqueuedAt;
-    if (item.team.urgent) return longest;
-    const hold = this.releaseRate.meanSlotMilliseconds(item.work);
-    const waitingFor = this.queues[item.work]
+    const maximumWait = item.deadline - item.enqueuedAt;
+    if (item.team.urgent) return maximumWait;
+    const slotMilliseconds = this.releaseRate.meanSlotMilliseconds(item.work);
+    const waitingMilliseconds = this.queues[item.work]
       .of(item)
       .waitingMilliseconds(item, now);
-    return allowedWaitMilliseconds(waitingFor, longest, hold);
+    return allowedWaitMilliseconds(
+      waitingMilliseconds,
+      maximumWait,
+      slotMilliseconds,
+    );
   }
 
   private waitingRejection(
@@ -144,12 +152,13 @@
     item: Item,
     now: number,
   ): readonly QueueRejection<Item>[] {
-    const lane = this.queues[item.work].of(item);
-    const longest = lane.longestFlow(item.service);
-    const newest = longest?.newest();
+    const queue = this.queues[item.work].of(item);
+    const longestFlow = queue.longestFlow(item.service);
+    const newest = longestFlow?.newest();
     const isOwn =
-      longest?.caller === item.caller && longest.team.name === item.team.name;
-    if (!newest || isOwn || !longest || longest.length < 2)
+      longestFlow?.caller === item.caller &&
+      longestFlow.team.name === item.team.name;
+    if (!newest || isOwn || !longestFlow || longestFlow.length < 2)
       return [{item, reason: QueueRejectionReason.Full}];
     this.remove(newest);
     this.add(item, now);
@@ -166,10 +175,10 @@
       first === WorkLength.Short ? WorkLength.Long : WorkLength.Short;
     for (const work of [first, second]) {
       if (!this.workLengthPolicy.mayStart(work)) continue;
-      const lanes = this.queues[work];
-      const lane = urgent ? lanes.urgent : lanes.nonUrgent;
-      if (lane.length === 0) continue;
-      const item = lane.next(now, mayRun);
+      const queues = this.queues[work];
+      const queue = urgent ? queues.urgent : queues.nonUrgent;
+      if (queue.length === 0) continue;
+      const item = queue.next(now, mayRun);
       if (item) return item;
     }
     return undefined;
--- a/packages/decisions/src/fair-share.ts
+++ b/packages/decisions/src/fair-share.ts
@@ -1,15 +1,15 @@
-/** One that wants part of something that is shared. */
+/** A participant that demands part of a shared resource. */
 export interface NamedDemand {
   readonly name: string;
-  /** How much it wants; Infinity for all it can get. */
+  /** Units that it demands; Infinity for as many as it can get. */
   readonly demand: number;
 }
 
 /**
- * The whole units that `self`, whose demand is taken as unbounded, gets of `total` by max-min
- * fairness: small demands are met in full, the rest is shared evenly. Units left over by the
- * division go to contenders in an order that depends on `key` only, so that all daemons with the
- * same picture give out each unit once and not always to the same daemon.
+ * Returns how many whole units of `total` go to `self`, whose demand is taken as unbounded, by
+ * max-min fairness: small demands are met in full and the rest is divided evenly. Units left over
+ * by the division go to participants in an order that depends only on `key`, so that daemons with
+ * the same data assign each unit once, and not always to the same daemon.
  */
 export function fairShare(
   key: string,
@@ -21,15 +21,15 @@
   let remaining = total;
   let index = 0;
   while (index < sorted.length) {
-    const level = remaining / (sorted.length - index + 1);
-    if (sorted[index].demand > level) break;
+    const evenShare = remaining / (sorted.length - index + 1);
+    if (sorted[index].demand > evenShare) break;
     remaining -= sorted[index].demand;
     index++;
   }
-  const names = sorted.slice(index).map(contender => contender.name);
+  const names = sorted.slice(index).map(demand => demand.name);
   const share = Math.floor(remaining / (names.length + 1));
-  const left = remaining - share * (names.length + 1);
-  return share + (rankOf(key, self, names) < left ? 1 : 0);
+  const leftover = remaining - share * (names.length + 1);
+  return share + (rankOf(key, self, names) < leftover ? 1 : 0);
 }
 
 function byDemand(left: NamedDemand, right: NamedDemand): number {
--- a/packages/decisions/src/latency-estimate.ts
+++ b/packages/decisions/src/latency-estimate.ts
@@ -1,14 +1,15 @@
 const DECAY_MILLISECONDS = 5000;
-/** An answer counts at least this much, so that a busy target is judged by its last 50 answers. */
+/** Minimum weight of a response, so that a busy target is rated by its last 50 responses. */
 const MINIMUM_SMOOTHING_FACTOR = 0.02;
 const FAILURE_FACTOR = 4;
 const MAXIMUM_PENALTY_MILLISECONDS = 10_000;
 
 /**
- * How long a target takes, for comparing targets: a mean that forgets over five seconds of time,
- * so that a target with little traffic is not judged by what it did minutes ago. Failures are no
- * answers and add a penalty to the target's cost: a target that fails in a millisecond has few in
- * flight and short times, and would draw the most work of all.
+ * Estimates the latency of a target, for comparison with other targets: a mean that decays over
+ * five seconds of time, so that a target with little traffic is not rated by what it did minutes
+ * ago. Failures are not latencies; they add a penalty to the target's cost. Without it a target
+ * that fails within a millisecond would have few exchanges in flight and low latencies, and attract
+ * the most work of all.
  */
 export class LatencyEstimate {
   private mean: number | undefined;
@@ -17,15 +18,19 @@
   private penaltyAt = 0;
 
   /**
-   * Milliseconds expected of an exchange; `usual` where nothing is known. Without fresh answers
-   * the estimate goes back to the usual: a target once slow is tried again.
+   * Returns the expected milliseconds of an exchange; `usualMilliseconds` if nothing is known.
+   * Without recent responses the estimate returns to the usual value, so that a target that was
+   * slow is tried again.
    */
-  expectedMilliseconds(usual: number, now: number): number {
-    if (this.mean === undefined) return usual;
-    return usual + (this.mean - usual) * decayFactor(now - this.meanAt);
+  expectedMilliseconds(usualMilliseconds: number, now: number): number {
+    if (this.mean === undefined) return usualMilliseconds;
+    return (
+      usualMilliseconds +
+      (this.mean - usualMilliseconds) * decayFactor(now - this.meanAt)
+    );
   }
 
-  /** Milliseconds that recent failures add to the target's cost. */
+  /** Returns the milliseconds that recent failures add to the target's cost. */
   penaltyMilliseconds(now: number): number {
     if (this.penaltyValue === 0) return 0;
     return this.penaltyValue * decayFactor(now - this.penaltyAt);
@@ -35,21 +40,22 @@
     if (this.mean === undefined) {
       this.mean = milliseconds;
     } else {
-      const byTime = 1 - decayFactor(now - this.meanAt);
-      const share = Math.max(MINIMUM_SMOOTHING_FACTOR, byTime);
-      this.mean += (milliseconds - this.mean) * share;
+      const timeFactor = 1 - decayFactor(now - this.meanAt);
+      const smoothingFactor = Math.max(MINIMUM_SMOOTHING_FACTOR, timeFactor);
+      this.mean += (milliseconds - this.mean) * smoothingFactor;
     }
     this.meanAt = now;
   }
 
-  /** Counts a failed exchange. */
-  observeFailure(usual: number, now: number): void {
-    const grown = (this.penaltyMilliseconds(now) + usual) * FAILURE_FACTOR;
-    this.penaltyValue = Math.min(MAXIMUM_PENALTY_MILLISECONDS, grown);
+  /** Records a failed exchange. */
+  observeFailure(usualMilliseconds: number, now: number): void {
+    const penalty =
+      (this.penaltyMilliseconds(now) + usualMilliseconds) * FAILURE_FACTOR;
+    this.penaltyValue = Math.min(MAXIMUM_PENALTY_MILLISECONDS, penalty);
     this.penaltyAt = now;
   }
 }
 
-function decayFactor(elapsed: number): number {
-  return Math.exp(-elapsed / DECAY_MILLISECONDS);
+function decayFactor(elapsedMilliseconds: number): number {
+  return Math.exp(-elapsedMilliseconds / DECAY_MILLISECONDS);
 }
--- a/packages/decisions/src/pool-slot.ts
+++ b/packages/decisions/src/pool-slot.ts
@@ -3,23 +3,23 @@
 import {OutcomeKind, type TargetOutcome} from './target-outcome.js';
 import type {QueueRejectionReason, QueuedRequest} from './request-queue.js';
 
-/** A request that wants a slot of the pool. Exactly one of `grant` and `refuse` is called, once. */
+/** A request for a slot of the pool. Exactly one of `grant` and `refuse` is called, once. */
 export interface SlotRequest extends QueuedRequest, SelectionRequest {
   grant(slot: PoolSlot): void;
   refuse(refusal: SlotRefusal): void;
 }
 
-/** Why a request got no slot. */
+/** Why a request was refused a slot. */
 export interface SlotRefusal {
-  /** Undefined when the pool has no target that could ever take it now. */
+  /** Undefined if the pool has no target that can currently accept any work. */
   readonly reason: QueueRejectionReason | undefined;
-  /** Whether the team's quota kept it waiting. */
+  /** Whether the team's quota kept the request waiting. */
   readonly isQuotaExhausted: boolean;
-  /** Whole seconds after which to come again. */
+  /** Whole seconds after which to retry. */
   readonly retryAfterSeconds: number;
 }
 
-/** What a granted slot tells its pool. */
+/** Callbacks from a granted slot to its pool. */
 export interface SlotIssuer {
   isRoutable(entry: TargetEntry): boolean;
   onOutcome(slot: PoolSlot, outcome: TargetOutcome): void;
@@ -28,7 +28,7 @@
 
 /** A granted slot. */
 export class PoolSlot {
-  /** Whether the exchange ended with an answer that is no failure. */
+  /** Whether the exchange ended with a response that is not a failure. */
   wasAnswered = false;
   private isReleased = false;
 
@@ -44,18 +44,18 @@
     return this.entry.target;
   }
 
-  /** Asked directly before the first byte goes out. */
+  /** Whether the target is still routable; checked immediately before the first byte is sent. */
   isRoutable(): boolean {
     return this.pool.isRoutable(this.entry);
   }
 
-  /** What the exchange showed of the target. */
+  /** Reports what the exchange showed about the target. */
   report(outcome: TargetOutcome): void {
     this.wasAnswered = outcome.kind === OutcomeKind.Succeeded;
     this.pool.onOutcome(this, outcome);
   }
 
-  /** Gives the slot back; a second call does nothing. */
+  /** Releases the slot; later calls have no effect. */
   release(): void {
     if (this.isReleased) return;
     this.isReleased = true;
--- a/packages/decisions/src/request-queue.ts
+++ b/packages/decisions/src/request-queue.ts
@@ -1,56 +1,61 @@
 import type {WorkLength} from './work-length.js';
 
-/** A team as the queue needs it. */
+/** What the queue needs to know about a team. */
 export interface TeamPolicy {
   readonly name: string;
   /** Share relative to other teams. */
   readonly weight: number;
-  /** Slots at one time over the whole deployment. */
+  /** Maximum slots in use at one time in the whole deployment. */
   readonly slots: number;
   readonly urgent: boolean;
 }
 
-/** A request that waits. Team and caller come from authenticated identity, never from the request's own words. */
+/**
+ * A request that waits for a slot. Team and caller come from the authenticated identity, never from
+ * the content of the request.
+ */
 export interface QueuedRequest {
   readonly service: string;
-  /** Requests of the service that may wait here. */
+  /** Maximum requests of the service that may wait here. */
   readonly queueLimit: number;
   readonly work: WorkLength;
   readonly team: TeamPolicy;
   readonly caller: string;
-  /** Monotonic milliseconds at which it began to wait. */
+  /** Monotonic milliseconds at which it started to wait. */
   readonly enqueuedAt: number;
-  /** Monotonic milliseconds after which it is turned away. */
+  /** Monotonic milliseconds after which it is rejected. */
   readonly deadline: number;
 }
 
-/** Why a waiter was turned away. */
+/** Why a queued request was rejected. */
 export enum QueueRejectionReason {
-  /** As many wait as may. */
+  /** The maximum number of requests is already waiting. */
   Full = 'full',
-  /** It waited, or would wait, past its deadline. */
+  /** It has waited, or would wait, past its deadline. */
   DeadlineExceeded = 'late',
-  /** A standing queue is kept short. */
+  /** Its wait exceeds what is allowed in a standing queue, which is kept short. */
   StandingQueue = 'standing',
 }
 
-/** A waiter that the queue gave up. */
+/** A request that the queue rejected. */
 export interface QueueRejection<Item extends QueuedRequest> {
   readonly item: Item;
   readonly reason: QueueRejectionReason;
 }
 
-/** Requests that wait for a slot of one pool. An item is handed out or turned away, never both. */
+/**
+ * Requests that wait for a slot of one pool. Each item is either dequeued or rejected, never both.
+ */
 export interface RequestQueue<Item extends QueuedRequest> {
   readonly length: number;
-  /** Requests of one service that wait. */
+  /** Returns how many requests of one service wait. */
   lengthOf(service: string): number;
-  /** Takes the item in; returns whom it turned away for it, the item itself among them or not. */
+  /** Adds the item; returns the items rejected as a result, which may include the item itself. */
   enqueue(item: Item, now: number): readonly QueueRejection<Item>[];
-  /** Takes out the next item to run among those that `mayRun` allows. */
+  /** Removes and returns the next item that `mayRun` allows. */
   dequeue(now: number, mayRun: (item: Item) => boolean): Item | undefined;
-  /** Takes out an item whose caller gave up; false when it is no longer waiting. */
+  /** Removes an item whose caller gave up; returns false if it is no longer waiting. */
   remove(item: Item): boolean;
-  /** Takes out all items that must be turned away by now. */
+  /** Removes and returns all items that must be rejected by now. */
   removeExpired(now: number): readonly QueueRejection<Item>[];
 }
--- a/packages/decisions/src/retry-budget.ts
+++ b/packages/decisions/src/retry-budget.ts
@@ -1,48 +1,48 @@
 import type {Clock} from '@gentiandoor/kernel';
 import {OutcomeKind} from './target-outcome.js';
 
-/** A failed attempt that the caller's edge would like to send to another target. */
+/** A failed attempt that might be retried on another target. */
 export interface FailedAttempt {
   readonly kind: OutcomeKind;
-  /** Whether a byte of the request went to the target. */
+  /** Whether any byte of the request was sent to the target. */
   readonly sent: boolean;
   readonly idempotent: boolean;
-  /** Attempts made so far, the failed one included. */
+  /** Attempts made so far, including the failed one. */
   readonly attempts: number;
 }
 
-/** Whether a failed attempt is sent again, and why not. */
+/** Whether a failed attempt is retried, and if not, why. */
 export enum RetryDecision {
   Retry = 'retry',
   /** The request may have been run and must not be run twice. */
   MayHaveRun = 'may_have_run',
-  /** The request had its attempts. */
+  /** The request has used all its attempts. */
   AttemptsExhausted = 'attempts_spent',
-  /** Too many requests are being sent again already. */
+  /** Too many requests are being retried already. */
   BudgetExhausted = 'budget_spent',
-  /** Nobody waits for the answer. */
+  /** The caller no longer waits for the response. */
   CallerGone = 'nobody_waits',
 }
 
-/** Decides on second attempts. */
+/** Decides whether failed attempts are retried. */
 export interface RetryPolicy {
-  /** Counts a first attempt, which earns a part of a retry. */
+  /** Records a first attempt, which credits a fraction of a retry. */
   onFirstAttempt(): void;
-  /** Spends from the budget when the verdict is `Retry`. */
-  decide(question: FailedAttempt): RetryDecision;
+  /** Spends from the budget if the decision is `Retry`. */
+  decide(attempt: FailedAttempt): RetryDecision;
 }
 
-/** Whether sending again can run the request twice. */
-export function isSafeToRepeat(question: FailedAttempt): boolean {
-  if (!question.sent || question.kind === OutcomeKind.Busy) return true;
-  return question.idempotent;
+/** Whether a retry is safe: the request cannot have run, or running it twice does no harm. */
+export function isSafeToRepeat(attempt: FailedAttempt): boolean {
+  if (!attempt.sent || attempt.kind === OutcomeKind.Busy) return true;
+  return attempt.idempotent;
 }
 
-/** Attempts that a request may have in all. */
+/** Maximum attempts of a request. */
 export const MAXIMUM_ATTEMPTS = 3;
-/** The same when nothing was sent: one more than the targets of a rack. */
+/** Maximum attempts if nothing was sent: one more than the targets of a rack. */
 export const MAXIMUM_UNSENT_ATTEMPTS = 5;
-/** Attempts of a request that met busy targets; its wait is bounded by its deadline as well. */
+/** Maximum attempts of a request that met busy targets; its deadline also limits its wait. */
 export const MAXIMUM_BUSY_ATTEMPTS = 8;
 const RETRIES_PER_REQUEST = 0.2;
 const MINIMUM_RETRIES_PER_SECOND = 2;
@@ -50,14 +50,15 @@
 const MILLISECONDS_PER_SECOND = 1000;
 
 /**
- * Allows retries up to a share of the requests that came in.
- * Answers a target or a pool that fails: without a bound each of three attempts meets the same
- * fault, the load triples just when capacity is gone, and the pool stays down after the fault has
- * ended. A fifth covers one bad target of eight (an eighth of all requests) until it is ejected
- * and adds at most a fifth to the load in a fault of everything. Two a second let a service with
- * little traffic retry at all; savings are bounded so that a quiet night does not pay for a storm.
- * A busy answer costs no budget: it cost the target nothing, the answer has cut this daemon's
- * share, and the request goes back to waiting, bounded by its attempts and its deadline.
+ * Allows retries up to a share of the incoming requests.
+ * Load: a target or a pool that fails. Without a limit each of three attempts meets the same fault,
+ * the load triples just when capacity is lost, and the pool stays down after the fault has ended. A
+ * fifth covers one failing target of eight (an eighth of all requests) until it is ejected, and
+ * adds at most a fifth to the load if everything fails. Two retries a second let a service with
+ * little traffic retry at all; the balance is limited so that a quiet night does not pay for a
+ * retry storm. A busy response costs no budget: it cost the target nothing, it has already reduced
+ * this daemon's limit, and the request goes back to the queue, limited by its attempts and its
+ * deadline.
  */
 export class RetryBudget implements RetryPolicy {
   private balance = MINIMUM_RETRIES_PER_SECOND;
@@ -71,13 +72,13 @@
     this.credit(RETRIES_PER_REQUEST);
   }
 
-  decide(question: FailedAttempt): RetryDecision {
-    if (question.kind === OutcomeKind.CallerGone)
+  decide(attempt: FailedAttempt): RetryDecision {
+    if (attempt.kind === OutcomeKind.CallerGone)
       return RetryDecision.CallerGone;
-    if (!isSafeToRepeat(question)) return RetryDecision.MayHaveRun;
-    if (question.attempts >= attemptsFor(question))
+    if (!isSafeToRepeat(attempt)) return RetryDecision.MayHaveRun;
+    if (attempt.attempts >= attemptsFor(attempt))
       return RetryDecision.AttemptsExhausted;
-    if (question.kind === OutcomeKind.Busy) return RetryDecision.Retry;
+    if (attempt.kind === OutcomeKind.Busy) return RetryDecision.Retry;
     this.refill();
     if (this.balance < 1) return RetryDecision.BudgetExhausted;
     this.balance -= 1;
@@ -101,15 +102,15 @@
   return sent ? MAXIMUM_ATTEMPTS : MAXIMUM_UNSENT_ATTEMPTS;
 }
 
-/** Retries whatever is safe to repeat, without a bound on the load: the baseline. */
+/** Retries everything that is safe to repeat, without limiting the load: the baseline. */
 export class UnlimitedRetries implements RetryPolicy {
   onFirstAttempt(): void {}
 
-  decide(question: FailedAttempt): RetryDecision {
-    if (question.kind === OutcomeKind.CallerGone)
+  decide(attempt: FailedAttempt): RetryDecision {
+    if (attempt.kind === OutcomeKind.CallerGone)
       return RetryDecision.CallerGone;
-    if (!isSafeToRepeat(question)) return RetryDecision.MayHaveRun;
-    if (question.attempts >= MAXIMUM_ATTEMPTS)
+    if (!isSafeToRepeat(attempt)) return RetryDecision.MayHaveRun;
+    if (attempt.attempts >= MAXIMUM_ATTEMPTS)
       return RetryDecision.AttemptsExhausted;
     return RetryDecision.Retry;
   }
--- a/packages/decisions/src/routable-targets.ts
+++ b/packages/decisions/src/routable-targets.ts
@@ -1,6 +1,6 @@
 import type {RoutableTarget} from './target-entry.js';
 
-/** What the platform's list says of a VM. */
+/** A VM's entry in the platform's list. */
 export interface VmListing {
   readonly address: string;
   readonly dataCentre: string;
@@ -8,14 +8,14 @@
   readonly isLeaving: boolean;
 }
 
-/** What is known of one VM that the log gives to the pool. */
+/** What is known about one VM that the log assigns to the pool. */
 export interface PoolVm {
   readonly id: string;
-  /** A drain record is in force. */
+  /** Whether a drain record is in force. */
   readonly isDraining: boolean;
-  /** Undefined when the list does not show the VM. */
+  /** Undefined if the list does not contain the VM. */
   readonly listed: VmListing | undefined;
-  /** Monotonic milliseconds of this daemon's last whole answer from it. */
+  /** Monotonic milliseconds of the last complete response that this daemon got from it. */
   readonly lastAnswerAt: number | undefined;
 }
 
@@ -30,47 +30,51 @@
   readonly at: number;
 }
 
-/** A VM missing from the list this long is gone, whatever it answers: within the 3 s for leaving. */
+/**
+ * A VM missing from the list for this long is considered gone, even if it responds; it is within
+ * the 3 s allowed for leaving.
+ */
 const MISSING_GRACE_MILLISECONDS = 2000;
-/** The same when more than half of the pool went missing at one time. */
+/** The same if more than half of the pool is missing at one time. */
 const MASS_MISSING_GRACE_MILLISECONDS = 60_000;
-/** An answer this recent shows that a VM serves. */
+/** A response this recent shows that a VM is serving. */
 const RECENT_ANSWER_MILLISECONDS = 10_000;
 const MASS_MISSING_SHARE = 0.5;
 
 /**
- * Which VMs of a pool may get work, and which of them are near.
- * The log decides who owns a VM and whether it drains; a leaving mark in the list is believed at
- * once. Missing from the list is no such mark: the list lags and flaps, and what answers this
- * daemon serves. Such a VM stays for two seconds, and for a minute when more than half of the pool
- * went missing together, which is a fault of the list far sooner than of so many VMs; the ejection
- * takes out those that are really gone. A frozen list changes nothing here.
+ * Selects the VMs of a pool that may receive work, and marks those in this data centre.
+ * The log decides which pool owns a VM and whether it drains; a leaving mark in the list takes
+ * effect at once. Absence from the list is no such mark: the list lags and flaps, and a VM that
+ * responds to this daemon is serving. Such a VM is kept for two seconds, or for a minute if more
+ * than half of the pool went missing together, which is far more likely a fault of the list than of
+ * so many VMs; ejection removes those that are really gone. A stale list that no longer changes has
+ * no effect here.
  */
 export class RoutableTargets {
   private readonly lastSeen = new Map<string, LastSeen>();
 
   constructor(private readonly dataCentre: string) {}
 
-  /** The routable targets now. */
+  /** Returns the targets that are routable now. */
   select(
     pool: readonly PoolVm[],
     limits: TargetLimits,
     now: number,
   ): RoutableTarget[] {
     this.updateLastSeen(pool, now);
-    const missing = pool.filter(facts => this.isMissing(facts)).length;
-    const isMany = missing > pool.length * MASS_MISSING_SHARE;
-    const patience = isMany
+    const missing = pool.filter(vm => this.isMissing(vm)).length;
+    const isMassMissing = missing > pool.length * MASS_MISSING_SHARE;
+    const graceMilliseconds = isMassMissing
       ? MASS_MISSING_GRACE_MILLISECONDS
       : MISSING_GRACE_MILLISECONDS;
-    return pool.flatMap(facts => {
-      if (facts.isDraining || facts.listed?.isLeaving) return [];
-      const listed = facts.listed ?? this.retained(facts, patience, now);
-      return listed ? [this.routable(facts.id, listed, limits)] : [];
+    return pool.flatMap(vm => {
+      if (vm.isDraining || vm.listed?.isLeaving) return [];
+      const listed = vm.listed ?? this.retained(vm, graceMilliseconds, now);
+      return listed ? [this.routable(vm.id, listed, limits)] : [];
     });
   }
 
-  /** True while a missing VM is kept: `select` must be asked again as time goes on. */
+  /** True while a missing VM is kept; `select` must then be called again as time passes. */
   get retainsMissing(): boolean {
     return this.retainedCount > 0;
   }
@@ -79,7 +83,7 @@
 
   private updateLastSeen(pool: readonly PoolVm[], now: number): void {
     this.retainedCount = 0;
-    const ids = new Set(pool.map(facts => facts.id));
+    const ids = new Set(pool.map(vm => vm.id));
     for (const id of this.lastSeen.keys()) {
       if (!ids.has(id)) this.lastSeen.delete(id);
     }
@@ -88,23 +92,24 @@
     }
   }
 
-  private isMissing(facts: PoolVm): boolean {
-    return facts.listed === undefined && this.lastSeen.has(facts.id);
+  private isMissing(vm: PoolVm): boolean {
+    return vm.listed === undefined && this.lastSeen.has(vm.id);
   }
 
   private retained(
     {id, lastAnswerAt}: PoolVm,
-    patience: number,
+    graceMilliseconds: number,
     now: number,
   ): VmListing | undefined {
-    const seen = this.lastSeen.get(id);
-    if (!seen || seen.listing.isLeaving) return undefined;
-    const answered =
+    const lastSeen = this.lastSeen.get(id);
+    if (!lastSeen || lastSeen.listing.isLeaving) return undefined;
+    const hasAnsweredRecently =
       lastAnswerAt !== undefined &&
       now - lastAnswerAt < RECENT_ANSWER_MILLISECONDS;
-    if (!answered || now - seen.at >= patience) return undefined;
+    if (!hasAnsweredRecently || now - lastSeen.at >= graceMilliseconds)
+      return undefined;
     this.retainedCount++;
-    return seen.listing;
+    return lastSeen.listing;
   }
 
   private routable(
@@ -117,7 +122,7 @@
       id,
       address,
       rack,
-      isSameDataCentre: isSameDataCentre,
+      isSameDataCentre,
       slots,
       connections,
     };
--- a/packages/decisions/src/slot-limiter.ts
+++ b/packages/decisions/src/slot-limiter.ts
@@ -1,35 +1,44 @@
 import type {Clock} from '@gentiandoor/kernel';
 import {fairShare, type NamedDemand} from './fair-share.js';
 
-/** What a peer says of one thing that all daemons share, such as a target's slots. */
+/** A peer's reported usage of one resource that all daemons share, such as a target's slots. */
 export interface PeerUsage {
   readonly inFlight: number;
-  /** Whether it has requests waiting that could use more. */
+  /** Whether it has waiting requests that could use more. */
   readonly waiting: boolean;
 }
 
-/** What a peer says of all that it uses, by key; keys that it does not use are left out. */
+/** Everything a peer reports that it uses, by key; keys that it does not use are omitted. */
 export type PeerUsageByKey = ReadonlyMap<string, PeerUsage>;
 
-/** How much of each target this daemon may use at one time. */
+/** Limits how much of each target this daemon may use at one time. */
 export interface SlotLimiter {
-  /** Exchanges that this daemon may have in flight at `key`, which allows `slots` in all. */
+  /**
+   * Returns how many exchanges this daemon may have in flight at `key`, which allows `slots` in
+   * total.
+   */
   limit(key: string, slots: number): number;
-  /** The part of the limit that is this daemon's own; the rest is borrowed from peers that leave it idle. */
+  /**
+   * Returns the part of the limit that is this daemon's own; the rest is borrowed from peers that
+   * leave it idle.
+   */
   ownLimit(key: string, slots: number): number;
-  /** The target answered that it is at its limit, with `inFlight` of this daemon's there. */
+  /**
+   * Handles a response that the target is at its limit, with `inFlight` of this daemon's exchanges
+   * there.
+   */
   onBusy(key: string, inFlight: number, slots: number): void;
-  /** An exchange ended well while `inFlight` were there. */
+  /** Handles a successful exchange while `inFlight` exchanges were there. */
   onSuccess(key: string, inFlight: number, slots: number): void;
-  /** Takes in a peer's summary, which replaces its earlier one and is good for a time. */
+  /** Stores a peer's summary, which replaces its previous one and expires after the given time. */
   onPeerUsage(
     peer: string,
-    uses: PeerUsageByKey,
+    usageByKey: PeerUsageByKey,
     expiryMilliseconds: number,
   ): void;
 }
 
-/** Sends whatever comes: the baseline without a limit; what is too much, the targets refuse. */
+/** Applies no limit: the baseline; targets refuse what exceeds theirs. */
 export class NoSlotLimiter implements SlotLimiter {
   limit(): number {
     return Infinity;
@@ -46,7 +55,7 @@
   onPeerUsage(): void {}
 }
 
-/** Each daemon may use every slot of a target; targets answer busy under load. */
+/** Lets each daemon use every slot of a target; targets respond busy under load. */
 export class FullTargetLimiter implements SlotLimiter {
   limit(_key: string, slots: number): number {
     return slots;
@@ -63,7 +72,10 @@
   onPeerUsage(): void {}
 }
 
-/** An even split for good: no busy answers, but a daemon with all the load uses one part only. */
+/**
+ * Splits slots evenly and permanently: no busy responses, but a daemon that gets all the load uses
+ * only its own part.
+ */
 export class StaticSplitLimiter implements SlotLimiter {
   constructor(private readonly daemons: number) {}
 
@@ -88,13 +100,14 @@
 }
 
 const DECREASE_FACTOR = 0.7;
-/** Answers on their way when the cut was made tell nothing new. */
+/** Responses already in flight at the time of the decrease are no new evidence. */
 const DECREASE_PAUSE_MILLISECONDS = 50;
 
 /**
- * Learns its part from busy answers alone: cut by a share, raised by one slot a round.
- * Answers daemons that share targets and cannot hear each other. On its own it keeps probing, so
- * that targets go on answering busy now and then.
+ * Learns its part from busy responses alone: multiplicative decrease, and an increase of one slot
+ * per round.
+ * Load: daemons that share targets and cannot communicate with each other. On its own it keeps
+ * probing, so targets still respond busy now and then.
  */
 export class AdditiveIncreaseLimiter implements SlotLimiter {
   private readonly learnedLimits = new Map<string, LearnedLimit>();
@@ -102,9 +115,9 @@
   constructor(private readonly clock: Clock) {}
 
   limit(key: string, slots: number): number {
-    const entry = this.learnedLimits.get(key);
-    if (!entry) return slots;
-    return Math.max(1, Math.floor(entry.value));
+    const learned = this.learnedLimits.get(key);
+    if (!learned) return slots;
+    return Math.max(1, Math.floor(learned.value));
   }
 
   ownLimit(key: string, slots: number): number {
@@ -113,10 +126,10 @@
 
   onBusy(key: string, inFlight: number, slots: number): void {
     const now = this.clock.monotonicMilliseconds();
-    const entry = this.learnedLimits.get(key);
-    if (entry && now - entry.lastDecreaseAt < DECREASE_PAUSE_MILLISECONDS)
+    const learned = this.learnedLimits.get(key);
+    if (learned && now - learned.lastDecreaseAt < DECREASE_PAUSE_MILLISECONDS)
       return;
-    const value = Math.min(entry?.value ?? slots, inFlight);
+    const value = Math.min(learned?.value ?? slots, inFlight);
     this.learnedLimits.set(key, {
       value: Math.max(1, value * DECREASE_FACTOR),
       lastDecreaseAt: now,
@@ -124,17 +137,17 @@
   }
 
   onSuccess(key: string, inFlight: number, slots: number): void {
-    const entry = this.learnedLimits.get(key);
-    if (!entry || inFlight < Math.floor(entry.value)) return;
-    entry.value += 1 / entry.value;
-    if (entry.value >= slots) this.learnedLimits.delete(key);
+    const learned = this.learnedLimits.get(key);
+    if (!learned || inFlight < Math.floor(learned.value)) return;
+    learned.value += 1 / learned.value;
+    if (learned.value >= slots) this.learnedLimits.delete(key);
   }
 
   onPeerUsage(): void {}
 }
 
 interface PeerReport {
-  readonly uses: PeerUsageByKey;
+  readonly usageByKey: PeerUsageByKey;
   readonly expiresAt: number;
 }
 
@@ -145,18 +158,20 @@
   readonly ownLimit: number;
 }
 
-/** Room left for a peer that uses a key, so that its next request does not meet a full target. */
+/**
+ * Slots left free for a peer that uses a key, so that its next request does not meet a full target.
+ */
 const PEER_HEADROOM = 1;
 
 /**
- * Shares out each target's slots by what the peers last said they use.
- * Answers 6 or 7 daemons in front of targets with 8 slots: with no limit the targets answer busy
- * to much of a saturating load, each answer a wasted round trip; with an even split one daemon
- * with all the load leaves most slots idle. Peers with waiting requests share evenly; a peer that
- * only uses some keeps those and one more. Slots of an even split among the peers that have any
- * work are this daemon's own and are used before borrowed ones: two daemons meet at a target only
- * where one of them is past its part. Busy answers still cut the share, for peers that cannot be
- * heard and for what a summary is too old to show.
+ * Divides each target's slots according to the usage that peers last reported.
+ * Load: 6 or 7 daemons in front of targets with 8 slots. Without a limit the targets respond busy
+ * to much of a saturating load, each response a wasted round trip; with an even split a daemon that
+ * gets all the load leaves most slots idle. Peers with waiting requests share evenly; a peer that
+ * only uses some slots keeps those and one more. The slots of an even split among the peers that
+ * have any work are this daemon's own and are used before borrowed ones: two daemons compete for a
+ * target only where one of them exceeds its own part. Busy responses still reduce the limit, for
+ * peers that are unreachable and for usage newer than the last summary.
  */
 export class PeerAwareLimiter implements SlotLimiter {
   private readonly learnedLimiter: AdditiveIncreaseLimiter;
@@ -179,8 +194,8 @@
   }
 
   ownLimit(key: string, slots: number): number {
-    const {ownLimit: own} = this.limitsOf(key, slots);
-    return Math.min(own, this.learnedLimiter.limit(key, slots));
+    const {ownLimit} = this.limitsOf(key, slots);
+    return Math.min(ownLimit, this.learnedLimiter.limit(key, slots));
   }
 
   onBusy(key: string, inFlight: number, slots: number): void {
@@ -193,11 +208,11 @@
 
   onPeerUsage(
     peer: string,
-    uses: PeerUsageByKey,
+    usageByKey: PeerUsageByKey,
     expiryMilliseconds: number,
   ): void {
     const expiresAt = this.clock.monotonicMilliseconds() + expiryMilliseconds;
-    this.peers.set(peer, {uses, expiresAt});
+    this.peers.set(peer, {usageByKey, expiresAt});
     this.nextExpiry = Math.min(this.nextExpiry, expiresAt);
     this.version++;
   }
@@ -214,18 +229,18 @@
 
   private compute(key: string, slots: number): CachedLimit {
     const users: NamedDemand[] = [];
-    for (const [name, {uses}] of this.peers) {
-      const use = uses.get(key);
+    for (const [name, {usageByKey}] of this.peers) {
+      const use = usageByKey.get(key);
       if (use) users.push({name, demand: demandOf(use)});
     }
-    const equals = users.map(({name}) => ({name, demand: Infinity}));
+    const equalDemands = users.map(({name}) => ({name, demand: Infinity}));
     const limit = fairShare(key, slots, this.self, users);
-    const own = fairShare(key, slots, this.self, equals);
+    const ownLimit = fairShare(key, slots, this.self, equalDemands);
     return {
       version: this.version,
       slots,
       limit: Math.max(this.minimum, limit),
-      ownLimit: Math.max(this.minimum, own),
+      ownLimit: Math.max(this.minimum, ownLimit),
     };
   }
 
--- a/packages/decisions/src/slot-pool.ts
+++ b/packages/decisions/src/slot-pool.ts
@@ -19,15 +19,15 @@
 import type {WeightRamp} from './weight-ramp.js';
 import {WorkLength} from './work-length.js';
 
-/** Why work went to another data centre. */
+/** Why work was sent to another data centre. */
 export enum SpillReason {
-  /** Every slot near by that this daemon may use is taken. */
+  /** Every slot in this data centre that this daemon may use is taken. */
   DataCentreFull = 'near_full',
-  /** No target near by can be used. */
+  /** No target in this data centre is usable. */
   DataCentreUnavailable = 'near_gone',
 }
 
-/** The parts of a pool's decisions. */
+/** The components of a pool's decisions. */
 export interface SlotPoolDependencies {
   readonly clock: CachedClock;
   readonly random: RandomSource;
@@ -41,31 +41,32 @@
   readonly quota: TeamQuota;
   readonly queue: RequestQueue<SlotRequest>;
   readonly onSpill: (reason: SpillReason) => void;
-  /** Requests begin to wait: peers that know it leave slots. */
+  /** Called when requests start to wait, so that peers can be notified and leave slots free. */
   readonly onWaitingStarted: () => void;
 }
 
-/** How often deadlines and the standing queue are looked at while requests wait. */
+/** How often deadlines and the standing queue are checked while requests wait. */
 const SWEEP_MILLISECONDS = 10;
 /**
- * Gives the slots of one pool to requests: at once where there is room, else by the queue's order.
- * Dispatch and giving up are one choice: an ask leaves the queue in the same step that grants or
+ * Assigns the slots of one pool to requests: at once if a slot is free, otherwise in queue order.
+ * Dispatch and expiry are one decision: a request leaves the queue in the same step that grants or
  * refuses it, and nothing else runs in between.
  */
 export class SlotPool implements SlotIssuer {
   private readonly targets: TargetSet;
-  /** False once no target had room; spares a look through all targets for each request. */
+  /** False once no target had a free slot; saves scanning all targets for each request. */
   private mayHaveFreeSlot = true;
   private sweep: Timer | undefined;
 
   constructor(private readonly dependencies: SlotPoolDependencies) {
-    const {clock, releaseRate: drain} = dependencies;
+    const {clock, releaseRate} = dependencies;
     this.targets = new TargetSet({
       ...dependencies,
       now: () => clock.monotonicMilliseconds(),
-      usualMilliseconds: () => drain.meanSlotMilliseconds(WorkLength.Short),
+      usualMilliseconds: () =>
+        releaseRate.meanSlotMilliseconds(WorkLength.Short),
       expectedQueueMilliseconds: () =>
-        (this.waiting + 1) / drain.slotsPerMillisecond(WorkLength.Short),
+        (this.waiting + 1) / releaseRate.slotsPerMillisecond(WorkLength.Short),
     });
   }
 
@@ -74,43 +75,44 @@
   }
 
   get inFlight(): number {
-    const {releaseRate: drain} = this.dependencies;
+    const {releaseRate} = this.dependencies;
     return (
-      drain.inFlightOf(WorkLength.Short) + drain.inFlightOf(WorkLength.Long)
+      releaseRate.inFlightOf(WorkLength.Short) +
+      releaseRate.inFlightOf(WorkLength.Long)
     );
   }
 
-  /** Replaces the routable targets; called on change only. */
+  /** Replaces the routable targets; called only when they change. */
   setTargets(targets: readonly RoutableTarget[]): void {
     this.dependencies.clock.refresh();
     this.targets.set(targets);
     this.onCapacityChanged();
   }
 
-  /** Grants or refuses now or later. */
-  acquire(ask: SlotRequest): void {
+  /** Grants or refuses the request, now or later. */
+  acquire(request: SlotRequest): void {
     const {queue, clock} = this.dependencies;
     clock.refresh();
     if (queue.length > 0 && this.mayHaveFreeSlot) this.dispatchWaiting();
-    // Room that is left after pumping is room that none of those waiting may use.
+    // A slot that is still free after dispatch is one that no waiting request may use.
     const mayStart = queue.length === 0 || this.mayHaveFreeSlot;
-    if (mayStart && this.tryStart(ask)) return;
+    if (mayStart && this.tryStart(request)) return;
     if (this.capacity() === 0) {
-      this.refuse(ask, undefined);
+      this.refuse(request, undefined);
       return;
     }
     const isFirst = queue.length === 0;
-    this.refuseAll(queue.enqueue(ask, this.now()));
+    this.refuseAll(queue.enqueue(request, this.now()));
     if (isFirst && queue.length > 0) this.dependencies.onWaitingStarted();
     this.scheduleSweep();
   }
 
-  /** The caller gave up; false when the ask is no longer waiting. */
-  cancel(ask: SlotRequest): boolean {
-    return this.dependencies.queue.remove(ask);
+  /** Cancels a request whose caller gave up; returns false if it is no longer waiting. */
+  cancel(request: SlotRequest): boolean {
+    return this.dependencies.queue.remove(request);
   }
 
-  /** Something outside changed what may run: peers' summaries, a quota, a target's standing. */
+  /** Handles an external change of what may run: peers' summaries, a quota, a target's state. */
   onCapacityChanged(): void {
     this.dependencies.clock.refresh();
     this.mayHaveFreeSlot = true;
@@ -118,63 +120,63 @@
     this.dispatchWaiting();
   }
 
-  /** Slots that this daemon may use now, in all targets. */
+  /** Returns the slots that this daemon may use now, over all targets. */
   capacity(): number {
     return this.targets.capacity();
   }
 
-  /** Takes in what a peer says that it uses of the targets. */
+  /** Stores a peer's reported usage of the targets. */
   onPeerUsage(
     peer: string,
-    uses: PeerUsageByKey,
+    usageByKey: PeerUsageByKey,
     expiryMilliseconds: number,
   ): void {
     this.dependencies.clock.refresh();
-    this.dependencies.limiter.onPeerUsage(peer, uses, expiryMilliseconds);
+    this.dependencies.limiter.onPeerUsage(peer, usageByKey, expiryMilliseconds);
     this.onCapacityChanged();
   }
 
-  /** This daemon's use of each target, for its peers; empty while it has no work. */
+  /** Returns this daemon's usage of each target, for its peers; empty while it has no work. */
   usage(): Map<string, PeerUsage> {
     const waiting = this.waiting > 0;
     if (!waiting && this.inFlight === 0) return new Map();
     return this.targets.usage(waiting);
   }
 
-  /** Targets that said themselves that they are leaving. */
+  /** Returns the targets known to be leaving from their own responses or from a peer. */
   leavingTargets(): string[] {
     this.dependencies.clock.refresh();
     return this.idsOf(entry => entry.isLeaving());
   }
 
-  /** Whether the target is among the routable ones. */
+  /** Whether the target is routable. */
   has(target: string): boolean {
     return this.targets.get(target) !== undefined;
   }
 
-  /** Targets that get no work because of their failures. */
+  /** Returns the targets that are ejected because of their failures. */
   ejectedTargets(): string[] {
     this.dependencies.clock.refresh();
     return this.idsOf(entry => entry.isEjected());
   }
 
-  /** A sign of leaving from a peer. */
+  /** Handles a notification from a peer that a target is leaving. */
   onTargetLeaving(target: string): void {
     this.dependencies.clock.refresh();
     this.targets.get(target)?.onLeaving();
   }
 
-  /** Monotonic milliseconds of the last whole answer from a target. */
+  /** Returns the monotonic milliseconds of the last complete response from a target. */
   lastAnswerAt(target: string): number | undefined {
     return this.targets.get(target)?.lastAnswerAt;
   }
 
-  /** Requests of one service that wait. */
+  /** Returns how many requests of one service wait. */
   waitingForService(service: string): number {
     return this.dependencies.queue.lengthOf(service);
   }
 
-  /** Whether so many targets look bad that none is treated as ejected. */
+  /** Whether so many targets are failing that none is treated as ejected. */
   get isSharedFault(): boolean {
     return this.dependencies.ejection.isSharedFault;
   }
@@ -186,15 +188,15 @@
   }
 
   /** For `PoolSlot` only. */
-  onOutcome({entry, request: ask}: PoolSlot, outcome: TargetOutcome): void {
+  onOutcome({entry, request}: PoolSlot, outcome: TargetOutcome): void {
     this.dependencies.clock.refresh();
     const now = this.now();
-    const {limiter: share, ejection} = this.dependencies;
+    const {limiter, ejection} = this.dependencies;
     const {slots} = entry.target;
     if (outcome.leaving) entry.onLeaving();
     ejection.observe(entry.id, outcome.kind, now);
     if (outcome.kind === OutcomeKind.Busy) {
-      share.onBusy(entry.id, entry.inFlight, slots);
+      limiter.onBusy(entry.id, entry.inFlight, slots);
     } else if (isFailure(outcome.kind)) {
       const usual = this.dependencies.releaseRate.meanSlotMilliseconds(
         WorkLength.Short,
@@ -202,34 +204,43 @@
       entry.latency.observeFailure(usual, now);
     } else if (outcome.kind === OutcomeKind.Succeeded) {
       entry.lastAnswerAt = now;
-      share.onSuccess(entry.id, entry.inFlight, slots);
-      this.observeLatency(entry, ask.work, outcome.latencyMilliseconds, now);
+      limiter.onSuccess(entry.id, entry.inFlight, slots);
+      this.observeLatency(
+        entry,
+        request.work,
+        outcome.latencyMilliseconds,
+        now,
+      );
     }
   }
 
   /** For `PoolSlot` only. */
-  onReleased({entry, request: ask, startedAt, wasAnswered}: PoolSlot): void {
+  onReleased({entry, request, startedAt, wasAnswered}: PoolSlot): void {
     this.targets.onExchangeEnded(entry);
-    const {releaseRate: drain, clock} = this.dependencies;
+    const {releaseRate, clock} = this.dependencies;
     clock.refresh();
-    drain.onEnd(ask.work);
-    if (wasAnswered) drain.onAnswered(ask.work, this.now() - startedAt);
-    this.dependencies.quota.onEnd(ask.team);
+    releaseRate.onEnd(request.work);
+    if (wasAnswered)
+      releaseRate.onAnswered(request.work, this.now() - startedAt);
+    this.dependencies.quota.onEnd(request.team);
     this.mayHaveFreeSlot = true;
     this.dispatchWaiting();
   }
 
-  /** Long work is brought to the scale of short, so that a mixture does not make a target look slow. */
+  /**
+   * Scales the latency of long work to that of short work, so that a mixture does not make a target
+   * look slow.
+   */
   private observeLatency(
     entry: TargetEntry,
     work: WorkLength,
     milliseconds: number,
     now: number,
   ): void {
-    const {releaseRate: drain} = this.dependencies;
+    const {releaseRate} = this.dependencies;
     const scale =
-      drain.meanSlotMilliseconds(WorkLength.Short) /
-      drain.meanSlotMilliseconds(work);
+      releaseRate.meanSlotMilliseconds(WorkLength.Short) /
+      releaseRate.meanSlotMilliseconds(work);
     entry.latency.observe(milliseconds * scale, now);
   }
 
@@ -237,20 +248,22 @@
     return [...this.targets.all()].filter(matches).map(({id}) => id);
   }
 
-  private tryStart(ask: SlotRequest): boolean {
-    if (!this.mayRun(ask)) return false;
-    const entry = this.targets.pick(ask);
-    if (entry) this.start(ask, entry);
+  private tryStart(request: SlotRequest): boolean {
+    if (!this.mayRun(request)) return false;
+    const entry = this.targets.pick(request);
+    if (entry) this.start(request, entry);
     else this.mayHaveFreeSlot = false;
     return entry !== undefined;
   }
 
-  private mayRun(ask: SlotRequest): boolean {
-    const {workLengthPolicy: gate, quota} = this.dependencies;
-    return gate.mayStart(ask.work) && quota.mayStart(ask.team);
+  private mayRun(request: SlotRequest): boolean {
+    const {workLengthPolicy, quota} = this.dependencies;
+    return (
+      workLengthPolicy.mayStart(request.work) && quota.mayStart(request.team)
+    );
   }
 
-  /** Starts waiting asks while there is room that one of them may use. */
+  /** Starts waiting requests while there are free slots that one of them may use. */
   private dispatchWaiting(): void {
     const {queue} = this.dependencies;
     while (queue.length > 0 && this.mayHaveFreeSlot) {
@@ -259,35 +272,33 @@
     }
   }
 
-  /** Finds a target first: an ask that leaves the queue must have one. */
+  /** Selects a target before dequeuing: a request that leaves the queue must have one. */
   private startNext(idempotent: boolean): boolean {
     const entry = this.targets.pick({idempotent});
     if (!entry) {
       if (!idempotent) this.mayHaveFreeSlot = false;
       return false;
     }
-    const ask = this.dependencies.queue.dequeue(
+    const request = this.dependencies.queue.dequeue(
       this.now(),
       waiting => this.mayRun(waiting) && entry.canAccept(waiting),
     );
-    if (!ask) return false;
-    const other = ask.tried?.has(entry.id) ? this.targets.pick(ask) : undefined;
-    this.start(ask, other ?? entry);
+    if (!request) return false;
+    const other = request.tried?.has(entry.id)
+      ? this.targets.pick(request)
+      : undefined;
+    this.start(request, other ?? entry);
     return true;
   }
 
-  private start(ask: SlotRequest, entry: TargetEntry): void {
-    const {
-      releaseRate: drain,
-      workLengthPolicy: gate,
-      quota,
-    } = this.dependencies;
+  private start(request: SlotRequest, entry: TargetEntry): void {
+    const {releaseRate, workLengthPolicy, quota} = this.dependencies;
     entry.inFlight++;
-    drain.onStart(ask.work);
-    gate.onStart(ask.work);
-    quota.onStart(ask.team);
+    releaseRate.onStart(request.work);
+    workLengthPolicy.onStart(request.work);
+    quota.onStart(request.team);
     if (!entry.target.isSameDataCentre) this.countSpill();
-    ask.grant(new PoolSlot(this, entry, ask, this.now()));
+    request.grant(new PoolSlot(this, entry, request, this.now()));
   }
 
   private countSpill(): void {
@@ -298,19 +309,19 @@
     );
   }
 
-  private refuseAll(turned: readonly QueueRejection<SlotRequest>[]): void {
-    for (const {item, reason} of turned) this.refuse(item, reason);
+  private refuseAll(rejections: readonly QueueRejection<SlotRequest>[]): void {
+    for (const {item, reason} of rejections) this.refuse(item, reason);
   }
 
   private refuse(
-    ask: SlotRequest,
+    request: SlotRequest,
     reason: QueueRejectionReason | undefined,
   ): void {
-    const {random, releaseRate: drain, queue, quota} = this.dependencies;
-    const rate = drain.slotsPerMillisecond(ask.work);
-    ask.refuse({
+    const {random, releaseRate, queue, quota} = this.dependencies;
+    const rate = releaseRate.slotsPerMillisecond(request.work);
+    request.refuse({
       reason,
-      isQuotaExhausted: !quota.mayStart(ask.team),
+      isQuotaExhausted: !quota.mayStart(request.team),
       retryAfterSeconds: retryAfterSeconds(random, queue.length, rate),
     });
   }
@@ -321,7 +332,7 @@
       this.sweep = undefined;
       this.dependencies.clock.refresh();
       this.refuseAll(this.dependencies.queue.removeExpired(this.now()));
-      // Time alone can make room: an ejection or a peer's summary runs out.
+      // Free slots can also appear by time alone: an ejection or a peer's summary expires.
       this.mayHaveFreeSlot = true;
       this.dispatchWaiting();
       this.scheduleSweep();
--- a/packages/decisions/src/slot-release-rate.ts
+++ b/packages/decisions/src/slot-release-rate.ts
@@ -11,15 +11,15 @@
 
   observe(milliseconds: number): void {
     this.count++;
-    const share = Math.max(MINIMUM_SMOOTHING_FACTOR, 1 / this.count);
-    this.milliseconds += (milliseconds - this.milliseconds) * share;
+    const smoothingFactor = Math.max(MINIMUM_SMOOTHING_FACTOR, 1 / this.count);
+    this.milliseconds += (milliseconds - this.milliseconds) * smoothingFactor;
   }
 }
 
 /**
- * How fast slots come free, from what is in flight and how long exchanges hold a slot.
- * Little's law gives it at once after a change of load, where a count of releases over a window
- * would lag by the window.
+ * Estimates how fast slots are released, from the exchanges in flight and the time that an exchange
+ * occupies a slot. Little's law reflects a change of load at once, whereas counting releases over a
+ * window would lag by the window.
  */
 export class SlotReleaseRate {
   private readonly slotTimes = {
@@ -37,23 +37,23 @@
   }
 
   /**
-   * An exchange that was answered held its slot for so long. Busy answers and failures are left
-   * out: a fault that fails in a millisecond would make every later exchange look slow.
+   * Records how long an answered exchange occupied its slot. Busy responses and failures are left
+   * out: a fault that fails within a millisecond would make every later exchange look slow.
    */
-  onAnswered(work: WorkLength, heldMilliseconds: number): void {
-    this.slotTimes[work].observe(heldMilliseconds);
+  onAnswered(work: WorkLength, slotMilliseconds: number): void {
+    this.slotTimes[work].observe(slotMilliseconds);
   }
 
   inFlightOf(work: WorkLength): number {
     return this.inFlight[work];
   }
 
-  /** Mean milliseconds that an exchange holds a slot. */
+  /** Returns the mean milliseconds that an exchange occupies a slot. */
   meanSlotMilliseconds(work: WorkLength): number {
     return this.slotTimes[work].milliseconds;
   }
 
-  /** Slots of one kind of work that come free in a millisecond. */
+  /** Returns how many slots one kind of work releases per millisecond. */
   slotsPerMillisecond(work: WorkLength): number {
     return Math.max(1, this.inFlight[work]) / this.slotTimes[work].milliseconds;
   }
@@ -63,16 +63,17 @@
 const MAXIMUM_RETRY_SECONDS = 60;
 
 /**
- * Whole seconds after which to come again: when those that wait now are through, spread over as
- * long again, so that callers refused together do not come back together.
+ * Returns the whole seconds after which to retry: the time until all requests now waiting have been
+ * served, spread over the same time again so that callers refused together do not retry together.
  */
 export function retryAfterSeconds(
   random: RandomSource,
   waiting: number,
-  perMillisecond: number,
+  slotsPerMillisecond: number,
 ): number {
-  const drained = (waiting + 1) / perMillisecond / MILLISECONDS_PER_SECOND;
-  const base = Math.max(MINIMUM_RETRY_SECONDS, drained);
+  const drainSeconds =
+    (waiting + 1) / slotsPerMillisecond / MILLISECONDS_PER_SECOND;
+  const base = Math.max(MINIMUM_RETRY_SECONDS, drainSeconds);
   const spread = base * (1 + random.nextFraction());
   return Math.min(MAXIMUM_RETRY_SECONDS, Math.ceil(spread));
 }
--- a/packages/decisions/src/standard-pool.ts
+++ b/packages/decisions/src/standard-pool.ts
@@ -15,7 +15,7 @@
 import {CachedClock} from './cached-clock.js';
 import {LinearWeightRamp} from './weight-ramp.js';
 
-/** What a pool of the daemon is made of. */
+/** Options of a pool as the daemon uses it. */
 export interface StandardPoolOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -25,40 +25,40 @@
   readonly onSpill: (reason: SpillReason) => void;
   readonly onWaitingStarted: () => void;
   readonly onEjectionStateChange: (change: EjectionStateChange) => void;
-  /** Parts that a comparison replaces. */
+  /** Components replaced for a comparison. */
   readonly overrides?: Partial<SlotPoolDependencies>;
 }
 
-/** Puts the decisions of one pool together as the daemon uses them. */
+/** Creates a pool with the decision components that the daemon uses. */
 export function createStandardPool(options: StandardPoolOptions): SlotPool {
   const {
     random,
-    incarnation: self,
+    incarnation,
     quota,
     onSpill,
-    onWaitingStarted: onPressure,
-    overrides: replaced = {},
+    onWaitingStarted,
+    overrides = {},
   } = options;
   const clock = new CachedClock(options.clock);
   const releaseRate = new SlotReleaseRate();
   const workLengthPolicy =
-    replaced.workLengthPolicy ??
+    overrides.workLengthPolicy ??
     new ShortWorkReserve(clock, releaseRate, () => pool.capacity());
   const pool: SlotPool = new SlotPool({
     clock,
     random,
-    releaseRate: releaseRate,
-    workLengthPolicy: workLengthPolicy,
+    releaseRate,
+    workLengthPolicy,
     quota,
     onSpill,
-    onWaitingStarted: onPressure,
+    onWaitingStarted,
     slowTargets: new AvoidSlowTargets(),
-    limiter: new PeerAwareLimiter(clock, self),
+    limiter: new PeerAwareLimiter(clock, incarnation),
     selector: new SampledSelector(random),
     ejection: new BoundedEjection(options.onEjectionStateChange),
     ramp: new LinearWeightRamp(),
     queue: new FairQueue(releaseRate, workLengthPolicy),
-    ...replaced,
+    ...overrides,
   });
   return pool;
 }
--- a/packages/decisions/src/target-entry.ts
+++ b/packages/decisions/src/target-entry.ts
@@ -6,28 +6,28 @@
 import type {SelectionRequest, TargetCandidate} from './target-selector.js';
 import type {WeightRamp} from './weight-ramp.js';
 
-/** A target that a pool's work may go to. */
+/** A target that may receive a pool's work. */
 export interface RoutableTarget {
   readonly id: string;
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
   readonly rack: string;
   /** Whether it is in this daemon's data centre. */
   readonly isSameDataCentre: boolean;
-  /** Exchanges at one time that the target takes from all daemons. */
+  /** Maximum exchanges in flight that the target accepts from all daemons together. */
   readonly slots: number;
-  /** Connections at one time that the target takes from all daemons. */
+  /** Maximum connections that the target accepts from all daemons together. */
   readonly connections: number;
 }
 
-/** What all targets of a pool share. */
+/** Dependencies shared by all targets of a pool. */
 export interface TargetEntryDependencies {
   now(): number;
-  /** Milliseconds that a short exchange usually takes in this pool. */
+  /** Returns the milliseconds that a short exchange usually takes in this pool. */
   usualMilliseconds(): number;
-  /** Whether few enough targets are slow to leave those alone. */
+  /** Whether few enough targets are slow to avoid those. */
   mayAvoidSlow(): boolean;
-  /** Milliseconds that a request which comes now would wait for another target. */
+  /** Returns the milliseconds that a request arriving now would wait for another target. */
   expectedQueueMilliseconds(): number;
   readonly limiter: SlotLimiter;
   readonly ejection: EjectionPolicy;
@@ -36,13 +36,16 @@
 }
 
 const PROBATION_IN_FLIGHT = 1;
-/** The list shows a leaving target long before; a target that closes for its own reasons comes back. */
+/**
+ * Long enough for the list to show a leaving target; a target that closes for its own reasons is
+ * used again afterwards.
+ */
 const LEAVING_SIGN_MILLISECONDS = 15_000;
 
-/** What a daemon knows of one target, and whether it may get a request now. */
+/** What a daemon knows about one target, and whether it may receive a request now. */
 export class TargetEntry implements TargetCandidate {
   inFlight = 0;
-  /** Monotonic milliseconds of the last whole answer. */
+  /** Monotonic milliseconds of the last complete response. */
   lastAnswerAt: number | undefined;
   readonly latency = new LatencyEstimate();
   private leavingUntil = -Infinity;
@@ -57,14 +60,14 @@
     return this.target.id;
   }
 
-  /** Slots that this daemon may use here now. */
+  /** Returns the slots that this daemon may use here now. */
   limit(): number {
     const {slots, connections} = this.target;
-    const whole = Math.min(slots, connections);
-    return this.dependencies.limiter.limit(this.id, whole);
+    const maximum = Math.min(slots, connections);
+    return this.dependencies.limiter.limit(this.id, maximum);
   }
 
-  /** Slots here that are this daemon's own part. */
+  /** Returns the slots here that are this daemon's own part. */
   private ownLimit(): number {
     const {slots, connections} = this.target;
     return this.dependencies.limiter.ownLimit(
@@ -73,13 +76,13 @@
     );
   }
 
-  canAccept(ask: SelectionRequest): boolean {
-    const bound = ask.mayBorrow === false ? this.ownLimit() : this.limit();
-    if (this.inFlight >= bound || !this.acceptsNewWork()) return false;
+  canAccept(request: SelectionRequest): boolean {
+    const limit = request.mayBorrow === false ? this.ownLimit() : this.limit();
+    if (this.inFlight >= limit || !this.acceptsNewWork()) return false;
     if (this.ejectionState() === EjectionState.InUse)
       return !this.isWorseThanWaiting();
-    // A request that cannot be repeated is not used to find out whether a bad target works again.
-    return ask.idempotent && this.inFlight < PROBATION_IN_FLIGHT;
+    // A request that cannot be repeated is not used to test whether a failing target works again.
+    return request.idempotent && this.inFlight < PROBATION_IN_FLIGHT;
   }
 
   cost(): number {
@@ -95,49 +98,55 @@
     return this.dependencies.ramp.weight(this.id, this.dependencies.now());
   }
 
-  /** Whether new work may go there at all: neither gone, leaving nor ejected. */
+  /** Whether new work may be sent there at all: it is not removed, leaving or ejected. */
   acceptsNewWork(): boolean {
     if (this.isRemoved || this.isLeaving()) return false;
     return !this.isEjected();
   }
 
-  /** Whether it gets no work because of its failures. */
+  /** Whether it receives no work because of its failures. */
   isEjected(): boolean {
     return this.ejectionState() === EjectionState.Ejected;
   }
 
-  /** Whether the target or a peer said lately that it is leaving. */
+  /** Whether the target or a peer recently reported that it is leaving. */
   isLeaving(): boolean {
     return this.dependencies.now() < this.leavingUntil;
   }
 
-  /** First-hand: the target itself said that it is leaving. */
+  /** Marks the target as leaving, as reported by the target itself or a peer. */
   onLeaving(): void {
     this.leavingUntil = this.dependencies.now() + LEAVING_SIGN_MILLISECONDS;
   }
 
-  /** The target is no longer routable; exchanges in flight end by themselves. */
+  /** Marks the target as no longer routable; exchanges in flight run to their end. */
   onRemoved(): void {
     this.isRemoved = true;
   }
 
   /** Whether exchanges here take several times as long as is usual in the pool. */
   isSlow(): boolean {
-    const {dependencies: parts} = this;
-    const usual = parts.usualMilliseconds();
-    const expected = this.latency.expectedMilliseconds(usual, parts.now());
-    return parts.slowTargets.isSlow(expected, usual);
+    const {dependencies} = this;
+    const usual = dependencies.usualMilliseconds();
+    const expected = this.latency.expectedMilliseconds(
+      usual,
+      dependencies.now(),
+    );
+    return dependencies.slowTargets.isSlow(expected, usual);
   }
 
   private isWorseThanWaiting(): boolean {
-    const {dependencies: parts} = this;
-    if (!this.isSlow() || !parts.mayAvoidSlow()) return false;
-    const usual = parts.usualMilliseconds();
-    const expected = this.latency.expectedMilliseconds(usual, parts.now());
-    return expected - usual > parts.expectedQueueMilliseconds();
+    const {dependencies} = this;
+    if (!this.isSlow() || !dependencies.mayAvoidSlow()) return false;
+    const usual = dependencies.usualMilliseconds();
+    const expected = this.latency.expectedMilliseconds(
+      usual,
+      dependencies.now(),
+    );
+    return expected - usual > dependencies.expectedQueueMilliseconds();
   }
 
-  /** The target is routable again. */
+  /** Marks the target as routable again. */
   onReturned(target: RoutableTarget): void {
     this.target = target;
     this.isRemoved = false;
--- a/packages/decisions/src/target-outcome.ts
+++ b/packages/decisions/src/target-outcome.ts
@@ -1,29 +1,29 @@
-/** How one exchange with a target ended, as far as decisions about the target need it. */
+/** How an exchange with a target ended, as far as decisions about the target need it. */
 export enum OutcomeKind {
-  /** A whole answer that is no server error. */
+  /** A complete response that is not a server error. */
   Succeeded = 'succeeded',
-  /** A whole answer with a server error of the target's own. */
+  /** A complete response with a server error of the target itself. */
   ServerError = 'server_error',
-  /** The target said that it is at its limit and ran nothing. */
+  /** The target responded that it is at its limit and ran nothing. */
   Busy = 'busy',
-  /** No connection could be opened, or it broke before any byte went out. */
+  /** No connection could be opened, or it was lost before any byte was sent. */
   Unreachable = 'unreachable',
-  /** The connection broke after bytes went out. */
+  /** The connection was lost after bytes were sent. */
   ConnectionLost = 'broken',
-  /** No head of an answer in time. */
+  /** No response head arrived before the timeout. */
   TimedOut = 'timed_out',
-  /** The answer began and broke off, or was malformed. */
+  /** The response started but was cut off or malformed. */
   Truncated = 'truncated',
-  /** The caller's side gave up; says nothing about the target. */
+  /** The caller gave up; this says nothing about the target. */
   CallerGone = 'caller_gone',
 }
 
-/** What an exchange showed of its target. */
+/** What an exchange showed about its target. */
 export interface TargetOutcome {
   readonly kind: OutcomeKind;
-  /** Milliseconds from dispatch to the head of the answer, or to the failure. */
+  /** Milliseconds from dispatch to the response head, or to the failure. */
   readonly latencyMilliseconds: number;
-  /** Whether the target itself said that it is leaving. */
+  /** Whether the target itself reported that it is leaving. */
   readonly leaving: boolean;
 }
 
@@ -35,7 +35,9 @@
   OutcomeKind.Truncated,
 ]);
 
-/** Whether an outcome counts against its target; `busy` and a caller that left do not. */
+/**
+ * Whether an outcome counts as a failure of its target; `busy` and a caller that gave up do not.
+ */
 export function isFailure(kind: OutcomeKind): boolean {
   return FAILURES.has(kind);
 }
--- a/packages/decisions/src/target-selector.ts
+++ b/packages/decisions/src/target-selector.ts
@@ -1,46 +1,47 @@
 import type {RandomSource} from '@gentiandoor/kernel';
 
-/** What the choice needs to know of a request. */
+/** What the selection needs to know about a request. */
 export interface SelectionRequest {
   readonly idempotent: boolean;
-  /** Targets that failed this request already. */
+  /** Targets on which this request has already failed. */
   readonly tried?: ReadonlySet<string>;
-  /** Whether slots that peers leave idle may be used as well; only the daemon's own when false. */
+  /** Whether slots that peers leave idle may be used as well; if false, only the daemon's own. */
   readonly mayBorrow?: boolean;
-  /** Whether a target with a small weight may be used whatever its weight. */
+  /** Whether a target may be used regardless of its weight. */
   readonly ignoresWeight?: boolean;
 }
 
-/** What the choice knows of one target. */
+/** What the selection knows about one target. */
 export interface TargetCandidate {
   readonly id: string;
   /** Whether this request may start there now. */
-  canAccept(ask: SelectionRequest): boolean;
-  /** Expected cost of one more exchange there; lower is better. */
+  canAccept(request: SelectionRequest): boolean;
+  /** Returns the expected cost of one more exchange there; lower is better. */
   cost(): number;
-  /** Share of the usual load that the target may get now, in (0, 1]. */
+  /** Returns the share of its usual load that the target may receive now, in (0, 1]. */
   weight(): number;
 }
 
-/** Picks the target of a request; undefined when none has room. */
+/** Selects the target of a request; undefined if none can accept it. */
 export interface TargetSelector {
   select<Target extends TargetCandidate>(
     targets: readonly Target[],
-    ask: SelectionRequest,
+    request: SelectionRequest,
   ): Target | undefined;
 }
 
-/** Targets looked at; docs/design/target-choice.md compares two, four, twelve and all. */
+/** Number of targets compared; docs/design/target-choice.md compares two, four, twelve and all. */
 const SAMPLE_SIZE = 12;
 
 /**
- * Takes the cheapest with room of up to twelve targets: all of a small pool, random ones of a
- * large pool.
- * Answers many daemons that each see a part of the load: with a plain random choice a slow target
- * gets as much as a fast one. That all daemons find the same idle target at once is prevented by
- * the slot shares, since each daemon uses its own part of every target first; what is left of that
- * fault is why a large pool is sampled, besides the time to look at every target. Where no sample
- * has room the pool is looked through from a random start; that is where a request would wait.
+ * Selects the cheapest target with a free slot out of up to twelve: all targets of a small pool,
+ * random ones of a large pool.
+ * Load: many daemons that each see a part of the load. With a plain random selection a slow target
+ * gets as much work as a fast one. The slot limits prevent all daemons from choosing the same idle
+ * target at once, since each daemon uses its own part of every target first; what remains of that
+ * problem is why a large pool is sampled, besides the time it takes to compare every target. If no
+ * sampled target has a free slot, the pool is scanned from a random start, since the request would
+ * otherwise wait.
  */
 export class SampledSelector implements TargetSelector {
   constructor(
@@ -50,7 +51,7 @@
 
   select<Target extends TargetCandidate>(
     targets: readonly Target[],
-    ask: SelectionRequest,
+    request: SelectionRequest,
   ): Target | undefined {
     const {length} = targets;
     if (length === 0) return undefined;
@@ -62,68 +63,71 @@
         ? (start + step) % length
         : this.random.nextInteger(length);
       const target = targets[index];
-      if (target === best || !isEligible(target, ask)) continue;
-      if (!passesWeight(this.random, target, ask)) continue;
+      if (target === best || !isEligible(target, request)) continue;
+      if (!passesWeight(this.random, target, request)) continue;
       if (!best || target.cost() < best.cost()) best = target;
     }
     if (best || isSmall) return best;
-    return scanFromRandomStart(this.random, targets, ask);
+    return scanFromRandomStart(this.random, targets, request);
   }
 }
 
-/** Takes any target with room: the baseline. */
+/** Selects any target with a free slot: the baseline. */
 export class RandomSelector implements TargetSelector {
   constructor(private readonly random: RandomSource) {}
 
   select<Target extends TargetCandidate>(
     targets: readonly Target[],
-    ask: SelectionRequest,
+    request: SelectionRequest,
   ): Target | undefined {
-    return scanFromRandomStart(this.random, targets, ask);
+    return scanFromRandomStart(this.random, targets, request);
   }
 }
 
-/** Takes the cheapest of all: what sampling is weighed against. */
+/** Selects the cheapest of all targets: the alternative that sampling is compared with. */
 export class LeastCostSelector implements TargetSelector {
   select<Target extends TargetCandidate>(
     targets: readonly Target[],
-    ask: SelectionRequest,
+    request: SelectionRequest,
   ): Target | undefined {
     let best: Target | undefined;
     for (const target of targets) {
-      if (!isEligible(target, ask)) continue;
+      if (!isEligible(target, request)) continue;
       if (!best || target.cost() < best.cost()) best = target;
     }
     return best;
   }
 }
 
-function isEligible(target: TargetCandidate, ask: SelectionRequest): boolean {
-  return !ask.tried?.has(target.id) && target.canAccept(ask);
+function isEligible(
+  target: TargetCandidate,
+  request: SelectionRequest,
+): boolean {
+  return !request.tried?.has(target.id) && target.canAccept(request);
 }
 
 function scanFromRandomStart<Target extends TargetCandidate>(
   random: RandomSource,
   targets: readonly Target[],
-  ask: SelectionRequest,
+  request: SelectionRequest,
 ): Target | undefined {
   if (targets.length === 0) return undefined;
   const start = random.nextInteger(targets.length);
   for (let step = 0; step < targets.length; step++) {
     const target = targets[(start + step) % targets.length];
-    if (isEligible(target, ask) && passesWeight(random, target, ask))
+    if (isEligible(target, request) && passesWeight(random, target, request))
       return target;
   }
   return undefined;
 }
 
-/** A target with a small weight is passed over most times: slow start. */
+/** Skips a target with a small weight most of the time, for a slow start. */
 function passesWeight(
   random: RandomSource,
   target: TargetCandidate,
-  ask: SelectionRequest,
+  request: SelectionRequest,
 ): boolean {
-  if (ask.ignoresWeight) return true;
+  if (request.ignoresWeight) return true;
   const weight = target.weight();
   return weight >= 1 || random.nextFraction() < weight;
 }
--- a/packages/decisions/src/target-set.ts
+++ b/packages/decisions/src/target-set.ts
@@ -6,7 +6,7 @@
   type RoutableTarget,
 } from './target-entry.js';
 
-/** What a set of targets needs, besides the entries' own parts. */
+/** Dependencies of a target set, including those of its entries. */
 export interface TargetSetDependencies extends Omit<
   TargetEntryDependencies,
   'mayAvoidSlow'
@@ -20,10 +20,10 @@
   readonly mayAvoidSlow: boolean;
 }
 
-/** How long a sum over the targets is good for. */
+/** How long totals over the targets are cached. */
 const TOTALS_MILLISECONDS = 50;
 
-/** The targets of one pool, near and far. */
+/** The targets of one pool, in this data centre and in others. */
 export class TargetSet {
   private readonly entries = new Map<string, TargetEntry>();
   /** No longer routable, with exchanges still in flight. */
@@ -42,7 +42,7 @@
     return this.entries.values();
   }
 
-  /** Replaces the routable targets; called on change only. */
+  /** Replaces the routable targets; called only when they change. */
   set(targets: readonly RoutableTarget[]): void {
     const isFirst = this.entries.size === 0;
     const wanted = new Map(targets.map(target => [target.id, target]));
@@ -57,78 +57,81 @@
     this.dependencies.ejection.setTargets(targets);
   }
 
-  /** Near before far, own slots before borrowed ones, warm targets before cold ones. */
-  pick(ask: SelectionRequest): TargetEntry | undefined {
-    const {idempotent, tried} = ask;
-    const {selector: choice} = this.dependencies;
+  /**
+   * Selects a target: the same data centre before others, own slots before borrowed ones, targets
+   * at full weight before ones still ramping up.
+   */
+  pick(request: SelectionRequest): TargetEntry | undefined {
+    const {idempotent, tried} = request;
+    const {selector} = this.dependencies;
     for (const entries of [this.sameDataCentre, this.otherDataCentres]) {
       if (entries.length === 0) continue;
       const entry =
-        choice.select(entries, {idempotent, tried, mayBorrow: false}) ??
-        choice.select(entries, {idempotent, tried}) ??
-        choice.select(entries, {idempotent, tried, ignoresWeight: true});
+        selector.select(entries, {idempotent, tried, mayBorrow: false}) ??
+        selector.select(entries, {idempotent, tried}) ??
+        selector.select(entries, {idempotent, tried, ignoresWeight: true});
       if (entry) return entry;
     }
     return tried ? this.pick({idempotent}) : undefined;
   }
 
-  /** Whether any target near by can be used. */
+  /** Whether any target in this data centre is usable. */
   hasUsableInDataCentre(): boolean {
     return this.sameDataCentre.some(entry => entry.acceptsNewWork());
   }
 
-  /** Slots that this daemon may use now, in all targets. */
+  /** Returns the slots that this daemon may use now, over all targets. */
   capacity(): number {
     return this.currentTotals().capacity;
   }
 
-  /** A sum made before is no longer good. */
+  /** Discards the cached totals. */
   invalidateTotals(): void {
     this.totals = {...this.totals, at: -Infinity};
   }
 
-  /** An exchange ended. */
+  /** Updates the counts after an exchange ended. */
   onExchangeEnded(entry: TargetEntry): void {
     entry.inFlight--;
     if (entry.inFlight === 0 && this.removedInFlight.get(entry.id) === entry)
       this.removedInFlight.delete(entry.id);
   }
 
-  /** This daemon's use of each target, for its peers. */
+  /** Returns this daemon's usage of each target, for its peers. */
   usage(waiting: boolean): Map<string, PeerUsage> {
-    const uses = new Map<string, PeerUsage>();
+    const usage = new Map<string, PeerUsage>();
     for (const {id, inFlight, target} of this.entries.values()) {
-      // Far targets not in use are left out: room kept there for this daemon would be room that
-      // the daemons next to them miss.
+      // Unused targets in other data centres are left out: slots reserved there for this daemon
+      // would be missing for the daemons next to them.
       if (target.isSameDataCentre || inFlight > 0 || waiting)
-        uses.set(id, {inFlight, waiting});
+        usage.set(id, {inFlight, waiting});
     }
-    return uses;
+    return usage;
   }
 
   private currentTotals(): Totals {
     const now = this.dependencies.now();
     if (now - this.totals.at < TOTALS_MILLISECONDS) return this.totals;
     let capacity = 0;
-    let open = 0;
+    let accepting = 0;
     let slow = 0;
     for (const entry of this.entries.values()) {
       if (!entry.acceptsNewWork()) continue;
-      open++;
+      accepting++;
       capacity += entry.limit();
       if (entry.isSlow()) slow++;
     }
     // A fault that slows all targets shows in their estimates before it shows in the mean: without
-    // this bound nothing would be sent to any of them until the estimates fade.
-    const mayAvoidSlow = slow <= open / 2;
+    // this limit nothing would be sent to any of them until the estimates decay.
+    const mayAvoidSlow = slow <= accepting / 2;
     this.totals = {at: now, capacity, mayAvoidSlow};
     return this.totals;
   }
 
   private addOrUpdate(target: RoutableTarget, isFirst: boolean): void {
-    const known = this.entries.get(target.id);
-    if (known) {
-      known.target = target;
+    const existing = this.entries.get(target.id);
+    if (existing) {
+      existing.target = target;
       return;
     }
     this.entries.set(
@@ -140,8 +143,9 @@
   }
 
   /**
-   * A target that comes back while exchanges of before still run there keeps their count. Counted
-   * from none, it would get its slots twice over with each turn of a flapping list.
+   * Restores a target that returns while earlier exchanges are still in flight there, with their
+   * count. If the count restarted at zero, the target would get its slots twice each time a
+   * flapping list returns it.
    */
   private takeReturning(target: RoutableTarget): TargetEntry | undefined {
     const entry = this.removedInFlight.get(target.id);
--- a/packages/decisions/src/team-quota.ts
+++ b/packages/decisions/src/team-quota.ts
@@ -1,14 +1,14 @@
 import type {SlotLimiter} from './slot-limiter.js';
 import type {TeamPolicy} from './request-queue.js';
 
-/** Bounds what a team has in flight over the whole deployment. */
+/** Limits what a team has in flight in the whole deployment. */
 export interface TeamQuota {
   mayStart(team: TeamPolicy): boolean;
   onStart(team: TeamPolicy): void;
   onEnd(team: TeamPolicy): void;
 }
 
-/** No quotas: the baseline. */
+/** Applies no quotas: the baseline. */
 export class NoTeamQuota implements TeamQuota {
   mayStart(): boolean {
     return true;
@@ -20,11 +20,11 @@
 }
 
 /**
- * Keeps each team within its slots, shared among daemons as targets' slots are.
- * Answers one team with most of the load: by weight it may still use whatever is idle, but never
- * more than the slots that its quota names, so that others find room at once when they come. A
- * daemon's part follows from what its peers last said; two daemons that both take the last slot
- * within one summary exceed the quota until the next.
+ * Keeps each team within its slots, which daemons share in the same way as targets' slots.
+ * Load: one team sends most of the requests. Weights let it use whatever is idle, but never more
+ * than the slots of its quota, so that other teams find free slots at once when their requests
+ * arrive. A daemon's part is derived from the last summaries of its peers; two daemons that both
+ * take the last slot between summaries exceed the quota until the next one.
  */
 export class SharedTeamQuota implements TeamQuota {
   private readonly used = new Map<string, number>();
@@ -46,7 +46,7 @@
     else this.used.delete(team.name);
   }
 
-  /** Slots in use at this daemon by team, for the summary to peers. */
+  /** Returns the slots in use at this daemon by team, for the summary to peers. */
   usage(): ReadonlyMap<string, number> {
     return this.used;
   }
--- a/packages/decisions/src/weight-ramp.ts
+++ b/packages/decisions/src/weight-ramp.ts
@@ -1,14 +1,14 @@
-/** How much of its usual load a target may get after it came into use. */
+/** Limits the share of its usual load that a target may receive after it was added. */
 export interface WeightRamp {
-  /** The target came into the routable set. */
+  /** Handles a target that became routable. */
   onAdded(target: string, now: number): void;
-  /** The target left the routable set; it gets nothing from this moment on. */
+  /** Handles a target that is no longer routable; it receives nothing from this moment on. */
   onRemoved(target: string, now: number): void;
-  /** In (0, 1]. */
+  /** Returns the current weight, in (0, 1]. */
   weight(target: string, now: number): number;
 }
 
-/** Full load at once: the baseline. */
+/** Applies the full load at once: the baseline. */
 export class NoWeightRamp implements WeightRamp {
   onAdded(): void {}
 
@@ -22,7 +22,7 @@
 const START_WEIGHT = 0.1;
 const RAMP_MILLISECONDS = 10_000;
 const MAXIMUM_RAMP_MILLISECONDS = 80_000;
-/** A change is forgotten after this long without another. */
+/** Changes are forgotten after this long without another. */
 const FLAP_RESET_MILLISECONDS = 120_000;
 
 interface RampState {
@@ -33,28 +33,28 @@
 }
 
 /**
- * Brings a target back in bounded steps, slower each time it comes and goes.
- * Answers a cold target that would get its full share before its caches are warm, and a list that
- * flaps: each return would otherwise move a whole share of the load there and back. Leaving is
- * never slowed: a leaving target gets nothing new. Ten seconds from a tenth to the whole is a
- * ninth of its share a second, which the others give up without a visible step; the time doubles
- * with each return within two minutes, up to 80 seconds.
- * Targets that are there when the pool is first seen start whole: all cold at once is no reason
- * to hold any back.
+ * Increases the load of a returning target gradually, and more slowly each time it comes and goes.
+ * Load: a cold target, which would receive its full share before its caches are warm, and a list
+ * that flaps: without a ramp each return would move a whole share of the load there and back.
+ * Removal is never delayed: a leaving target receives nothing new. Ten seconds from a tenth to the
+ * full share is 9% of its share per second, which the other targets give up without a visible step;
+ * the time doubles with each return within two minutes, up to 80 seconds.
+ * Targets present when the pool is first seen start at full weight: if all of them are cold, there
+ * is no reason to hold any back.
  */
 export class LinearWeightRamp implements WeightRamp {
   private readonly states = new Map<string, RampState>();
 
-  /** The target was there from the start. */
+  /** Handles a target that was present from the start. */
   onFirst(target: string): void {
     this.states.delete(target);
   }
 
   onAdded(target: string, now: number): void {
     const state = this.states.get(target);
-    const returnedLately =
+    const hasReturnedRecently =
       state !== undefined && now - state.lastChange < FLAP_RESET_MILLISECONDS;
-    const rampMilliseconds = returnedLately
+    const rampMilliseconds = hasReturnedRecently
       ? Math.min(MAXIMUM_RAMP_MILLISECONDS, state.rampMilliseconds * 2)
       : RAMP_MILLISECONDS;
     this.states.set(target, {
@@ -80,8 +80,8 @@
   weight(target: string, now: number): number {
     const state = this.states.get(target);
     if (!state?.isRoutable) return 1;
-    const grown = (now - state.since) / state.rampMilliseconds;
-    return Math.min(1, START_WEIGHT + (1 - START_WEIGHT) * grown);
+    const progress = (now - state.since) / state.rampMilliseconds;
+    return Math.min(1, START_WEIGHT + (1 - START_WEIGHT) * progress);
   }
 
   private forgetStable(now: number): void {
--- a/packages/decisions/src/weighted-team-queue.ts
+++ b/packages/decisions/src/weighted-team-queue.ts
@@ -1,6 +1,6 @@
 import type {QueuedRequest} from './request-queue.js';
 
-/** The requests of one caller, in order. */
+/** The requests of one caller, in order of arrival. */
 export class CallerFlow<Item extends QueuedRequest> {
   readonly items = new Set<Item>();
 
@@ -22,7 +22,7 @@
 
 /** The waiting callers of one team, served in turn. */
 export class TeamFlow<Item extends QueuedRequest> {
-  /** In order of turn: a caller that was served goes to the end. */
+  /** In order of turn: a caller that was served moves to the end. */
   readonly callers = new Map<string, CallerFlow<Item>>();
   /** Work done divided by weight; the team with the least goes next. */
   pass = 0;
@@ -30,7 +30,7 @@
   constructor(
     readonly name: string,
     readonly weight: number,
-    /** Monotonic milliseconds since which it has had requests waiting without a break. */
+    /** Monotonic milliseconds since which it has had requests waiting without interruption. */
     readonly waitingSince: number,
   ) {}
 
@@ -41,7 +41,7 @@
     flow.items.add(item);
   }
 
-  /** False when the item is not here. */
+  /** Removes the item; returns false if it is not in this flow. */
   remove(item: Item): boolean {
     const flow = this.callers.get(item.caller);
     if (!flow?.items.delete(item)) return false;
@@ -49,7 +49,10 @@
     return true;
   }
 
-  /** The first item that may run of the first caller in turn that has one. */
+  /**
+   * Returns the first caller's item, in order of turn, that may run; only the oldest live item of
+   * each caller is considered.
+   */
   peek(now: number, mayRun: (item: Item) => boolean): Item | undefined {
     for (const flow of this.callers.values()) {
       for (const item of flow.items) {
@@ -61,7 +64,7 @@
     return undefined;
   }
 
-  /** Takes the item out and sends its caller to the end of the turn. */
+  /** Removes the item and moves its caller to the end of the order. */
   take(item: Item): void {
     const flow = this.callers.get(item.caller);
     if (!flow) return;
@@ -71,10 +74,12 @@
   }
 }
 
-/** Teams whose requests are of one kind and urgency, served by weight. */
+/** Teams with requests of the same work length and urgency, served by weight. */
 export class WeightedTeamQueue<Item extends QueuedRequest> {
   private readonly teams = new Map<string, TeamFlow<Item>>();
-  /** Pass of the team served last: a team that comes back starts here, with no savings. */
+  /**
+   * Pass of the team served last: a team that returns starts here, without credit for its absence.
+   */
   private virtualTime = 0;
   private size = 0;
 
@@ -87,7 +92,10 @@
     this.size++;
   }
 
-  /** Milliseconds for which the item's team has had requests waiting without a break. */
+  /**
+   * Returns the milliseconds for which the item's team has had requests waiting without
+   * interruption.
+   */
   waitingMilliseconds(item: Item, now: number): number {
     const team = this.teams.get(item.team.name);
     return team ? now - team.waitingSince : 0;
@@ -101,36 +109,37 @@
     return true;
   }
 
-  /** Takes out the next item that may run, by team weight and then by caller in turn. */
+  /** Removes and returns the next item that may run, by team weight and then by caller in turn. */
   next(now: number, mayRun: (item: Item) => boolean): Item | undefined {
-    let best: TeamFlow<Item> | undefined;
-    let found: Item | undefined;
+    let nextTeam: TeamFlow<Item> | undefined;
+    let nextItem: Item | undefined;
     for (const team of this.teams.values()) {
-      if (best && team.pass >= best.pass) continue;
+      if (nextTeam && team.pass >= nextTeam.pass) continue;
       const item = team.peek(now, mayRun);
       if (!item) continue;
-      best = team;
-      found = item;
+      nextTeam = team;
+      nextItem = item;
     }
-    if (!best || !found) return undefined;
-    this.serve(best, found);
-    return found;
+    if (!nextTeam || !nextItem) return undefined;
+    this.serve(nextTeam, nextItem);
+    return nextItem;
   }
 
   /**
-   * Requests that go before a new one of this item's flow: as many of its own flow as wait, each
-   * with its share of the others'.
+   * Estimates how many requests are served before a new one of this item's flow: those of its own
+   * flow, and for each of them the other flows' share.
    */
   requestsAhead(item: Item): number {
     const team = this.teams.get(item.team.name);
-    const own = team?.callers.get(item.caller)?.length ?? 0;
+    const ownLength = team?.callers.get(item.caller)?.length ?? 0;
     const callers = team?.callers.size ?? 0;
-    const turns = (own + 1) * Math.max(1, callers + (own === 0 ? 1 : 0));
+    const turns =
+      (ownLength + 1) * Math.max(1, callers + (ownLength === 0 ? 1 : 0));
     const share = this.weightShareOf(item, team);
     return Math.min(this.size, turns / share - 1);
   }
 
-  /** The longest flow, and undefined when nobody waits. */
+  /** Returns the longest flow of the service; undefined if no request waits. */
   longestFlow(service: string): CallerFlow<Item> | undefined {
     let longest: CallerFlow<Item> | undefined;
     for (const team of this.teams.values()) {
@@ -144,14 +153,14 @@
   }
 
   private weightShareOf(item: Item, team: TeamFlow<Item> | undefined): number {
-    let weights = team ? 0 : item.team.weight;
-    for (const other of this.teams.values()) weights += other.weight;
-    return item.team.weight / weights;
+    let totalWeight = team ? 0 : item.team.weight;
+    for (const other of this.teams.values()) totalWeight += other.weight;
+    return item.team.weight / totalWeight;
   }
 
   private teamOf(item: Item, now: number): TeamFlow<Item> {
-    const known = this.teams.get(item.team.name);
-    if (known) return known;
+    const existing = this.teams.get(item.team.name);
+    if (existing) return existing;
     const team = new TeamFlow<Item>(item.team.name, item.team.weight, now);
     team.pass = this.virtualTime;
     this.teams.set(item.team.name, team);
--- a/packages/decisions/src/work-length-policy.ts
+++ b/packages/decisions/src/work-length-policy.ts
@@ -2,17 +2,17 @@
 import type {SlotReleaseRate} from './slot-release-rate.js';
 import {WorkLength} from './work-length.js';
 
-/** Shares a pool's slots between short and long work. */
+/** Divides a pool's slots between short and long work. */
 export interface WorkLengthPolicy {
-  /** Whether work of this kind may start now. */
+  /** Whether work of this length may start now. */
   mayStart(work: WorkLength): boolean;
-  /** Which kind goes first when both wait. */
+  /** Returns the length that goes first when both wait. */
   preferred(): WorkLength;
-  /** An exchange of this kind began. */
+  /** Handles the start of an exchange of this length. */
   onStart(work: WorkLength): void;
 }
 
-/** Short and long work alike: the baseline; long work ends up in every slot. */
+/** Treats short and long work alike: the baseline; long work ends up in every slot. */
 export class EqualWorkLengthPolicy implements WorkLengthPolicy {
   mayStart(): boolean {
     return true;
@@ -30,20 +30,21 @@
 const AVERAGING_MILLISECONDS = 10_000;
 
 /**
- * Keeps slots free for the short work that is likely to come; long work borrows the rest.
- * Answers projections and reviews that fill all slots in front of a counter preview: a slot taken
- * by long work is gone for its whole time, so room must be there before the short request comes.
- * The reserve is the mean of short work in flight over ten seconds and its square root, one
- * standard deviation of random arrivals; the peaks of one daemon find room in what others leave
- * idle, so more would only lie idle. An eighth (one slot of 8) stays when no short work was seen.
- * Long work is never held under a quarter: below that it goes first, so it does not starve.
+ * Reserves slots for the short work that is likely to arrive; long work may use the rest.
+ * Load: projections and reviews that fill all slots ahead of a counter preview. Long work occupies
+ * its slot until it ends, so without a reserve there would be no free slot when the short request
+ * arrives. The reserve is the mean number of short exchanges in flight over ten seconds plus its
+ * square root, one standard deviation of random arrivals; one daemon's peaks can use the slots that
+ * others leave idle, so a larger reserve would only be idle. An eighth (one slot of 8) is reserved
+ * even if no short work was seen. Long work is guaranteed a quarter: below that it goes first, so
+ * it does not starve.
  */
 export class ShortWorkReserve implements WorkLengthPolicy {
   private meanShortInFlight = 0;
   private lastShortInFlight = 0;
   private lastAt = 0;
 
-  /** `capacity` gives the slots that this daemon may use in the pool now. */
+  /** `capacity` returns the slots that this daemon may use in the pool now. */
   constructor(
     private readonly clock: Clock,
     private readonly releaseRate: SlotReleaseRate,
@@ -70,9 +71,11 @@
   private maximumLongInFlight(): number {
     this.observe();
     const capacity = this.capacity();
-    const smallest = capacity * MINIMUM_RESERVED_SHARE;
-    const likely = this.meanShortInFlight + Math.sqrt(this.meanShortInFlight);
-    const limit = capacity - Math.ceil(Math.max(smallest, likely));
+    const minimumReserve = capacity * MINIMUM_RESERVED_SHARE;
+    const expectedReserve =
+      this.meanShortInFlight + Math.sqrt(this.meanShortInFlight);
+    const limit =
+      capacity - Math.ceil(Math.max(minimumReserve, expectedReserve));
     return Math.max(limit, this.guaranteedLongSlots());
   }
 
@@ -80,12 +83,13 @@
     return Math.max(1, Math.floor(this.capacity() * GUARANTEED_LONG_SHARE));
   }
 
-  /** Weighs what was in flight since the last look by its time. */
+  /** Updates the mean with the count since the last observation, weighted by the elapsed time. */
   private observe(): void {
     const now = this.clock.monotonicMilliseconds();
-    const share = 1 - Math.exp((this.lastAt - now) / AVERAGING_MILLISECONDS);
+    const smoothingFactor =
+      1 - Math.exp((this.lastAt - now) / AVERAGING_MILLISECONDS);
     this.meanShortInFlight +=
-      (this.lastShortInFlight - this.meanShortInFlight) * share;
+      (this.lastShortInFlight - this.meanShortInFlight) * smoothingFactor;
     this.lastAt = now;
     this.lastShortInFlight = this.releaseRate.inFlightOf(WorkLength.Short);
   }
