--- a/packages/fleet/src/__tests__/budgets.test.ts
+++ b/packages/fleet/src/__tests__/budgets.test.ts
@@ -14,11 +14,11 @@
 }
 
 describe('budgets in the fold', () => {
-  describe('with two operators who each saw room for one', () => {
-    // Callers would see a pool below its budget. Both operators read the same state, in which
-    // eligibility may lose one VM; both append a drain. The second record meets the counters
-    // that the first one changed, so only one VM leaves.
-    it('lets one drain through and tells the other why not', () => {
+  describe('with two operators who each saw that one VM may leave', () => {
+    // Both operators read the same state, in which eligibility may lose one VM, and both append a
+    // drain; callers would see a pool below its budget. The second record is checked against the
+    // counters that the first one changed, so only one VM leaves.
+    it('accepts one drain and rejects the other with the reason', () => {
       const fleet = new FoldedFleet(SWAN_COAST);
       const first = fleet.write('moana', drain('eligibility-1'));
       const second = fleet.write('tom', drain('eligibility-2'));
@@ -28,11 +28,11 @@
     });
   });
 
-  describe('with two operators who end one drain', () => {
-    // moana drains a VM and both operators end that drain. Before tom's record is appended,
-    // moana drains the VM again for repair. Ended by name alone, the repair's drain would end
-    // and callers would be sent to a VM that is being taken apart.
-    it('does not end the drain that began in between', () => {
+  describe('with two operators who end the same drain', () => {
+    // moana drains a VM and both operators end that drain. Before tom's record is appended, moana
+    // drains the VM again for repair. If a drain were ended by name alone, the drain for the repair
+    // would end and callers would be sent to a VM that is being taken apart.
+    it('does not end the drain that started in between', () => {
       const fleet = new FoldedFleet(SWAN_COAST);
       const first = fleet.write('moana', drain('eligibility-1'));
       const end = {
@@ -50,7 +50,7 @@
   });
 
   describe('with a VM down', () => {
-    it('counts it before a planned stop', () => {
+    it('counts it against the budget before a planned stop', () => {
       const fleet = new FoldedFleet(SWAN_COAST);
       fleet.takeTerm(PLANNER, 0);
       fleet.report(1, 'eligibility-1', VmCondition.Down);
@@ -58,7 +58,7 @@
       assert.equal(rejection?.reason, RejectionReason.BudgetExceeded);
     });
 
-    it('lets the VM itself be drained: it costs nothing', () => {
+    it('allows the VM itself to be drained, since this costs nothing', () => {
       const fleet = new FoldedFleet(SWAN_COAST);
       fleet.takeTerm(PLANNER, 0);
       fleet.report(1, 'eligibility-1', VmCondition.Suspected);
@@ -67,10 +67,10 @@
     });
   });
 
-  describe('with a budget broken', () => {
-    // Four of six VMs of counter-preview are gone: two serve where three must. Whatever else is
-    // planned anywhere would add to a failure that nobody understands yet.
-    function broken(): FoldedFleet {
+  describe('with a broken budget', () => {
+    // Four of six VMs of counter-preview are down: two serve where three must. Any other planned
+    // work anywhere would add to a failure that nobody understands yet.
+    function fleetWithBrokenBudget(): FoldedFleet {
       const fleet = new FoldedFleet(KINGSTON);
       fleet.takeTerm(PLANNER, 0);
       for (const n of [1, 2, 3, 4])
@@ -78,14 +78,17 @@
       return fleet;
     }
 
-    it('stops planned work in every pool and names the service', () => {
-      const {rejection} = broken().write('moana', drain('logo-desk-1'));
+    it('rejects planned work in every pool and names the service', () => {
+      const {rejection} = fleetWithBrokenBudget().write(
+        'moana',
+        drain('logo-desk-1'),
+      );
       assert.equal(rejection?.reason, RejectionReason.BudgetBroken);
       assert.match(rejection?.detail ?? '', /counter-preview has 2 of 3/);
     });
 
-    it('lets a VM move to the pool that is short', () => {
-      const {rejection} = broken().write('moana', {
+    it('allows a VM to move to the pool with the shortage', () => {
+      const {rejection} = fleetWithBrokenBudget().write('moana', {
         kind: RecordKind.MoveStarted,
         vm: 'logo-desk-1',
         epoch: 1,
@@ -96,8 +99,8 @@
       assert.equal(rejection, undefined);
     });
 
-    it('goes on once the VMs are back', () => {
-      const fleet = broken();
+    it('accepts planned work again once the VMs are back', () => {
+      const fleet = fleetWithBrokenBudget();
       for (const n of [1, 2, 3, 4])
         fleet.report(1, `counter-preview-${n}`, VmCondition.Up);
       const {rejection} = fleet.write('moana', drain('logo-desk-1'));
@@ -105,7 +108,7 @@
     });
   });
 
-  it('shows each service with what it can spare', () => {
+  it('shows how many VMs each service can spare', () => {
     const fleet = new FoldedFleet(SWAN_COAST);
     const [eligibility] = serviceBudgetStatuses(fleet.state);
     assert.equal(eligibility.available, 8);
--- a/packages/fleet/src/__tests__/fleet-properties.test.ts
+++ b/packages/fleet/src/__tests__/fleet-properties.test.ts
@@ -38,7 +38,9 @@
 const POOLS = KINGSTON.pools.map(pool => pool.name);
 const WRITERS = ['incarnation-1', 'incarnation-2', 'moana', 'tom'];
 
-/** Mostly good news: with too much bad news every budget is broken and nothing is admitted. */
+/**
+ * Mostly good conditions: with too many bad ones every budget is broken and nothing is accepted.
+ */
 const REPORTED = [
   VmCondition.Up,
   VmCondition.Up,
@@ -46,13 +48,13 @@
   VmCondition.Down,
 ];
 
-/** What one writer does; the interpreter fills in what the writer would read from the state. */
+/** One action of a writer; `draftOf` fills in what the writer would read from the state. */
 interface Move {
   readonly action: number;
   readonly writer: string;
   readonly vm: string;
   readonly pool: string;
-  /** Whether the writer works from what the state held some steps before. */
+  /** Whether the writer uses an outdated term. */
   readonly stale: boolean;
   readonly pick: number;
 }
@@ -179,10 +181,13 @@
   RecordKind.MaintenanceStarted,
 ]);
 
-function assertSound(state: FleetState, epochs: Map<string, number>): void {
-  const counted = new Map<string, number>();
+function assertConsistent(
+  state: FleetState,
+  epochs: Map<string, number>,
+): void {
+  const ownedByPool = new Map<string, number>();
   for (const vm of state.vms.values()) {
-    counted.set(vm.pool, (counted.get(vm.pool) ?? 0) + 1);
+    ownedByPool.set(vm.pool, (ownedByPool.get(vm.pool) ?? 0) + 1);
     assert.ok(vm.epoch >= (epochs.get(vm.id) ?? 0), 'an epoch went back');
     epochs.set(vm.id, vm.epoch);
     const work = state.work.get(vm.id);
@@ -194,7 +199,7 @@
   }
   const index = capacityIndexOf(state);
   for (const pool of POOLS) {
-    assert.equal(index.pool(pool).owned, counted.get(pool) ?? 0);
+    assert.equal(index.pool(pool).owned, ownedByPool.get(pool) ?? 0);
     assert.equal(index.pool(pool).available, countAvailable(state, pool));
   }
 }
@@ -217,7 +222,7 @@
 }
 
 describe('random records of several writers', () => {
-  it('never let planned work pass a budget; a VM is in exactly one pool', () => {
+  it('never let planned work exceed a budget or put a VM in more than one pool', () => {
     let accepted = 0;
     fc.assert(
       fc.property(moves, list => {
@@ -237,16 +242,16 @@
             accepted++;
           }
           assert.equal(fleet.state.vms.size, VMS.length);
-          assertSound(fleet.state, epochs);
+          assertConsistent(fleet.state, epochs);
         }
       }),
       {numRuns: RUNS, seed: SEED},
     );
-    // The runs must reach planned work that was admitted, or they show nothing.
+    // Without planned work that was accepted, the runs would show nothing.
     assert.ok(accepted > 5 * RUNS, `${accepted} were admitted`);
   });
 
-  it('leave counters, hashes and replays that agree with a count from nothing', () => {
+  it('leave counters and hashes that equal recomputed ones, and the same state after a replay', () => {
     fc.assert(
       fc.property(moves, list => {
         const left = new FoldedFleet(KINGSTON);
@@ -272,9 +277,10 @@
     );
   });
 
-  // A daemon that starts reads a snapshot taken in the midst of moves, waves and jobs, and goes
-  // on from there. It must judge every later record as those do that folded from the start.
-  it('are judged alike after a snapshot', async () => {
+  // A daemon that starts reads a snapshot taken during moves, waves and jobs, and continues from
+  // there. It must accept and reject every later record like the daemons that folded from the
+  // start.
+  it('are accepted and rejected alike after a snapshot', async () => {
     const rest = () => Promise.resolve();
     await fc.assert(
       fc.asyncProperty(moves, moves, async (first, second) => {
--- a/packages/fleet/src/__tests__/fold-helpers.ts
+++ b/packages/fleet/src/__tests__/fold-helpers.ts
@@ -23,7 +23,7 @@
 /** The planner in tests that need only one. */
 export const PLANNER = 'incarnation-1';
 
-/** A state with short ways to write records into it. */
+/** A fleet state with helpers that fold records into it. */
 export class FoldedFleet {
   readonly state: FleetState;
   private written = 0;
@@ -32,20 +32,23 @@
     this.state = 'nextOffset' in from ? from : exampleState(from);
   }
 
-  /** A second daemon that goes on from another copy of the state, with the same record ids. */
+  /**
+   * Returns a second daemon that continues from another copy of the state, with the same record
+   * ids.
+   */
   continuedFrom(state: FleetState): FoldedFleet {
     const other = new FoldedFleet(state);
     other.written = this.written;
     return other;
   }
 
-  /** Writes a record as a named writer. */
+  /** Folds a record of the named writer. */
   write(writer: string, draft: Draft): FoldOutcome {
     const id = `${writer}-${this.written++}`;
     return foldRecord(this.state, {...draft, id, writer} as FleetRecord);
   }
 
-  /** Gives the term to an incarnation; returns the term. */
+  /** Gives the term to an incarnation; returns the outcome of the fold. */
   takeTerm(holder: string, expectedTerm: number): FoldOutcome {
     return this.write(holder, {
       kind: RecordKind.PlannerTaken,
@@ -54,7 +57,7 @@
     });
   }
 
-  /** Reports one VM in a term. */
+  /** Reports the condition of one VM in a term. */
   report(term: number, vm: string, condition: VmCondition): FoldOutcome {
     const reports = [{vm, condition}];
     return this.write(PLANNER, {kind: RecordKind.VmReported, term, reports});
@@ -73,7 +76,7 @@
   }
 }
 
-/** VMs available in a pool, counted without the index. */
+/** Counts the VMs available in a pool without the index. */
 export function countAvailable(state: FleetState, pool: string): number {
   let count = 0;
   for (const vm of state.vms.values()) {
@@ -83,16 +86,19 @@
   return count;
 }
 
-/** VMs that each service keeps above its need after the named failure; negative when exposed. */
+/**
+ * Returns how many VMs each service has above its need after the named failure; negative if
+ * exposed.
+ */
 export function budgetMargins(state: FleetState): Map<string, number> {
   const index = capacityIndexOf(state);
   const services = Object.entries(state.inForce?.bundle.services ?? {});
   return new Map(
     services.map(([name, {pool, budget}]) => {
       const counts = index.pool(pool);
-      const left =
+      const remaining =
         counts.available - largestFailureDomainLoss(counts, budget.survive);
-      return [name, left - budget.availableVms];
+      return [name, remaining - budget.availableVms];
     }),
   );
 }
--- a/packages/fleet/src/__tests__/jobs-in-the-fold.test.ts
+++ b/packages/fleet/src/__tests__/jobs-in-the-fold.test.ts
@@ -16,7 +16,7 @@
 
 const SIZE = {processors: 2, memoryGigabytes: 4, accelerators: 0, slots: 1};
 
-function submit(fleet: FoldedFleet, key: string, more: object = {}) {
+function submit(fleet: FoldedFleet, key: string, overrides: object = {}) {
   return fleet.write('moana', {
     kind: RecordKind.JobSubmitted,
     key,
@@ -26,7 +26,7 @@
     idempotent: true,
     size: SIZE,
     payload: 'badges',
-    ...more,
+    ...overrides,
   });
 }
 
@@ -50,15 +50,15 @@
   });
 }
 
-function planned(): FoldedFleet {
+function fleetWithPlanner(): FoldedFleet {
   const fleet = new FoldedFleet(KINGSTON);
   fleet.takeTerm(PLANNER, 0);
   return fleet;
 }
 
 describe('jobs in the fold', () => {
-  it('refuse another job under a key that is taken, also after its end', () => {
-    const fleet = planned();
+  it('are rejected under a key that is in use, also after the end of its job', () => {
+    const fleet = fleetWithPlanner();
     submit(fleet, 'badge-1');
     const {rejection} = submit(fleet, 'badge-1', {payload: 'other'});
     assert.equal(rejection?.reason, RejectionReason.JobDuplicate);
@@ -70,10 +70,10 @@
     assert.equal(fleet.state.jobs.get('badge-1')?.state, JobState.Finished);
   });
 
-  // Two planners placed the same job in turn; the second one's record names an attempt that the
-  // first has used.
-  it('take one attempt once', () => {
-    const fleet = planned();
+  // Two planners placed the same job one after the other; the second planner's record names an
+  // attempt that the first has used.
+  it('accept the same attempt only once', () => {
+    const fleet = fleetWithPlanner();
     submit(fleet, 'badge-1');
     assert.equal(
       place(fleet, 'badge-1', 1, 'crest-works-1').rejection,
@@ -83,23 +83,26 @@
     assert.equal(again.rejection?.reason, RejectionReason.JobState);
   });
 
-  it('go back to the queue only when nobody can have run them', () => {
-    const after = (idempotent: boolean, outcome: JobOutcome) => {
-      const fleet = planned();
+  it('return to the queue only if no VM can have run them, or they are idempotent', () => {
+    const stateAfter = (idempotent: boolean, outcome: JobOutcome) => {
+      const fleet = fleetWithPlanner();
       submit(fleet, 'job', {idempotent});
       place(fleet, 'job', 1, 'crest-works-1');
       report(fleet, 'job', outcome);
       return fleet.state.jobs.get('job')?.state;
     };
-    assert.equal(after(false, JobOutcome.NeverStarted), JobState.Queued);
-    assert.equal(after(false, JobOutcome.Lapsed), JobState.OutcomeUnknown);
-    assert.equal(after(false, JobOutcome.Stopped), JobState.OutcomeUnknown);
-    assert.equal(after(false, JobOutcome.Failed), JobState.Failed);
-    assert.equal(after(true, JobOutcome.Lapsed), JobState.Queued);
+    assert.equal(stateAfter(false, JobOutcome.NeverStarted), JobState.Queued);
+    assert.equal(stateAfter(false, JobOutcome.Lapsed), JobState.OutcomeUnknown);
+    assert.equal(
+      stateAfter(false, JobOutcome.Stopped),
+      JobState.OutcomeUnknown,
+    );
+    assert.equal(stateAfter(false, JobOutcome.Failed), JobState.Failed);
+    assert.equal(stateAfter(true, JobOutcome.Lapsed), JobState.Queued);
   });
 
-  it('keep the quota of a team and the slots of a VM', () => {
-    const fleet = planned();
+  it('stay within the quota of a team and the slots of a VM', () => {
+    const fleet = fleetWithPlanner();
     for (let n = 0; n < 9; n++) submit(fleet, `job-${n}`, {team: 'ledger'});
     for (let n = 0; n < 8; n++)
       assert.equal(
@@ -110,8 +113,8 @@
     assert.match(rejection?.detail ?? '', /8 slots and 8 are taken/);
   });
 
-  it('are refused beyond what may wait of one team', () => {
-    const fleet = planned();
+  it('are rejected above the maximum that one team may have waiting', () => {
+    const fleet = fleetWithPlanner();
     for (let n = 0; n < MAXIMUM_QUEUED_JOBS_PER_TEAM; n++)
       submit(fleet, `job-${n}`);
     const {rejection} = submit(fleet, 'one-more');
@@ -127,7 +130,7 @@
 
 describe('TeamOrder', () => {
   it('puts urgent teams first and shares the rest by weight', () => {
-    const fleet = planned();
+    const fleet = fleetWithPlanner();
     for (const team of ['cooperatives', 'ledger', 'counter'])
       for (let n = 0; n < 30; n++) submit(fleet, `${team}-${n}`, {team});
     const order = new TeamOrder(fleet.state, 'crest-works');
@@ -150,50 +153,50 @@
   });
 });
 
-describe('SizeLearner', () => {
+describe('JobSizeEstimator', () => {
   const limit = {processors: 32, memoryGigabytes: 128, accelerators: 0};
 
-  it('believes the declared size until it has seen some of the class', () => {
-    const fleet = planned();
+  it('uses the declared size until it has enough reports of the class', () => {
+    const fleet = fleetWithPlanner();
     submit(fleet, 'badge-1');
     const job = fleet.state.jobs.get('badge-1');
     assert.ok(job);
-    const sizes = new JobSizeEstimator();
-    assert.equal(sizes.sizeOf(job, limit).memoryGigabytes, 4);
+    const estimator = new JobSizeEstimator();
+    assert.equal(estimator.sizeOf(job, limit).memoryGigabytes, 4);
     for (let n = 0; n < 5; n++)
-      sizes.observe('badge-run', {
+      estimator.observe('badge-run', {
         ...limit,
         memoryGigabytes: 40,
         processors: 1,
       });
-    const learned = sizes.sizeOf(job, limit);
-    assert.ok(learned.memoryGigabytes > 40);
-    assert.ok(learned.processors < 2);
+    const estimate = estimator.sizeOf(job, limit);
+    assert.ok(estimate.memoryGigabytes > 40);
+    assert.ok(estimate.processors < 2);
   });
 });
 
-describe('WorkerFailures', () => {
-  it('blames a VM on which distinct jobs fail while the pool succeeds', () => {
-    const failures = new FaultyVmDetector();
+describe('FaultyVmDetector', () => {
+  it('finds a VM faulty on which distinct jobs fail while the pool succeeds', () => {
+    const detector = new FaultyVmDetector();
     for (let n = 0; n < 20; n++)
-      failures.observe('p', `vm-${n % 4}`, `j${n}`, false);
-    for (let n = 0; n < 3; n++) failures.observe('p', 'bad', `k${n}`, true);
-    assert.deepEqual([...failures.faultyVms(() => 'p')], ['bad']);
+      detector.observe('p', `vm-${n % 4}`, `j${n}`, false);
+    for (let n = 0; n < 3; n++) detector.observe('p', 'bad', `k${n}`, true);
+    assert.deepEqual([...detector.faultyVms(() => 'p')], ['bad']);
   });
 
-  it('blames no VM for one job that fails everywhere', () => {
-    const failures = new FaultyVmDetector();
+  it('finds no VM faulty for one job that fails everywhere', () => {
+    const detector = new FaultyVmDetector();
     for (let n = 0; n < 9; n++)
-      failures.observe('p', `vm-${n % 3}`, 'same', true);
-    assert.equal(failures.faultyVms(() => 'p').size, 0);
+      detector.observe('p', `vm-${n % 3}`, 'same', true);
+    assert.equal(detector.faultyVms(() => 'p').size, 0);
   });
 
-  // A shared dependency is down and every VM fails every job. Suspecting all of them would
-  // leave no VM and reboot the pool for nothing.
-  it('blames no VM when the whole pool fails', () => {
-    const failures = new FaultyVmDetector();
+  // A shared dependency is down and every VM fails every job. Suspecting all VMs would leave none,
+  // and would reboot the pool for nothing.
+  it('finds no VM faulty when the whole pool fails', () => {
+    const detector = new FaultyVmDetector();
     for (let n = 0; n < 200; n++)
-      failures.observe('p', `vm-${n % 8}`, `j${n}`, true);
-    assert.equal(failures.faultyVms(() => 'p').size, 0);
+      detector.observe('p', `vm-${n % 8}`, `j${n}`, true);
+    assert.equal(detector.faultyVms(() => 'p').size, 0);
   });
 });
--- a/packages/fleet/src/__tests__/maintenance-scheduler.test.ts
+++ b/packages/fleet/src/__tests__/maintenance-scheduler.test.ts
@@ -6,15 +6,15 @@
 import type {PlannerInput} from '../planner-input.js';
 import {FoldedFleet, PLANNER, type Draft} from './fold-helpers.js';
 
-const DAY = 86_400_000;
-const NOW = 1000 * DAY;
+const DAY_MILLISECONDS = 86_400_000;
+const NOW = 1000 * DAY_MILLISECONDS;
 const PERIOD_DAYS = 35;
 
-/** A fleet whose VMs were all maintained the same time ago. */
-function maintained(daysAgo: number): FoldedFleet {
+/** Returns a fleet whose VMs were all maintained the same number of days ago. */
+function maintainedFleet(daysAgo: number): FoldedFleet {
   const fleet = new FoldedFleet(SWAN_COAST);
   for (const vm of fleet.state.vms.keys())
-    fleet.state.maintainedAt.set(vm, NOW - daysAgo * DAY);
+    fleet.state.maintainedAt.set(vm, NOW - daysAgo * DAY_MILLISECONDS);
   return fleet;
 }
 
@@ -33,7 +33,7 @@
 
 type FleetAt = Pick<FoldedFleet, 'state'>;
 
-/** Folds what the calendar proposes at a time; the wave's id. */
+/** Folds the wave that the scheduler proposes at a time; returns its id. */
 function startWave(fleet: FoldedFleet, wallNow = NOW): string {
   const [proposal] = planAt(fleet, wallNow);
   const outcome = fleet.write(PLANNER, proposal.record as Draft);
@@ -41,7 +41,7 @@
   return `calendar-${wallNow}`;
 }
 
-function change(fleet: FoldedFleet, wave: string, to: WaveChange): void {
+function changeWave(fleet: FoldedFleet, wave: string, to: WaveChange): void {
   const outcome = fleet.write('moana', {
     kind: RecordKind.WaveChanged,
     wave,
@@ -51,91 +51,96 @@
   assert.equal(outcome.rejection, undefined);
 }
 
-describe('the calendar of waves', () => {
+describe('MaintenanceScheduler', () => {
   describe('with every VM maintained within four fifths of the period', () => {
-    it('starts nothing', () => {
-      assert.deepEqual(planAt(maintained(27)), []);
+    it('starts no wave', () => {
+      assert.deepEqual(planAt(maintainedFleet(27)), []);
     });
   });
 
   describe('with one VM past four fifths of the period', () => {
-    it('covers every VM past half of it, and no other', () => {
-      const fleet = maintained(10);
-      fleet.state.maintainedAt.set('admin-1', NOW - 28 * DAY);
-      fleet.state.maintainedAt.set('admin-2', NOW - 18 * DAY);
-      fleet.state.maintainedAt.set('admin-3', NOW - 17 * DAY);
+    it('covers every VM past half of the period, and no other', () => {
+      const fleet = maintainedFleet(10);
+      fleet.state.maintainedAt.set('admin-1', NOW - 28 * DAY_MILLISECONDS);
+      fleet.state.maintainedAt.set('admin-2', NOW - 18 * DAY_MILLISECONDS);
+      fleet.state.maintainedAt.set('admin-3', NOW - 17 * DAY_MILLISECONDS);
       const wave = startWave(fleet);
       const covered = [...fleet.state.waveVms.keys()].sort();
       assert.deepEqual(covered, ['admin-1', 'admin-2']);
       assert.equal(fleet.state.waves.get(wave)?.state, WaveState.Running);
     });
 
-    it('says why', () => {
-      const fleet = maintained(28);
+    it('explains the decision', () => {
+      const fleet = maintainedFleet(28);
       const [{decision}] = planAt(fleet);
-      assert.equal(decision.evidence?.leastRecentAt, NOW - 28 * DAY);
+      assert.equal(
+        decision.evidence?.leastRecentAt,
+        NOW - 28 * DAY_MILLISECONDS,
+      );
       assert.match(decision.rule, /maintenance-calendar/);
     });
   });
 
-  describe('with VMs that never had a maintenance', () => {
-    it('covers them all', () => {
+  describe('with VMs that were never maintained', () => {
+    it('covers all of them', () => {
       const fleet = new FoldedFleet(SWAN_COAST);
       startWave(fleet);
       assert.equal(fleet.state.waveVms.size, fleet.state.vms.size);
     });
   });
 
-  describe('with a VM in the hands of operators', () => {
-    // It cannot be maintained. Counted as the oldest, it would start a wave again and again.
-    it('does not start for that one', () => {
-      const fleet = maintained(10);
-      fleet.state.maintainedAt.set('admin-1', NOW - 100 * DAY);
+  describe('with a VM handed over to operators', () => {
+    // The VM cannot be maintained. If it counted as the oldest, it would start a wave again and
+    // again.
+    it('does not start a wave because of it', () => {
+      const fleet = maintainedFleet(10);
+      fleet.state.maintainedAt.set('admin-1', NOW - 100 * DAY_MILLISECONDS);
       fleet.state.handedOver.set('admin-1', 'does not boot');
       assert.deepEqual(planAt(fleet), []);
     });
   });
 
-  describe('while a wave goes on', () => {
+  describe('with a wave that has not ended', () => {
     for (const to of [undefined, WaveChange.Hold]) {
-      it(`starts no second one when it is ${to ?? 'running'}`, () => {
-        const fleet = maintained(30);
+      it(`starts no second wave if it is ${to ?? 'running'}`, () => {
+        const fleet = maintainedFleet(30);
         const wave = startWave(fleet);
-        if (to) change(fleet, wave, to);
-        assert.deepEqual(planAt(fleet, NOW + 10 * DAY), []);
+        if (to) changeWave(fleet, wave, to);
+        assert.deepEqual(planAt(fleet, NOW + 10 * DAY_MILLISECONDS), []);
       });
     }
   });
 
   describe('after an operator aborted its wave', () => {
-    // The operator ends the wave because callers need every VM. The oldest maintenance is as old
-    // as before; without a rest the planner's next round, a second later, starts the same again.
-    it('rests a day, then starts again', () => {
-      const fleet = maintained(30);
-      change(fleet, startWave(fleet), WaveChange.Abort);
+    // The operator ends the wave because callers need every VM. The oldest maintenance is as old as
+    // before; without a minimum interval the planner's next round, a second later, would start the
+    // same wave again.
+    it('waits a day, then starts again', () => {
+      const fleet = maintainedFleet(30);
+      changeWave(fleet, startWave(fleet), WaveChange.Abort);
       assert.deepEqual(planAt(fleet, NOW + 1000), []);
-      assert.deepEqual(planAt(fleet, NOW + DAY - 1), []);
-      assert.equal(planAt(fleet, NOW + DAY).length, 1);
+      assert.deepEqual(planAt(fleet, NOW + DAY_MILLISECONDS - 1), []);
+      assert.equal(planAt(fleet, NOW + DAY_MILLISECONDS).length, 1);
     });
   });
 
   describe('over two periods', () => {
     it('lets no VM wait longer than the period', () => {
-      const fleet = maintained(0);
+      const fleet = maintainedFleet(0);
       for (let day = 0; day <= 2 * PERIOD_DAYS; day++) {
-        const now = NOW + day * DAY;
+        const now = NOW + day * DAY_MILLISECONDS;
         for (const last of fleet.state.maintainedAt.values())
-          assert.ok(now - last <= PERIOD_DAYS * DAY);
+          assert.ok(now - last <= PERIOD_DAYS * DAY_MILLISECONDS);
         if (planAt(fleet, now).length === 0) continue;
         const wave = startWave(fleet, now);
         for (const vm of fleet.state.waveVms.keys())
           fleet.state.maintainedAt.set(vm, now);
-        change(fleet, wave, WaveChange.Abort);
+        changeWave(fleet, wave, WaveChange.Abort);
       }
-      const calendar = [...fleet.state.waves.keys()];
+      const waves = [...fleet.state.waves.keys()];
       assert.deepEqual(
-        calendar.map(id => Number(id.replace('calendar-', '')) - NOW),
-        [28 * DAY, 56 * DAY],
+        waves.map(id => Number(id.replace('calendar-', '')) - NOW),
+        [28 * DAY_MILLISECONDS, 56 * DAY_MILLISECONDS],
       );
     });
   });
--- a/packages/fleet/src/__tests__/rebalancer.test.ts
+++ b/packages/fleet/src/__tests__/rebalancer.test.ts
@@ -13,7 +13,7 @@
 import {Rebalancer} from '../rebalancer.js';
 import {FoldedFleet, PLANNER} from './fold-helpers.js';
 
-const MINUTE = 60_000;
+const MINUTE_MILLISECONDS = 60_000;
 
 function inputAt(fleet: FoldedFleet, now: number): PlannerInput {
   return {
@@ -27,7 +27,7 @@
   };
 }
 
-/** Plans each second of a stretch and gives the moves that were proposed. */
+/** Plans once per second of an interval and returns the proposed moves. */
 function planFor(
   rebalancer: Rebalancer,
   fleet: FoldedFleet,
@@ -40,79 +40,94 @@
   return proposals;
 }
 
-function planned(deployment: ExampleDeployment): FoldedFleet {
+function fleetWithPlanner(deployment: ExampleDeployment): FoldedFleet {
   const fleet = new FoldedFleet(deployment);
   fleet.takeTerm(PLANNER, 0);
   return fleet;
 }
 
-function weighted(buffer: number, move: number): ExampleDeployment {
+function deploymentWithWeights(
+  buffer: number,
+  move: number,
+): ExampleDeployment {
   return {...SWAN_COAST, bufferWeight: buffer, moveWeight: move};
 }
 
-/** Two VMs of eligibility in one data centre and one in another: it lacks one to survive. */
-function shorten(fleet: FoldedFleet): void {
+/** Takes two VMs of eligibility down, so that it lacks one to survive its named failure. */
+function causeShortage(fleet: FoldedFleet): void {
   for (const n of [1, 2]) fleet.report(1, `eligibility-${n}`, VmCondition.Down);
 }
 
 describe('Rebalancer', () => {
   describe('with restarts that end within minutes', () => {
     it('moves nothing', () => {
-      const fleet = planned(weighted(1, 1));
+      const fleet = fleetWithPlanner(deploymentWithWeights(1, 1));
       const rebalancer = new Rebalancer();
       const proposals: ProposedRecord[] = [];
       for (let n = 0; n < 20; n++) {
-        shorten(fleet);
-        const from = n * 6 * MINUTE;
-        proposals.push(...planFor(rebalancer, fleet, from, from + 4 * MINUTE));
+        causeShortage(fleet);
+        const from = n * 6 * MINUTE_MILLISECONDS;
+        proposals.push(
+          ...planFor(rebalancer, fleet, from, from + 4 * MINUTE_MILLISECONDS),
+        );
         for (const vm of [1, 2])
           fleet.report(1, `eligibility-${vm}`, VmCondition.Up);
-        const later = from + 4 * MINUTE;
-        proposals.push(...planFor(rebalancer, fleet, later, later + MINUTE));
+        const later = from + 4 * MINUTE_MILLISECONDS;
+        proposals.push(
+          ...planFor(rebalancer, fleet, later, later + MINUTE_MILLISECONDS),
+        );
       }
       assert.equal(proposals.length, 0);
     });
   });
 
-  describe('with a shortage that lasts', () => {
-    it('lends a VM of the pool that can spare most', () => {
-      const fleet = planned(weighted(1, 1));
-      shorten(fleet);
-      const proposals = planFor(new Rebalancer(), fleet, 0, 6 * MINUTE);
+  describe('with a lasting shortage', () => {
+    it('lends a VM of the pool that can spare the most', () => {
+      const fleet = fleetWithPlanner(deploymentWithWeights(1, 1));
+      causeShortage(fleet);
+      const proposals = planFor(
+        new Rebalancer(),
+        fleet,
+        0,
+        6 * MINUTE_MILLISECONDS,
+      );
       const [first] = proposals;
       assert.equal(first.record.kind, RecordKind.MoveStarted);
       assert.match(first.decision.decision, /(statements|admin).* eligibility/);
     });
 
-    it('waits longer where moves weigh more', () => {
+    it('waits longer if moves have a higher weight', () => {
       const first = (deployment: ExampleDeployment): number => {
-        const fleet = planned(deployment);
-        shorten(fleet);
+        const fleet = fleetWithPlanner(deployment);
+        causeShortage(fleet);
         const rebalancer = new Rebalancer();
-        for (let now = 0; now < 120 * MINUTE; now += 1000)
+        for (let now = 0; now < 120 * MINUTE_MILLISECONDS; now += 1000)
           if (rebalancer.plan(inputAt(fleet, now)).length > 0) return now;
         return Infinity;
       };
-      const bufferFirst = first(weighted(4, 1));
-      const movesFirst = first(weighted(1, 4));
+      const bufferFirst = first(deploymentWithWeights(4, 1));
+      const movesFirst = first(deploymentWithWeights(1, 4));
       assert.ok(movesFirst >= 8 * bufferFirst);
     });
 
     it('lends nothing that a donor needs itself', () => {
-      const fleet = planned(weighted(1, 1));
-      shorten(fleet);
+      const fleet = fleetWithPlanner(deploymentWithWeights(1, 1));
+      causeShortage(fleet);
       for (const pool of ['valuation', 'repayment', 'statements', 'admin'])
         for (const n of [1, 2])
           fleet.report(1, `${pool}-${n}`, VmCondition.Down);
-      assert.deepEqual(planFor(new Rebalancer(), fleet, 0, 20 * MINUTE), []);
+      assert.deepEqual(
+        planFor(new Rebalancer(), fleet, 0, 20 * MINUTE_MILLISECONDS),
+        [],
+      );
     });
   });
 
-  describe('with the shortage over', () => {
-    // A VM was lent; then the failed ones came back. It goes home once the pool has been able
-    // to do without it for a while, and only once.
-    it('gives the lent VM back', () => {
-      const fleet = planned(weighted(1, 1));
+  describe('after the shortage has ended', () => {
+    // A VM was lent; then the failed VMs returned. It is returned, and only once, after its new
+    // pool has been able to spare it for a while.
+    it('returns the lent VM', () => {
+      const fleet = fleetWithPlanner(deploymentWithWeights(1, 1));
       fleet.write('moana', {
         kind: RecordKind.MoveStarted,
         vm: 'admin-1',
@@ -130,14 +145,19 @@
         startedAt,
         epoch: 1,
       });
-      const proposals = planFor(new Rebalancer(), fleet, 0, 31 * MINUTE);
+      const proposals = planFor(
+        new Rebalancer(),
+        fleet,
+        0,
+        31 * MINUTE_MILLISECONDS,
+      );
       assert.match(proposals[0].decision.decision, /eligibility to admin/);
     });
   });
 });
 
-describe('the buffer', () => {
-  it('is the fewest VMs that survive the named failure', () => {
+describe('the buffer plan', () => {
+  it('has the fewest VMs that survive the named failure', () => {
     assert.equal(minimumPoolSize(5, FailureDomain.DataCentre, 4), 7);
     assert.equal(minimumPoolSize(3, FailureDomain.DataCentre, 3), 5);
     assert.equal(minimumPoolSize(5, FailureDomain.Vm, 4), 6);
@@ -160,7 +180,7 @@
     }
   });
 
-  it('holds more spares where moves weigh more and pools are larger', () => {
+  it('holds more spares if moves have a higher weight and pools are larger', () => {
     const spares = (size: number, buffer: number, move: number) =>
       costEffectiveSpares(size, {buffer, move}, REBALANCE_DEFAULTS);
     assert.equal(spares(8, 4, 1), 0);
--- a/packages/fleet/src/buffer-plan.ts
+++ b/packages/fleet/src/buffer-plan.ts
@@ -6,29 +6,29 @@
 } from '@gentiandoor/shared-state';
 import type {RebalanceOptions} from './rebalance-options.js';
 
-/** What a pool needs to hold, and what it holds. */
+/** The VMs that a pool needs to hold, and those that it holds. */
 export interface PoolBuffer {
   readonly pool: string;
   /** VMs that the budgets of its services need available. */
   readonly needed: number;
-  /** Fewest VMs whose budgets hold through the named failure, with one out by plan. */
+  /** Fewest VMs with which the budgets hold through the named failure, with one VM out by plan. */
   readonly minimumVms: number;
-  /** VMs above `smallest` that are worth holding, so that an ordinary failure moves nothing. */
+  /** VMs above `minimumVms` that are worth holding, so that an ordinary failure causes no move. */
   readonly spares: number;
   readonly owned: number;
 }
 
-/** VMs that one may fail before a spare no longer pays, however the weights stand. */
+/** Maximum spares of a pool, whatever the weights; further spares no longer pay. */
 const MAXIMUM_SPARES = 8;
 /** A lent VM is moved twice: there and back. */
 const MOVES_PER_FAILURE = 2;
 
 /**
- * The smallest idle capacity that keeps each budget through its named failure, spread as
- * evenly over the domains as can be, and the spares that pay at the deployment's weights.
- * A spare costs one idle VM-day a day; it saves two moves each time that it is the one that
- * was missing. Failures of a pool are rare and independent enough for a Poisson law; shared
- * ones are what `smallest` is for.
+ * Computes for each pool the smallest idle capacity that keeps every budget through its named
+ * failure, spread as evenly over the failure domains as possible, and the spares that pay off with
+ * the deployment's weights. A spare costs one idle VM-day a day; it saves two moves each time it is
+ * the VM that would otherwise be missing. Failures within a pool are rare and independent enough
+ * for a Poisson distribution; shared failures are covered by `minimumVms`.
  */
 export function bufferPlan(
   state: FleetState,
@@ -40,7 +40,7 @@
   );
 }
 
-/** The plan of one pool. */
+/** Computes the buffer of one pool. */
 export function poolBuffer(
   state: FleetState,
   pool: string,
@@ -56,18 +56,25 @@
     if (!budget) continue;
     needed = Math.max(needed, budget.availableVms);
     const domains = index.failureDomainCount(budget.survive);
-    const least = minimumPoolSize(budget.availableVms, budget.survive, domains);
-    // One more, or no VM could ever be maintained.
+    const minimumSize = minimumPoolSize(
+      budget.availableVms,
+      budget.survive,
+      domains,
+    );
+    // Without one more VM, no VM could ever be maintained.
     minimumVms = Math.max(
       minimumVms,
-      least + Math.min(1, budget.leavingAtOnce),
+      minimumSize + Math.min(1, budget.leavingAtOnce),
     );
   }
   const spares = costEffectiveSpares(minimumVms, weights, options);
-  return {pool, needed, minimumVms: minimumVms, spares, owned};
+  return {pool, needed, minimumVms, spares, owned};
 }
 
-/** Fewest VMs of which `needed` are left when the largest of `domains` equal domains is lost. */
+/**
+ * Returns the fewest VMs of which `needed` remain if the largest of `domains` equal failure domains
+ * is lost.
+ */
 export function minimumPoolSize(
   needed: number,
   survive: FailureDomain,
@@ -81,21 +88,21 @@
   return size;
 }
 
-/** Spares whose saved moves are worth more than their idle days. */
+/** Returns how many spares save moves worth more than their idle days. */
 export function costEffectiveSpares(
   size: number,
   weights: CostWeights,
   options: RebalanceOptions,
 ): number {
   const failuresADay = size * options.failuresPerVmDay;
-  const meanDown = failuresADay * options.repairDays;
-  let probability = Math.exp(-meanDown);
+  const meanDownVms = failuresADay * options.repairDays;
+  let probability = Math.exp(-meanDownVms);
   let spares = 0;
   while (spares < MAXIMUM_SPARES) {
-    const saved = MOVES_PER_FAILURE * failuresADay * probability;
-    if (saved * weights.move <= weights.buffer) break;
+    const savedMoves = MOVES_PER_FAILURE * failuresADay * probability;
+    if (savedMoves * weights.move <= weights.buffer) break;
     spares++;
-    probability *= meanDown / spares;
+    probability *= meanDownVms / spares;
   }
   return spares;
 }
--- a/packages/fleet/src/fleet-planner.ts
+++ b/packages/fleet/src/fleet-planner.ts
@@ -10,13 +10,13 @@
 import {WavePlanner} from './wave-planner.js';
 import {FaultyVmDetector} from './faulty-vm-detector.js';
 
-/** What a deployment chooses. */
+/** Options of a deployment. */
 export interface FleetPlannerOptions {
-  /** Each VM is maintained once in this many days by waves that start themselves. */
+  /** Period in days in which automatic waves maintain each VM once. */
   readonly maintenancePeriodDays?: number;
 }
 
-/** All parts of the planning with what they share. */
+/** All stages of planning, with the state that they share. */
 export class FleetPlanner {
   readonly jobSizeEstimator = new JobSizeEstimator();
   readonly faultyVmDetector = new FaultyVmDetector();
@@ -25,17 +25,17 @@
     this.jobSizeEstimator,
     this.faultyVmDetector,
   );
-  /** In the order in which they plan: what was seen comes before what follows from it. */
+  /** In planning order: stages that record observations come before those that act on them. */
   readonly stages: readonly PlanningStage[];
 
-  /** With a period in days, waves are started by the calendar, too. */
+  /** If a maintenance period is given, waves are also started on schedule. */
   constructor(options: FleetPlannerOptions = {}) {
-    const {maintenancePeriodDays: calendarDays} = options;
+    const {maintenancePeriodDays} = options;
     this.stages = [
       ...this.standardStages(),
-      ...(calendarDays === undefined
+      ...(maintenancePeriodDays === undefined
         ? []
-        : [new MaintenanceScheduler(calendarDays)]),
+        : [new MaintenanceScheduler(maintenancePeriodDays)]),
     ];
   }
 
--- a/packages/fleet/src/free-capacity.ts
+++ b/packages/fleet/src/free-capacity.ts
@@ -8,9 +8,9 @@
 }
 
 /**
- * What is free on the VMs of a pool during one round. Chooses the fullest VM that still fits,
- * so that large jobs find whole VMs and drains find empty ones. VMs stand in buckets by free
- * slots: a choice looks at a few VMs instead of the whole pool.
+ * Free capacity of the VMs of a pool during one planning round. Selects the fullest VM that still
+ * fits, so that large jobs find whole VMs and drains find empty ones. VMs are kept in buckets by
+ * free slots, so that a selection examines a few VMs instead of the whole pool.
  */
 export class FreeCapacity {
   private readonly free = new Map<string, FreeResources>();
@@ -37,11 +37,11 @@
     this.buckets[Math.max(0, free.slots)].add(vm);
   }
 
-  /** Takes room for a job on the fullest VM that fits; undefined when none does. */
-  allocate(size: JobSize, barred: ReadonlySet<string>): string | undefined {
+  /** Reserves capacity for a job on the fullest VM that fits; returns undefined if none fits. */
+  allocate(size: JobSize, excluded: ReadonlySet<string>): string | undefined {
     for (let slots = size.slots; slots < this.buckets.length; slots++) {
       for (const vm of this.buckets[slots]) {
-        if (barred.has(vm) || !this.fits(vm, size)) continue;
+        if (excluded.has(vm) || !this.fits(vm, size)) continue;
         this.deduct(vm, size);
         return vm;
       }
--- a/packages/fleet/src/greedy-rebalancer.ts
+++ b/packages/fleet/src/greedy-rebalancer.ts
@@ -13,8 +13,8 @@
 } from './planner-input.js';
 
 /**
- * Baseline for measurements: evens the pools' spare VMs out at each change, without waiting
- * and without weights. Every failure and every return moves a VM.
+ * Baseline for measurements: evens out the pools' spare VMs at each change, without delay and
+ * without weights. Every failure and every return moves a VM.
  */
 export class GreedyRebalancer implements PlanningStage {
   plan(input: PlannerInput): ProposedRecord[] {
@@ -23,14 +23,19 @@
     const spares = pools
       .map(pool => ({pool, spare: spareAvailable(state, pool)}))
       .sort((left, right) => left.spare - right.spare);
-    const poorest = spares.at(0);
-    const richest = spares.at(-1);
-    if (!poorest || !richest || richest.spare - poorest.spare < 2) return [];
+    const fewestSpares = spares.at(0);
+    const mostSpares = spares.at(-1);
+    if (
+      !fewestSpares ||
+      !mostSpares ||
+      mostSpares.spare - fewestSpares.spare < 2
+    )
+      return [];
     const index = capacityIndexOf(state);
-    for (const vm of index.pool(richest.pool).vms) {
+    for (const vm of index.pool(mostSpares.pool).vms) {
       if (!index.isAvailable(vm) || state.work.has(vm)) continue;
-      if (checkPlannedStop(state, vm, poorest.pool)) continue;
-      return [greedyMove(state, vm, poorest.pool)];
+      if (checkPlannedStop(state, vm, fewestSpares.pool)) continue;
+      return [greedyMove(state, vm, fewestSpares.pool)];
     }
     return [];
   }
@@ -38,10 +43,10 @@
 
 function spareAvailable(state: FleetState, pool: string): number {
   const index = capacityIndexOf(state);
-  const needs = index
+  const requirements = index
     .services(pool)
     .map(name => index.service(name)?.budget.availableVms ?? 0);
-  return index.pool(pool).available - Math.max(0, ...needs);
+  return index.pool(pool).available - Math.max(0, ...requirements);
 }
 
 function greedyMove(
--- a/packages/fleet/src/job-placer.ts
+++ b/packages/fleet/src/job-placer.ts
@@ -18,16 +18,20 @@
 import {TeamOrder} from './team-order.js';
 import type {FaultyVmDetector} from './faulty-vm-detector.js';
 
-/** Placements of one round: what the log takes in a second besides all else. */
+/** Maximum placements per round: what the log accepts per second besides all other records. */
 export const MAXIMUM_PLACEMENTS_PER_ROUND = 200;
-/** Jobs of one team looked at in a round that do not fit; the rest wait behind them. */
+/**
+ * Maximum jobs of one team per round that are skipped because they do not fit; the team's remaining
+ * jobs wait behind them.
+ */
 const MAXIMUM_SKIPPED_JOBS = 16;
 
 /**
- * Places queued jobs on VMs of their pool. Answers a queue in which one team or one huge job
- * is in front: teams take turns by weight and held slots, urgent teams first, and a job that
- * does not fit now is looked past, a bounded number of times. A job that fits no VM of its
- * pool, even an empty one, is set aside with the reason instead of waiting for ever.
+ * Places queued jobs on VMs of their pool.
+ * Load: a queue headed by one team or one huge job. Teams take turns by weight and by the slots
+ * they hold, urgent teams first, and a job that does not fit now is skipped, for a limited number
+ * of jobs. A job that fits no VM of its pool, even an empty one, is set aside with the reason
+ * instead of waiting forever.
  */
 export class JobPlacer implements PlanningStage {
   constructor(
@@ -72,15 +76,15 @@
     teams: TeamOrder,
     team: string,
   ): ProposedRecord | undefined {
-    let looked = 0;
+    let skipped = 0;
     for (const key of teams.queuedKeys(team)) {
       const job = state.jobs.get(key);
       if (!job) continue;
       const size = this.jobSizeEstimator.sizeOf(job, entry);
-      const impossible = impossibleReason(state, job, entry);
-      if (impossible !== undefined) {
+      const reason = impossibleReason(state, job, entry);
+      if (reason !== undefined) {
         teams.recordTaken(team, key, 0);
-        return setAside(job, impossible);
+        return setAside(job, reason);
       }
       if (!teams.isWithinQuota(team, job.size.slots)) return undefined;
       const vm = free.allocate(size, new Set(job.failedOn));
@@ -88,7 +92,7 @@
         teams.recordTaken(team, key, job.size.slots);
         return place(job, vm, size);
       }
-      if (++looked >= MAXIMUM_SKIPPED_JOBS) return undefined;
+      if (++skipped >= MAXIMUM_SKIPPED_JOBS) return undefined;
     }
     return undefined;
   }
@@ -142,7 +146,7 @@
       id: job.key,
       decision: `run job ${job.key} on VM ${vm}, attempt ${attempt}`,
       rule: 'job-placer: urgent teams first, then by weight; fullest VM that fits',
-      cause: 'it is the next of its team and fits',
+      cause: 'it is the next job of its team and fits',
       evidence: {
         team: job.team,
         processors: size.processors,
--- a/packages/fleet/src/job-size-estimator.ts
+++ b/packages/fleet/src/job-size-estimator.ts
@@ -1,10 +1,13 @@
 import type {Job, JobSize, TaskSize} from '@gentiandoor/shared-state';
 
-/** Share by which an estimate falls towards a lower use; it rises to a higher one at once. */
+/**
+ * Smoothing factor by which an estimate decreases towards lower usage; it increases to higher usage
+ * at once.
+ */
 const DECREASE_FACTOR = 0.2;
-/** Room above what was seen: usage lags, so a peak may be missed. */
+/** Margin above the observed usage: usage lags, so a peak may be missed. */
 const HEADROOM = 1.15;
-/** Until this many reports of a class, the declared size counts as well. */
+/** With fewer reports of a class than this, the declared size is used. */
 const MINIMUM_REPORTS = 3;
 
 interface Estimate {
@@ -14,47 +17,51 @@
 }
 
 /**
- * Learns what jobs of one class take from their usage. Answers declared sizes that are far
- * from the truth: believed, they leave half the fleet idle or overload a VM. Rises at once
- * and falls slowly, because too low an estimate hurts every job on the VM and too high a one
- * only waits. Accelerators and slots cannot be shared, so the declared ones stand.
+ * Estimates what jobs of one class need from their observed usage.
+ * Load: declared sizes that are far from the truth. Relying on them leaves half of the fleet idle
+ * or overloads a VM. The estimate rises at once and falls slowly, because too low an estimate hurts
+ * every job on the VM, whereas too high an estimate only delays jobs. Accelerators and slots cannot
+ * be shared, so their declared values are used.
  */
 export class JobSizeEstimator {
   private readonly estimates = new Map<string, Estimate>();
 
-  /** Takes in the usage of one task of a class. */
+  /** Records the usage of one task of a class. */
   observe(jobClass: string, usage: TaskSize): void {
-    const known = this.estimates.get(jobClass);
-    if (!known) {
+    const existing = this.estimates.get(jobClass);
+    if (!existing) {
       const {processors, memoryGigabytes} = usage;
       this.estimates.set(jobClass, {processors, memoryGigabytes, reports: 1});
       return;
     }
-    known.processors = updatedEstimate(known.processors, usage.processors);
-    known.memoryGigabytes = updatedEstimate(
-      known.memoryGigabytes,
+    existing.processors = updatedEstimate(
+      existing.processors,
+      usage.processors,
+    );
+    existing.memoryGigabytes = updatedEstimate(
+      existing.memoryGigabytes,
       usage.memoryGigabytes,
     );
-    known.reports++;
+    existing.reports++;
   }
 
-  /** What a job is taken to need on a VM of the given size. */
+  /** Returns the size assumed for a job on a VM of the given size. */
   sizeOf(job: Job, limit: TaskSize): JobSize {
-    const known = this.estimates.get(job.jobClass);
-    if (!known || known.reports < MINIMUM_REPORTS) return job.size;
+    const existing = this.estimates.get(job.jobClass);
+    if (!existing || existing.reports < MINIMUM_REPORTS) return job.size;
     return {
       ...job.size,
-      processors: Math.min(known.processors * HEADROOM, limit.processors),
+      processors: Math.min(existing.processors * HEADROOM, limit.processors),
       memoryGigabytes: Math.min(
-        known.memoryGigabytes * HEADROOM,
+        existing.memoryGigabytes * HEADROOM,
         limit.memoryGigabytes,
       ),
     };
   }
 }
 
-function updatedEstimate(estimate: number, seen: number): number {
-  return seen >= estimate
-    ? seen
-    : estimate + (seen - estimate) * DECREASE_FACTOR;
+function updatedEstimate(estimate: number, usage: number): number {
+  return usage >= estimate
+    ? usage
+    : estimate + (usage - estimate) * DECREASE_FACTOR;
 }
--- a/packages/fleet/src/maintenance-scheduler.ts
+++ b/packages/fleet/src/maintenance-scheduler.ts
@@ -14,20 +14,20 @@
 const DAY_MILLISECONDS = 86_400_000;
 /** A wave starts when some VM has used up this share of the period. */
 const SHARE_TO_START = 0.8;
-/** It covers all VMs past this share, so that waves are few and large. */
+/** The wave covers all VMs past this share of the period, so that waves are few and large. */
 const SHARE_TO_COVER = 0.5;
 /**
- * Least time between two starts. Without it a wave that an operator aborts, or one that ends
- * with VMs that failed, is followed by the next within a second, since the oldest maintenance
- * is as old as before. A day is what an operator needs to look, and little of a fifth of a period.
+ * Minimum time between two starts. Without it, after an operator aborts a wave, or a wave ends with
+ * failed VMs, the next one would start within a second, since the oldest maintenance is as old as
+ * before. A day gives an operator time to look, and is short compared with a fifth of a period.
  */
 const MINIMUM_START_INTERVAL_MILLISECONDS = DAY_MILLISECONDS;
 
 /**
- * Starts waves by itself, so that every VM is maintained once a period. Answers a fleet in
- * which nobody starts waves, or in which VMs that were down in one wave would wait for the
- * next but one. At most one wave at a time, and none while another is running or held:
- * an operator who holds a wave has a reason. Wall time decides only when to start.
+ * Starts waves automatically, so that every VM is maintained once per period.
+ * Load: a fleet in which nobody starts waves, or in which VMs that were down during one wave would
+ * wait for the next but one. At most one wave runs at a time, and none starts while another is
+ * running or held: an operator who holds a wave has a reason. Wall time only decides when to start.
  */
 export class MaintenanceScheduler implements PlanningStage {
   constructor(private readonly periodDays: number) {}
@@ -41,34 +41,41 @@
     const oldest = oldestMaintenance(state);
     if (oldest === undefined) return [];
     if (wallNow - oldest < period * SHARE_TO_START) return [];
-    const since = Math.floor(wallNow - period * SHARE_TO_COVER);
-    return [start(since, Math.floor(wallNow), oldest)];
+    const coversBefore = Math.floor(wallNow - period * SHARE_TO_COVER);
+    return [start(coversBefore, Math.floor(wallNow), oldest)];
   }
 }
 
-/** Time of the least recent maintenance; 0 for a VM that never had one. */
+/**
+ * Returns the time of the least recent maintenance; 0 if a VM was never maintained, undefined if
+ * there is no VM to maintain.
+ */
 function oldestMaintenance(state: FleetState): number | undefined {
   let oldest: number | undefined;
   for (const vm of state.vms.keys()) {
     if (state.handedOver.has(vm)) continue;
-    const last = state.maintainedAt.get(vm) ?? 0;
-    if (oldest === undefined || last < oldest) oldest = last;
+    const latest = state.maintainedAt.get(vm) ?? 0;
+    if (oldest === undefined || latest < oldest) oldest = latest;
   }
   return oldest;
 }
 
-/** Wall time of the last start that is remembered; its name tells it. */
+/** Returns the wall time of the last remembered start, which is encoded in the name of the wave. */
 function lastStart(state: FleetState): number {
-  let last = -Infinity;
+  let latest = -Infinity;
   for (const id of state.waves.keys()) {
     if (!id.startsWith(NAME_PREFIX)) continue;
     const at = Number(id.slice(NAME_PREFIX.length));
-    if (Number.isFinite(at)) last = Math.max(last, at);
+    if (Number.isFinite(at)) latest = Math.max(latest, at);
   }
-  return last;
+  return latest;
 }
 
-function start(since: number, wallNow: number, oldest: number): ProposedRecord {
+function start(
+  coversBefore: number,
+  wallNow: number,
+  oldest: number,
+): ProposedRecord {
   const wave = `${NAME_PREFIX}${wallNow}`;
   const reason = 'every VM is maintained once a period';
   return {
@@ -76,7 +83,7 @@
       kind: RecordKind.WaveStarted,
       wave,
       reason,
-      scope: {notMaintainedSince: Math.max(0, since)},
+      scope: {notMaintainedSince: Math.max(0, coversBefore)},
     },
     decision: {
       subject: SubjectKind.Wave,
@@ -84,7 +91,7 @@
       decision: `start wave ${wave}`,
       rule: 'maintenance-calendar: the least recent maintenance is four fifths of a period ago',
       cause: reason,
-      evidence: {leastRecentAt: oldest, coversBefore: since},
+      evidence: {leastRecentAt: oldest, coversBefore},
     },
   };
 }
--- a/packages/fleet/src/maintenance-workflow.ts
+++ b/packages/fleet/src/maintenance-workflow.ts
@@ -20,17 +20,20 @@
   type ProposedRecord,
 } from './planner-input.js';
 
-/** Bounds of a maintenance, in milliseconds. */
+/** Limits of maintenance, in milliseconds. */
 export interface MaintenanceOptions {
-  /** Wait for a VM to return after the first attempt; doubles with each. */
+  /** How long to wait for a VM to return after the first attempt; doubles with each attempt. */
   readonly returnMilliseconds: number;
-  /** A VM that is back is watched for this long. */
+  /** How long a VM that has returned is observed. */
   readonly trialMilliseconds: number;
-  /** Attempts by reboot; the next one replaces the VM, the one after hands it over. */
+  /**
+   * Number of attempts by reboot; the next attempt replaces the VM, and the one after hands it over
+   * to operators.
+   */
   readonly rebootAttempts: number;
 }
 
-/** A VM boots within a few minutes; a fault that comes with traffic shows within one. */
+/** A VM boots within a few minutes; a fault that occurs with traffic shows within one. */
 export const MAINTENANCE_DEFAULTS: MaintenanceOptions = {
   returnMilliseconds: 600_000,
   trialMilliseconds: 60_000,
@@ -48,10 +51,11 @@
 }
 
 /**
- * Brings each VM under maintenance or repair through its steps. Answers a VM that does not
- * return: without bounded attempts it would hold its pool's place for ever or be rebooted
- * for ever; with them it costs three attempts over about an hour and then a person looks.
- * Waits run on this daemon's monotonic clock; a new planner begins the present wait anew.
+ * Advances each VM under maintenance or repair through its steps.
+ * Load: a VM that does not return. With unlimited attempts it would occupy its pool's budget
+ * forever or be rebooted forever; with limited ones it takes three attempts over about an hour and
+ * is then handed over to an operator. Waits are measured on this daemon's monotonic clock; a new
+ * planner restarts the current wait.
  */
 export class MaintenanceWorkflow implements PlanningStage {
   private readonly stepStarts = new Map<string, StepStart>();
@@ -61,10 +65,10 @@
   plan(input: PlannerInput): ProposedRecord[] {
     const proposals: ProposedRecord[] = [];
     for (const work of input.state.work.values()) {
-      const isOurs =
+      const isMaintained =
         work.kind === PlannedWorkKind.Maintenance ||
         work.kind === PlannedWorkKind.Repair;
-      if (!isOurs) continue;
+      if (!isMaintained) continue;
       const proposal = this.planWork(input, work);
       if (proposal) proposals.push(proposal);
     }
@@ -94,11 +98,11 @@
     work: PlannedWork,
   ): ProposedRecord | undefined {
     const wave = input.state.waves.get(work.wave ?? '');
-    const isOff = wave !== undefined && wave.state !== WaveState.Running;
-    if (isOff)
+    const isStopped = wave !== undefined && wave.state !== WaveState.Running;
+    if (isStopped)
       return end(input, work, MaintenanceOutcome.Abandoned, wave.stateReason);
     if (!isDrained(input.state, work)) return undefined;
-    return this.ask(input, work, 'no daemon or job has anything on it');
+    return this.requestAction(input, work, 'no daemon or job uses it any more');
   }
 
   private planAsked(
@@ -115,7 +119,11 @@
     if (isBack) return returned(work);
     const limit = this.options.returnMilliseconds * 2 ** (work.attempts - 1);
     if (action !== VmActionState.Failed && waited < limit) return undefined;
-    return this.ask(input, work, `it did not return in ${limit} ms`);
+    return this.requestAction(
+      input,
+      work,
+      `it did not return within ${limit} ms`,
+    );
   }
 
   private planTrial(
@@ -124,22 +132,23 @@
     waited: number,
   ): ProposedRecord | undefined {
     const condition = input.state.conditions.get(work.vm);
-    // Only missing from a read or two of the list is no failure; down is after 30 s of it.
-    const isBad =
+    // Absence from one or two readings of the list is not a failure; a VM is down after 30 s of
+    // absence.
+    const hasFailed =
       input.suspectedVms.has(work.vm) || condition === VmCondition.Down;
-    if (isBad)
+    if (hasFailed)
       return end(
         input,
         work,
         MaintenanceOutcome.Failed,
         'it failed again with traffic',
       );
-    const isSettled = condition === undefined && input.vmList.has(work.vm);
-    if (!isSettled || waited < this.options.trialMilliseconds) return undefined;
+    const isHealthy = condition === undefined && input.vmList.has(work.vm);
+    if (!isHealthy || waited < this.options.trialMilliseconds) return undefined;
     return end(input, work, MaintenanceOutcome.Done, 'it stayed healthy');
   }
 
-  private ask(
+  private requestAction(
     input: PlannerInput,
     work: PlannedWork,
     cause: string,
@@ -159,15 +168,15 @@
     );
   }
 
-  /** Milliseconds for which this planner has seen the work at its present step. */
+  /** Returns the milliseconds for which this planner has seen the work at its current step. */
   private waitedMilliseconds(input: PlannerInput, work: PlannedWork): number {
     const {vm, startedAt, step, attempts} = work;
-    const watch = this.stepStarts.get(vm);
+    const stepStart = this.stepStarts.get(vm);
     const isSame =
-      watch?.startedAt === startedAt &&
-      watch.step === step &&
-      watch.attempts === attempts;
-    if (watch && isSame) return input.now - watch.since;
+      stepStart?.startedAt === startedAt &&
+      stepStart.step === step &&
+      stepStart.attempts === attempts;
+    if (stepStart && isSame) return input.now - stepStart.since;
     this.stepStarts.set(vm, {startedAt, step, attempts, since: input.now});
     return 0;
   }
@@ -179,7 +188,7 @@
     work,
     {kind: RecordKind.MaintenanceReturned, vm, startedAt},
     `put VM ${vm} back into service, on trial`,
-    'the platform has done it and the list shows the VM live',
+    'the platform has completed the action and the list shows the VM as live',
   );
 }
 
@@ -205,7 +214,7 @@
   decision: string,
   cause: string,
 ): ProposedRecord {
-  const reasons: Decision = {
+  const explanation: Decision = {
     subject: SubjectKind.Vm,
     id: work.vm,
     decision,
@@ -217,5 +226,5 @@
       wave: work.wave ?? 'none',
     },
   };
-  return {record, decision: reasons};
+  return {record, decision: explanation};
 }
--- a/packages/fleet/src/move-planner.ts
+++ b/packages/fleet/src/move-planner.ts
@@ -16,9 +16,9 @@
 } from './planner-input.js';
 
 /**
- * Brings ownership towards the bundle's lists and finishes moves. Answers a bundle that
- * shifts many VMs: moves start only within budgets, at most one of a pool in a round, and
- * one that waits for a daemon says for which. Operators' own moves are left alone until
+ * Aligns ownership with the bundle's lists and completes moves.
+ * Load: a bundle that shifts many VMs. Moves start only within budgets, at most one per pool and
+ * round, and a move that waits for a daemon names it. Operators' own moves are not changed until
  * another bundle is in force.
  */
 export class MovePlanner implements PlanningStage {
@@ -31,7 +31,7 @@
     return [...this.finishMoves(input), ...this.startMoves(input.state)];
   }
 
-  /** VMs that the bundle lists in another pool than the one that owns them. */
+  /** Recomputes the VMs that the bundle lists in another pool than the one that owns them. */
   private refresh(state: FleetState): void {
     const isSame =
       this.computedFor === state.inForce && this.vmsHash === state.vms.hash;
@@ -86,7 +86,10 @@
   }
 }
 
-/** An operator's or a lending move stands until a later bundle is in force. */
+/**
+ * Whether an operator's or a lending move is newer than the bundle in force; such a move stands
+ * until a later bundle is in force.
+ */
 function overridesBundle(state: FleetState, vm: string): boolean {
   const deviation = state.deviations.get(vm);
   if (!deviation || deviation.cause === MoveCause.Desired) return false;
--- a/packages/fleet/src/planner-election.ts
+++ b/packages/fleet/src/planner-election.ts
@@ -1,24 +1,26 @@
 import {jitter, type RandomSource} from '@gentiandoor/kernel';
 import {plannerOf, type FleetState} from '@gentiandoor/shared-state';
 
-/** Bounds of the election, in milliseconds. */
+/** Limits of the election, in milliseconds. */
 export interface PlannerElectionOptions {
-  /** The planner writes at least this often. */
+  /** Maximum interval between two records of the planner. */
   readonly renewMilliseconds: number;
-  /** A planner that wrote nothing for this long is replaced. */
+  /** A planner that has written nothing for this long is replaced. */
   readonly failoverMilliseconds: number;
-  /** Wait before taking an empty role; jittered, so that daemons do not all append at once. */
+  /**
+   * Delay before taking over a vacant role; jittered, so that daemons do not all append at once.
+   */
   readonly takeoverDelayMilliseconds: number;
 }
 
-/** Four renewals may be lost before a planner is replaced; nothing is lost by a slow change. */
+/** Four renewals may be lost before a planner is replaced; a slow takeover causes no loss. */
 export const PLANNER_ELECTION_DEFAULTS: PlannerElectionOptions = {
   renewMilliseconds: 15_000,
   failoverMilliseconds: 60_000,
   takeoverDelayMilliseconds: 2000,
 };
 
-/** What a daemon does about the planner's role now. */
+/** What a daemon does about the planner role now. */
 export enum ElectionAction {
   Wait = 'wait',
   TakeOver = 'take',
@@ -26,11 +28,11 @@
 }
 
 /**
- * Decides when a daemon tries to become the planner. Answers a planner that stops, hangs or
- * is cut off: without it planned work would end with its daemon. Times only decide when to
- * try: who plans is decided by the log, so a wrong clock costs a change of planner and
- * nothing else. Silence is what this daemon saw on its own monotonic clock, and does not
- * count while the log is out, when nobody can be heard.
+ * Decides when a daemon tries to become the planner.
+ * Load: a planner that stops, hangs or is unreachable. Without an election planned work would end
+ * with its daemon. Times only decide when to try: the log decides who plans, so a wrong clock costs
+ * a change of planner and nothing else. Silence is measured on this daemon's own monotonic clock,
+ * and not while the log is unreachable, when no planner could be heard.
  */
 export class PlannerElection {
   private heardAt = -1;
@@ -68,7 +70,7 @@
     return ElectionAction.TakeOver;
   }
 
-  /** Whether the planner should write only to show that it lives. */
+  /** Whether the planner should write a record only to show that it is alive. */
   shouldRenew(now: number): boolean {
     return now - this.lastHeardMilliseconds >= this.options.renewMilliseconds;
   }
--- a/packages/fleet/src/planner-input.ts
+++ b/packages/fleet/src/planner-input.ts
@@ -9,18 +9,18 @@
   VmActionState,
 } from '@gentiandoor/shared-state';
 
-/** Everything that one planning round looks at. */
+/** All inputs of one planning round. */
 export interface PlannerInput {
   readonly state: FleetState;
-  /** Milliseconds, monotonic. */
+  /** Monotonic milliseconds. */
   readonly now: number;
   /** Milliseconds since the Unix epoch; for records and display only. */
   readonly wallNow: number;
   readonly vmList: ReadonlyMap<string, ListedVm>;
   readonly vmListAgeMilliseconds: number;
-  /** VMs that daemons have first-hand evidence against. */
+  /** VMs against which daemons have first-hand evidence. */
   readonly suspectedVms: ReadonlySet<string>;
-  /** Actions asked of the platform, by action id, as last heard. */
+  /** Actions requested from the platform, by action id, with the last known state. */
   readonly vmActions: ReadonlyMap<string, VmActionState>;
 }
 
@@ -31,13 +31,13 @@
 /** A record without the fields that the planner fills in. */
 export type DraftRecord = DraftOf<PlanningRecord | DrainStarted | DrainEnded>;
 
-/** A record that the planner wants to write, with the reasons for it. */
+/** A record that the planner wants to write, with the decision behind it. */
 export interface ProposedRecord {
   readonly record: DraftRecord;
   readonly decision: Decision;
 }
 
-/** One part of the planning; keeps what it saw between rounds. */
+/** One stage of planning; may keep observations between rounds. */
 export interface PlanningStage {
   plan(input: PlannerInput): ProposedRecord[];
 }
--- a/packages/fleet/src/rebalance-options.ts
+++ b/packages/fleet/src/rebalance-options.ts
@@ -1,18 +1,21 @@
-/** Bounds of rebalancing, in milliseconds. */
+/** Limits of rebalancing, in milliseconds. */
 export interface RebalanceOptions {
-  /** A shortage must last this long at equal weights before a VM is lent. */
+  /** How long a shortage must last, with equal weights, before a VM is lent. */
   readonly lendAfterMilliseconds: number;
-  /** The same for a budget that is broken already. */
+  /** The same for a budget that is already broken. */
   readonly brokenAfterMilliseconds: number;
-  /** A lent VM goes back when its old pool has been short, or the new one rich, for this long. */
+  /**
+   * A lent VM returns after its old pool has had a shortage, or its new pool a surplus, for this
+   * long.
+   */
   readonly giveBackAfterMilliseconds: number;
-  /** Ordinary failures of one VM in a day: 210 of 31,000. */
+  /** Ordinary failures per VM and day: 210 of 31,000. */
   readonly failuresPerVmDay: number;
-  /** Mean time until a failed VM is back, in days. */
+  /** Mean time until a failed VM returns, in days. */
   readonly repairDays: number;
 }
 
-/** Most VMs that fail are back within minutes; a move is only worth it for those that are not. */
+/** Most VMs that fail are back within minutes; a move only pays off for those that are not. */
 export const REBALANCE_DEFAULTS: RebalanceOptions = {
   lendAfterMilliseconds: 300_000,
   brokenAfterMilliseconds: 10_000,
--- a/packages/fleet/src/rebalancer.ts
+++ b/packages/fleet/src/rebalancer.ts
@@ -18,17 +18,17 @@
 import {REBALANCE_DEFAULTS} from './rebalance-options.js';
 
 const EQUAL_WEIGHTS: CostWeights = {buffer: 1, move: 1};
-/** Bounds on how far weights stretch or shorten a wait. */
+/** Limits on how far weights lengthen or shorten a delay. */
 const MINIMUM_DELAY_FACTOR = 0.25;
 const MAXIMUM_DELAY_FACTOR = 12;
 const MAXIMUM_REJECTED_ALTERNATIVES = 5;
 
 /**
- * Lends VMs to pools whose budgets would not survive their named failure, and gives them
- * back. Answers failures that take more than the buffer: without it a pool stays exposed
- * until its VMs are repaired. A shortage must last before a VM moves, longer where moves
- * weigh more, since most VMs that fail are back within minutes; and a pool lends only what
- * its own budgets can spare, so that a move never passes the shortage on.
+ * Lends VMs to pools whose budgets would not survive their named failure, and returns them later.
+ * Load: failures that exceed the buffer. Without lending a pool stays exposed until its VMs are
+ * repaired. A shortage must last before a VM is moved, longer if moves have a higher weight, since
+ * most VMs that fail are back within minutes; and a pool lends only what its own budgets can spare,
+ * so that a move never passes the shortage on.
  */
 export class Rebalancer implements PlanningStage {
   private readonly shortageSince = new Map<string, number>();
@@ -40,23 +40,28 @@
     const {state} = input;
     const proposals: ProposedRecord[] = [];
     const incoming = countIncoming(state);
-    const taken = new Set<string>();
+    const usedPools = new Set<string>();
     for (const pool of Object.keys(state.inForce?.bundle.pools ?? {})) {
-      const lacks = shortage(state, pool);
-      const since = updateSince(this.shortageSince, pool, lacks > 0, input.now);
-      if (since === undefined || lacks <= (incoming.get(pool) ?? 0)) continue;
+      const missing = shortage(state, pool);
+      const since = updateSince(
+        this.shortageSince,
+        pool,
+        missing > 0,
+        input.now,
+      );
+      if (since === undefined || missing <= (incoming.get(pool) ?? 0)) continue;
       if (input.now - since < this.lendDelayMilliseconds(state, pool)) continue;
-      const lent = planLoan(state, pool, lacks, taken);
-      if (lent) proposals.push(lent);
+      const loan = planLoan(state, pool, missing, usedPools);
+      if (loan) proposals.push(loan);
     }
-    return [...proposals, ...this.returnLentVms(input, taken)];
+    return [...proposals, ...this.returnLentVms(input, usedPools)];
   }
 
   private lendDelayMilliseconds(state: FleetState, pool: string): number {
-    const {brokenServices: broken} = capacityIndexOf(state);
+    const {brokenServices} = capacityIndexOf(state);
     const isBroken = capacityIndexOf(state)
       .services(pool)
-      .some(name => broken.has(name));
+      .some(name => brokenServices.has(name));
     const {brokenAfterMilliseconds, lendAfterMilliseconds} = this.options;
     if (isBroken) return brokenAfterMilliseconds * delayFactor(state);
     return lendAfterMilliseconds * delayFactor(state);
@@ -64,19 +69,22 @@
 
   private returnLentVms(
     input: PlannerInput,
-    taken: Set<string>,
+    usedPools: Set<string>,
   ): ProposedRecord[] {
     const {state, now} = input;
     const proposals: ProposedRecord[] = [];
-    const wait = this.options.giveBackAfterMilliseconds * delayFactor(state);
+    const returnDelayMilliseconds =
+      this.options.giveBackAfterMilliseconds * delayFactor(state);
     for (const [id, deviation] of state.deviations) {
-      const isRich = deviation.cause === MoveCause.Lend && canReturn(state, id);
-      const since = updateSince(this.surplusSince, id, isRich, now);
+      const canBeReturned =
+        deviation.cause === MoveCause.Lend && canReturn(state, id);
+      const since = updateSince(this.surplusSince, id, canBeReturned, now);
       const vm = state.vms.get(id);
-      if (since === undefined || now - since < wait || !vm) continue;
+      if (since === undefined || now - since < returnDelayMilliseconds || !vm)
+        continue;
       const home = listedPoolOf(state, id);
-      if (home === undefined || taken.has(vm.pool)) continue;
-      taken.add(vm.pool);
+      if (home === undefined || usedPools.has(vm.pool)) continue;
+      usedPools.add(vm.pool);
       proposals.push(
         planMove(
           state,
@@ -93,18 +101,18 @@
   }
 }
 
-/** VMs by which the worst budget of a pool falls short of surviving its named failure. */
+/** Returns how many VMs the worst budget of a pool lacks to survive its named failure. */
 export function shortage(state: FleetState, pool: string): number {
   const index = capacityIndexOf(state);
-  let lacks = 0;
+  let missing = 0;
   for (const name of index.services(pool)) {
-    const standing = serviceBudgetStatusOf(index, name);
-    if (!standing) continue;
-    // What is out by plan comes back by itself.
-    const back = standing.availableAfterLoss + standing.planned;
-    lacks = Math.max(lacks, standing.needed - back);
+    const status = serviceBudgetStatusOf(index, name);
+    if (!status) continue;
+    // VMs that are out by plan return by themselves.
+    const availableAfterReturn = status.availableAfterLoss + status.planned;
+    missing = Math.max(missing, status.needed - availableAfterReturn);
   }
-  return lacks;
+  return missing;
 }
 
 function delayFactor(state: FleetState): number {
@@ -114,17 +122,17 @@
 }
 
 function updateSince(
-  sinces: Map<string, number>,
+  sinceByKey: Map<string, number>,
   key: string,
-  isSo: boolean,
+  isActive: boolean,
   now: number,
 ): number | undefined {
-  if (!isSo) {
-    sinces.delete(key);
+  if (!isActive) {
+    sinceByKey.delete(key);
     return undefined;
   }
-  const since = sinces.get(key) ?? now;
-  sinces.set(key, since);
+  const since = sinceByKey.get(key) ?? now;
+  sinceByKey.set(key, since);
   return since;
 }
 
@@ -137,17 +145,20 @@
   return counts;
 }
 
-/** The pool that lends is the one that can spare most; the VM stands where the taker is thinnest. */
+/**
+ * Plans a loan from the pool that can spare the most VMs; prefers a VM in the data centre where the
+ * receiving pool has the fewest.
+ */
 function planLoan(
   state: FleetState,
   pool: string,
-  lacks: number,
-  taken: Set<string>,
+  missing: number,
+  usedPools: Set<string>,
 ): ProposedRecord | undefined {
   const turnedDown: RejectedAlternative[] = [];
   const pools = state.inForce?.bundle.pools ?? {};
   const donors = Object.keys(pools)
-    .filter(name => name !== pool && !taken.has(name))
+    .filter(name => name !== pool && !usedPools.has(name))
     .filter(name => hasEnoughResources(pools[name], pools[pool]))
     .map(name => ({name, spare: spareOf(state, name)}))
     .filter(donor => donor.spare > 0)
@@ -155,8 +166,8 @@
   for (const {name} of donors) {
     const vm = findLendableVm(state, name, pool, turnedDown);
     if (vm === undefined) continue;
-    taken.add(name);
-    const reason = `pool ${pool} lacks ${lacks} VMs to survive its named failure`;
+    usedPools.add(name);
+    const reason = `pool ${pool} lacks ${missing} VMs to survive its named failure`;
     return planMove(state, vm, pool, reason, turnedDown);
   }
   return undefined;
@@ -164,30 +175,33 @@
 
 function spareOf(state: FleetState, pool: string): number {
   const index = capacityIndexOf(state);
-  const standings = index
+  const statuses = index
     .services(pool)
     .flatMap(name => serviceBudgetStatusOf(index, name) ?? []);
-  if (standings.length === 0) return index.pool(pool).available;
-  return Math.min(...standings.map(standing => standing.spare));
+  if (statuses.length === 0) return index.pool(pool).available;
+  return Math.min(...statuses.map(status => status.spare));
 }
 
 function findLendableVm(
   state: FleetState,
   donor: string,
-  taker: string,
+  receiver: string,
   turnedDown: RejectedAlternative[],
 ): string | undefined {
   const index = capacityIndexOf(state);
-  const {availableByDataCentre} = index.pool(taker);
+  const {availableByDataCentre} = index.pool(receiver);
   const vms = [...index.pool(donor).vms]
     .filter(vm => index.isAvailable(vm) && !state.work.has(vm))
     .map(vm => ({
       vm,
-      crowd: availableByDataCentre.get(index.locationOf(vm).dataCentre) ?? 0,
+      availableInDataCentre:
+        availableByDataCentre.get(index.locationOf(vm).dataCentre) ?? 0,
     }))
-    .sort((left, right) => left.crowd - right.crowd);
+    .sort(
+      (left, right) => left.availableInDataCentre - right.availableInDataCentre,
+    );
   for (const {vm} of vms) {
-    const refusal = checkPlannedStop(state, vm, taker);
+    const refusal = checkPlannedStop(state, vm, receiver);
     if (!refusal) return vm;
     if (turnedDown.length < MAXIMUM_REJECTED_ALTERNATIVES)
       turnedDown.push({choice: `lend ${vm}`, because: refusal.detail});
--- a/packages/fleet/src/repair-planner.ts
+++ b/packages/fleet/src/repair-planner.ts
@@ -12,18 +12,18 @@
   ProposedRecord,
 } from './planner-input.js';
 
-/** Bounds of repair. */
+/** Limits of repair. */
 export interface RepairOptions {
-  /** A VM may come back by itself for this long, in milliseconds. */
+  /** How long a VM may return by itself, in milliseconds. */
   readonly graceMilliseconds: number;
-  /** Repairs at one time, as a share of the fleet and at least `leastAtOnce`. */
+  /** Maximum concurrent repairs, as a share of the fleet, but at least `minimumConcurrent`. */
   readonly maximumConcurrentShare: number;
   readonly minimumConcurrent: number;
-  /** With more of a data centre's VMs away than this, the fault is not theirs. */
+  /** If a larger share of a data centre's VMs is away, the VMs are not at fault. */
   readonly maximumDataCentreShare: number;
 }
 
-/** 10,000 of 31,000 VMs restart in a day by themselves; most are back within minutes. */
+/** 10,000 of 31,000 VMs restart by themselves in a day; most are back within minutes. */
 export const REPAIR_DEFAULTS: RepairOptions = {
   graceMilliseconds: 300_000,
   maximumConcurrentShare: 0.01,
@@ -32,9 +32,10 @@
 };
 
 /**
- * Starts the repair of VMs that stay down. Answers lost VMs, racks and data centres: without
- * the bounds a data centre that was only cut off would be rebooted whole, and a shared fault
- * would be met by rebooting everything at once.
+ * Starts the repair of VMs that stay down.
+ * Load: lost VMs, racks and data centres. Without the limits a data centre that was only
+ * partitioned would be rebooted as a whole, and a shared fault would be answered by rebooting
+ * everything at once.
  */
 export class RepairPlanner implements PlanningStage {
   private readonly downSince = new Map<string, number>();
@@ -44,17 +45,17 @@
   plan(input: PlannerInput): ProposedRecord[] {
     const {state} = input;
     this.updateDownSince(input);
-    let room = this.remainingRepairs(state);
-    const cutOff = this.disconnectedDataCentres(state);
+    let remaining = this.remainingRepairs(state);
+    const disconnected = this.disconnectedDataCentres(state);
     const proposals: ProposedRecord[] = [];
     for (const [vm, since] of this.downSince) {
-      if (room <= 0) break;
+      if (remaining <= 0) break;
       if (input.now - since < this.options.graceMilliseconds) continue;
       if (state.work.has(vm) || state.handedOver.has(vm)) continue;
-      if (cutOff.has(capacityIndexOf(state).locationOf(vm).dataCentre))
+      if (disconnected.has(capacityIndexOf(state).locationOf(vm).dataCentre))
         continue;
       proposals.push(repair(state, vm, input.now - since));
-      room--;
+      remaining--;
     }
     return proposals;
   }
@@ -69,39 +70,42 @@
   }
 
   private remainingRepairs(state: FleetState): number {
-    const {
-      maximumConcurrentShare: shareAtOnce,
-      minimumConcurrent: leastAtOnce,
-    } = this.options;
+    const {maximumConcurrentShare, minimumConcurrent} = this.options;
     let running = 0;
     for (const work of state.work.values())
       if (work.kind === PlannedWorkKind.Repair) running++;
-    const most = Math.max(
-      leastAtOnce,
-      Math.floor(state.vms.size * shareAtOnce),
+    const maximum = Math.max(
+      minimumConcurrent,
+      Math.floor(state.vms.size * maximumConcurrentShare),
     );
-    return most - running;
+    return maximum - running;
   }
 
-  /** Data centres where so many VMs are away that the cause is not in the VMs. */
+  /** Returns the data centres where so many VMs are away that the VMs cannot be the cause. */
   private disconnectedDataCentres(state: FleetState): Set<string> {
     const index = capacityIndexOf(state);
-    const away = new Map<string, number>();
+    const awayByDataCentre = new Map<string, number>();
     for (const vm of state.conditions.keys()) {
       const {dataCentre} = index.locationOf(vm);
-      away.set(dataCentre, (away.get(dataCentre) ?? 0) + 1);
+      awayByDataCentre.set(
+        dataCentre,
+        (awayByDataCentre.get(dataCentre) ?? 0) + 1,
+      );
     }
-    const limits = new Set<string>();
-    for (const [dataCentre, count] of away) {
+    const disconnected = new Set<string>();
+    for (const [dataCentre, count] of awayByDataCentre) {
       const total = index.dataCentreSize(dataCentre);
       if (count > 2 && count > total * this.options.maximumDataCentreShare)
-        limits.add(dataCentre);
+        disconnected.add(dataCentre);
     }
-    return limits;
+    return disconnected;
   }
 }
 
-/** A VM that only flaps in the list may serve well: without first-hand evidence it is left alone. */
+/**
+ * Whether a VM needs repair; without first-hand evidence a VM that only flaps in the list may serve
+ * well and is left alone.
+ */
 function needsRepair(input: PlannerInput, vm: string): boolean {
   const condition = input.state.conditions.get(vm);
   if (condition === VmCondition.Down) return true;
@@ -111,14 +115,14 @@
 function repair(
   state: FleetState,
   vm: string,
-  downFor: number,
+  downMilliseconds: number,
 ): ProposedRecord {
   const condition = state.conditions.get(vm) ?? VmCondition.Up;
   return {
     record: {
       kind: RecordKind.MaintenanceStarted,
       vm,
-      reason: `repair: ${condition} for ${Math.round(downFor / 1000)} s`,
+      reason: `repair: ${condition} for ${Math.round(downMilliseconds / 1000)} s`,
     },
     decision: {
       subject: SubjectKind.Vm,
@@ -128,11 +132,14 @@
       cause: `the VM is ${condition}`,
       evidence: {
         condition,
-        downForMilliseconds: downFor,
+        downForMilliseconds: downMilliseconds,
         attemptsBefore: state.failedAttempts.get(vm) ?? 0,
       },
       turnedDown: [
-        {choice: 'wait for it', because: 'the time for that has passed'},
+        {
+          choice: 'wait for the VM to return',
+          because: 'the grace period has passed',
+        },
       ],
     },
   };
--- a/packages/fleet/src/slow-drain-reporter.ts
+++ b/packages/fleet/src/slow-drain-reporter.ts
@@ -6,29 +6,32 @@
   type PlannedWork,
 } from '@gentiandoor/shared-state';
 
-/** A drain that takes longer is named; exchanges of the offices' services end within minutes. */
+/**
+ * A drain that takes longer than this is reported; exchanges of the offices' services end within
+ * minutes.
+ */
 const SLOW_DRAIN_MILLISECONDS = 60_000;
 
 /**
- * Names what holds planned stops up: one daemon that cannot acknowledge, or a long job, holds
- * a move or reboot for as long as it lasts, and operators must be told which. Each drain is
- * named once for each thing that it waits for.
+ * Reports what delays planned stops: one daemon that cannot acknowledge, or a long job, delays a
+ * move or reboot for as long as it lasts, and operators must know which. Each drain is reported
+ * once per cause.
  */
 export class SlowDrainReporter {
   private readonly drainingSince = new Map<number, number>();
   private readonly reportedCauses = new Map<number, string>();
 
-  /** Decisions to wait, for drains that have become slow since the last look. */
+  /** Returns the decisions to wait, for drains that have become slow since the last call. */
   report(state: FleetState, now: number): Decision[] {
     const decisions: Decision[] = [];
-    const present = new Set<number>();
+    const draining = new Set<number>();
     for (const work of state.work.values()) {
       if (work.step !== PlannedWorkStep.Draining) continue;
-      present.add(work.startedAt);
+      draining.add(work.startedAt);
       const decision = this.reportDrain(state, work, now);
       if (decision) decisions.push(decision);
     }
-    this.forgetOthers(present);
+    this.forgetOthers(draining);
     return decisions;
   }
 
@@ -48,19 +51,22 @@
     return {
       subject: SubjectKind.Vm,
       id: work.vm,
-      decision: `wait with the ${work.kind} of VM ${work.vm}`,
+      decision: `delay the ${work.kind} of VM ${work.vm}`,
       rule: 'drain-watch: nothing goes on before each daemon and job has let go',
       cause,
       evidence: {waitedMilliseconds: now - since, startedAt},
       turnedDown: [
-        {choice: 'go on without them', because: 'a request would be cut'},
+        {
+          choice: 'continue without waiting for them',
+          because: 'a request would be cut off',
+        },
       ],
     };
   }
 
-  private forgetOthers(present: ReadonlySet<number>): void {
-    for (const known of [this.drainingSince, this.reportedCauses])
-      for (const startedAt of known.keys())
-        if (!present.has(startedAt)) known.delete(startedAt);
+  private forgetOthers(draining: ReadonlySet<number>): void {
+    for (const entries of [this.drainingSince, this.reportedCauses])
+      for (const startedAt of entries.keys())
+        if (!draining.has(startedAt)) entries.delete(startedAt);
   }
 }
--- a/packages/fleet/src/team-order.ts
+++ b/packages/fleet/src/team-order.ts
@@ -10,10 +10,10 @@
 }
 
 /**
- * Whose turn it is in a pool's queue. Urgent teams come first; among equals the one that
- * holds the fewest slots for its weight. Answers a team that submits a whole night's work at
- * once: it holds its share and the others still go on. Teams come from the bundle, so nobody
- * gains by splitting itself.
+ * Decides which team is next in a pool's queue: urgent teams first, and among equals the team that
+ * holds the fewest slots for its weight.
+ * Load: a team that submits a whole night's work at once. It gets its share and the others still
+ * make progress. Teams come from the bundle, so no team gains by splitting itself.
  */
 export class TeamOrder {
   private readonly usageByTeam = new Map<string, TeamUsage>();
@@ -38,15 +38,15 @@
     }
   }
 
-  /** The team whose turn it is; undefined when none is left. */
+  /** Returns the team whose turn it is; undefined if none is left. */
   next(): string | undefined {
-    let best: TeamUsage | undefined;
-    for (const turn of this.usageByTeam.values())
-      if (!best || goesBefore(turn, best)) best = turn;
-    return best?.name;
+    let nextTeam: TeamUsage | undefined;
+    for (const usage of this.usageByTeam.values())
+      if (!nextTeam || goesBefore(usage, nextTeam)) nextTeam = usage;
+    return nextTeam?.name;
   }
 
-  /** Queued keys of a team that were not taken in this round, in order of submission. */
+  /** Yields the queued keys of a team that were not taken in this round, in order of submission. */
   *queuedKeys(team: string): Iterable<string> {
     const taken = this.usageByTeam.get(team)?.taken;
     const queue = jobIndexOf(this.state).queues.get(this.pool)?.get(team) ?? [];
@@ -54,18 +54,18 @@
   }
 
   isWithinQuota(team: string, slots: number): boolean {
-    const turn = this.usageByTeam.get(team);
-    return turn !== undefined && turn.slots + slots <= turn.quota;
+    const usage = this.usageByTeam.get(team);
+    return usage !== undefined && usage.slots + slots <= usage.quota;
   }
 
   recordTaken(team: string, key: string, slots: number): void {
-    const turn = this.usageByTeam.get(team);
-    if (!turn) return;
-    turn.slots += slots;
-    turn.taken.add(key);
+    const usage = this.usageByTeam.get(team);
+    if (!usage) return;
+    usage.slots += slots;
+    usage.taken.add(key);
   }
 
-  /** The team has nothing more that can be placed in this round. */
+  /** Excludes a team that has nothing more that can be placed in this round. */
   exclude(team: string): void {
     this.usageByTeam.delete(team);
   }
--- a/packages/fleet/src/vm-observer.ts
+++ b/packages/fleet/src/vm-observer.ts
@@ -13,17 +13,17 @@
   ProposedRecord,
 } from './planner-input.js';
 
-/** Bounds of the observer, in milliseconds. */
+/** Limits of the observer, in milliseconds. */
 export interface VmObserverOptions {
   /** A VM missing for this long is down and not only suspected. */
   readonly downAfterMilliseconds: number;
-  /** Good news must last this long before it counts. */
+  /** How long a VM must be up before it is reported as up. */
   readonly upAfterMilliseconds: number;
-  /** A list older than this says nothing. */
+  /** A list older than this is ignored. */
   readonly maximumListAgeMilliseconds: number;
 }
 
-/** A list read once a second that loses a VM for a few reads is common; half a minute is not. */
+/** A list read once a second often omits a VM for a few readings, but not for half a minute. */
 export const VM_OBSERVER_DEFAULTS: VmObserverOptions = {
   downAfterMilliseconds: 30_000,
   upAfterMilliseconds: 30_000,
@@ -36,10 +36,10 @@
 }
 
 /**
- * Turns the lagging list and first-hand evidence into reported conditions. Answers a list
- * that flaps: bad news counts at once, because a budget that believes in a dead VM is
- * overspent; good news counts after it has lasted, because otherwise each flap is two
- * records and a drain admitted in between. So a VM costs at most two records per
+ * Derives reported conditions from the lagging list and first-hand evidence.
+ * Load: a list that flaps. Bad news takes effect at once, because a budget that counts a dead VM is
+ * overspent; good news takes effect only after it has lasted, because otherwise each flap would
+ * cause two records and a drain admitted in between. So a VM costs at most two records per
  * `upAfterMilliseconds`, however often it flaps.
  */
 export class VmObserver implements PlanningStage {
@@ -65,17 +65,17 @@
     isFresh: boolean,
   ): VmCondition {
     const known = input.state.conditions.get(vm) ?? VmCondition.Up;
-    // A VM that was asked to reboot is expected to be away; it counts as planned.
+    // A VM for which a reboot was requested is expected to be away; it counts as planned.
     const work = input.state.work.get(vm);
     const isExpected = work?.step === PlannedWorkStep.Asked;
-    const seen = this.observedCondition(input, vm, known, isFresh);
-    if (seen === VmCondition.Up && known === VmCondition.Up) {
+    const observed = this.observedCondition(input, vm, known, isFresh);
+    if (observed === VmCondition.Up && known === VmCondition.Up) {
       this.observations.delete(vm);
       return known;
     }
-    if (isExpected && seen !== VmCondition.Up) return known;
-    const since = this.since(vm, seen, input.now);
-    return this.debounce(known, seen, input.now - since);
+    if (isExpected && observed !== VmCondition.Up) return known;
+    const since = this.since(vm, observed, input.now);
+    return this.debounce(known, observed, input.now - since);
   }
 
   private observedCondition(
@@ -92,24 +92,27 @@
     return isSuspected ? VmCondition.Suspected : VmCondition.Up;
   }
 
-  private since(vm: string, seen: VmCondition, now: number): number {
-    const before = this.observations.get(vm);
-    if (before?.condition === seen) return before.since;
-    this.observations.set(vm, {condition: seen, since: now});
+  private since(vm: string, observed: VmCondition, now: number): number {
+    const previous = this.observations.get(vm);
+    if (previous?.condition === observed) return previous.since;
+    this.observations.set(vm, {condition: observed, since: now});
     return now;
   }
 
   private debounce(
     known: VmCondition,
-    seen: VmCondition,
-    lasted: number,
+    observed: VmCondition,
+    lastedMilliseconds: number,
   ): VmCondition {
     const {upAfterMilliseconds, downAfterMilliseconds} = this.options;
-    if (seen === VmCondition.Up)
-      return lasted >= upAfterMilliseconds ? seen : known;
-    if (seen !== VmCondition.Down) return seen;
-    if (lasted >= downAfterMilliseconds || known === VmCondition.Down)
-      return seen;
+    if (observed === VmCondition.Up)
+      return lastedMilliseconds >= upAfterMilliseconds ? observed : known;
+    if (observed !== VmCondition.Down) return observed;
+    if (
+      lastedMilliseconds >= downAfterMilliseconds ||
+      known === VmCondition.Down
+    )
+      return observed;
     return VmCondition.Suspected;
   }
 }
--- a/packages/fleet/src/wave-order.ts
+++ b/packages/fleet/src/wave-order.ts
@@ -11,20 +11,22 @@
   readonly vms: readonly string[];
 }
 
-/** Orders a wave's VMs by data centre and rack; kept per wave, since a wave's VMs never grow. */
+/**
+ * Orders a wave's VMs by data centre and rack; cached per wave, since a wave's VMs never increase.
+ */
 export class WaveOrder {
   private readonly orders = new Map<string, DataCentreVms[]>();
 
   vmsByDataCentre(state: FleetState, wave: Wave): readonly DataCentreVms[] {
     const key = `${wave.id}@${wave.startedAt}`;
-    const known = this.orders.get(key);
-    if (known) return known;
+    const cached = this.orders.get(key);
+    if (cached) return cached;
     const order = orderVms(state, wave);
     this.orders.set(key, order);
     return order;
   }
 
-  /** Forgets waves that have ended. */
+  /** Discards the orders of waves that have ended. */
   retain(waves: readonly Wave[]): void {
     const keys = new Set(waves.map(wave => `${wave.id}@${wave.startedAt}`));
     for (const key of this.orders.keys()) {
@@ -41,27 +43,27 @@
   return orderByDomain(state, vms);
 }
 
-/** VMs by data centre, rack and name. */
+/** Returns VMs ordered by data centre, rack and name. */
 export function orderByDomain(
   state: FleetState,
   ids: readonly string[],
 ): DataCentreVms[] {
   const index = capacityIndexOf(state);
-  const stretches = new Map<string, string[]>();
+  const vmsByDataCentre = new Map<string, string[]>();
   const vms = ids
-    .map(vm => ({vm, place: index.locationOf(vm)}))
+    .map(vm => ({vm, location: index.locationOf(vm)}))
     .sort(
       (left, right) =>
-        compare(left.place.dataCentre, right.place.dataCentre) ||
-        compare(left.place.rack, right.place.rack) ||
+        compare(left.location.dataCentre, right.location.dataCentre) ||
+        compare(left.location.rack, right.location.rack) ||
         compare(left.vm, right.vm),
     );
-  for (const {vm, place} of vms) {
-    const list = stretches.get(place.dataCentre) ?? [];
+  for (const {vm, location} of vms) {
+    const list = vmsByDataCentre.get(location.dataCentre) ?? [];
     list.push(vm);
-    stretches.set(place.dataCentre, list);
+    vmsByDataCentre.set(location.dataCentre, list);
   }
-  return [...stretches].map(([dataCentre, list]) => ({
+  return [...vmsByDataCentre].map(([dataCentre, list]) => ({
     dataCentre,
     vms: list,
   }));
--- a/packages/fleet/src/wave-pace.ts
+++ b/packages/fleet/src/wave-pace.ts
@@ -10,24 +10,24 @@
 /** Failures that stop a wave before its first success: the change itself is at fault. */
 const FAILURES_BEFORE_SUCCESS = 2;
 
-/** What the pace rule says of a wave now. */
+/** Result of the pace rule for a wave now. */
 export interface WavePace {
-  /** VMs that may be under maintenance at one time. */
+  /** Maximum VMs under maintenance at one time. */
   readonly maximumActive: number;
   readonly done: number;
   readonly failures: number;
-  /** Why the wave must stop; undefined when it may go on. */
+  /** Why the wave must stop; undefined if it may continue. */
   readonly stopReason?: string;
 }
 
 /**
- * How fast a wave may go, from what was seen since it was started or resumed. Answers a
- * fault that comes with the reboot itself: a wave at full speed would take every pool to
- * its budget's edge with VMs that do not work. It starts with one VM, gains a place with
- * each success (so it doubles with each generation until budgets bind) and halves with each
- * failure. Two failures before any success, or three that are a fifth of all, stop it: at
- * the fleet's ordinary rate (210 of 31,000 VMs a day) three chance failures among fifteen
- * reboots of half an hour are less likely than one in ten million.
+ * Returns how fast a wave may proceed, based on results since it was started or resumed.
+ * Load: a fault caused by the reboot itself. At full speed a wave would take every pool to the
+ * limit of its budget with VMs that do not work. It starts with one VM, gains one with each success
+ * (so it doubles with each generation until the budgets limit it) and halves with each failure. Two
+ * failures before any success, or three that are a fifth of all, stop it: at the fleet's ordinary
+ * failure rate (210 of 31,000 VMs a day) three chance failures among fifteen reboots of half an
+ * hour have a probability below one in ten million.
  */
 export function wavePace(wave: Wave, active: readonly PlannedWork[]): WavePace {
   const {resumedAt} = wave;
@@ -36,7 +36,7 @@
   const failures = ended + active.filter(isRetrying(wave)).length;
   const maximumActive = Math.max(1, Math.floor((1 + done) / 2 ** failures));
   return {
-    maximumActive: maximumActive,
+    maximumActive,
     done,
     failures,
     stopReason: stopReason(done, failures),
@@ -51,9 +51,10 @@
 }
 
 function stopReason(done: number, failures: number): string | undefined {
-  const isEarly = done === 0 && failures >= FAILURES_BEFORE_SUCCESS;
+  const hasFailedEarly = done === 0 && failures >= FAILURES_BEFORE_SUCCESS;
   const share = failures / Math.max(1, done + failures);
-  const isMany = failures >= FAILURES_TO_STOP && share >= SHARE_TO_STOP;
-  if (!isEarly && !isMany) return undefined;
+  const hasManyFailures =
+    failures >= FAILURES_TO_STOP && share >= SHARE_TO_STOP;
+  if (!hasFailedEarly && !hasManyFailures) return undefined;
   return `${failures} of ${done + failures} VMs did not come back healthy: look for a shared fault, then resume or abort`;
 }
--- a/packages/fleet/src/wave-planner.ts
+++ b/packages/fleet/src/wave-planner.ts
@@ -20,10 +20,11 @@
 import {wavePace, type WavePace} from './wave-pace.js';
 
 /**
- * Takes VMs of running waves out, one data centre after the other, within budgets and pace.
- * Answers a maintenance of every VM: without an order by failure domain a bad reboot reaches
- * all data centres at once; without the pace a shared fault eats each pool to its budget.
- * In one round it takes at most one VM of a pool: the budget counts only what was folded.
+ * Takes VMs of running waves out of service, one data centre after the other, within budgets and
+ * pace.
+ * Load: maintenance of every VM. Without an order by failure domain a bad reboot reaches all data
+ * centres at once; without the pace a shared fault uses up the budget of each pool. Takes at most
+ * one VM of a pool per round, since the budget counts only records that were folded.
  */
 export class WavePlanner implements PlanningStage {
   private readonly order = new WaveOrder();
@@ -34,9 +35,9 @@
     );
     this.order.retain(waves);
     const active = activeWork(input.state);
-    const taken = new Set<string>();
+    const usedPools = new Set<string>();
     return waves.flatMap(wave =>
-      this.planWave(input.state, wave, active.get(wave.id) ?? [], taken),
+      this.planWave(input.state, wave, active.get(wave.id) ?? [], usedPools),
     );
   }
 
@@ -44,16 +45,16 @@
     state: FleetState,
     wave: Wave,
     active: readonly PlannedWork[],
-    taken: Set<string>,
+    usedPools: Set<string>,
   ): ProposedRecord[] {
     if (wave.state !== WaveState.Running) return [];
     const pace = wavePace(wave, active);
     if (pace.stopReason !== undefined)
       return [hold(wave, pace, pace.stopReason)];
     if (active.length === 0 && this.isDone(state, wave)) return [finish(wave)];
-    const room = pace.maximumActive - active.length;
-    if (room <= 0) return [];
-    return this.startVms(state, wave, active, pace, room, taken);
+    const remaining = pace.maximumActive - active.length;
+    if (remaining <= 0) return [];
+    return this.startVms(state, wave, active, pace, remaining, usedPools);
   }
 
   private startVms(
@@ -64,19 +65,15 @@
     maximumVms: number,
     usedPools: Set<string>,
   ): ProposedRecord[] {
-    const {
-      dataCentreVms: stretch,
-      vms,
-      turnedDown,
-    } = selectVms(state, {
+    const {dataCentreVms, vms, turnedDown} = selectVms(state, {
       vmsByDataCentre: this.order.vmsByDataCentre(state, wave),
       currentDataCentre: currentDataCentreOf(state, active),
-      maximumVms: maximumVms,
-      usedPools: usedPools,
+      maximumVms,
+      usedPools,
       isRemaining: vm => isRemaining(state, wave, vm),
     });
-    if (!stretch) return [];
-    return vms.map(vm => start(wave, vm, stretch, pace, turnedDown));
+    if (!dataCentreVms) return [];
+    return vms.map(vm => start(wave, vm, dataCentreVms, pace, turnedDown));
   }
 
   private isDone(state: FleetState, wave: Wave): boolean {
@@ -86,20 +83,23 @@
   }
 }
 
-/** Work of waves that is under way, by wave. */
+/** Returns the work of waves that is under way, by wave. */
 export function activeWork(state: FleetState): Map<string, PlannedWork[]> {
   const byWave = new Map<string, PlannedWork[]>();
   for (const work of state.work.values()) {
     if (work.kind !== PlannedWorkKind.Maintenance || work.wave === undefined)
       continue;
-    const list = byWave.get(work.wave) ?? [];
-    list.push(work);
-    byWave.set(work.wave, list);
+    const works = byWave.get(work.wave) ?? [];
+    works.push(work);
+    byWave.set(work.wave, works);
   }
   return byWave;
 }
 
-/** Whether the wave still has to take the VM: not yet taken, still owned, not in operators' hands. */
+/**
+ * Whether the wave still has to take the VM: not yet taken, still owned, and not handed over to
+ * operators.
+ */
 export function isRemaining(
   state: FleetState,
   wave: Wave,
@@ -117,7 +117,7 @@
 function start(
   wave: Wave,
   vm: string,
-  stretch: DataCentreVms,
+  dataCentreVms: DataCentreVms,
   pace: WavePace,
   turnedDown: readonly RejectedAlternative[],
 ): ProposedRecord {
@@ -135,7 +135,7 @@
       rule: 'wave-planner: one data centre after the other, within budgets and pace',
       cause: `wave ${wave.id} by ${wave.startedBy}: ${wave.reason}`,
       evidence: {
-        dataCentre: stretch.dataCentre,
+        dataCentre: dataCentreVms.dataCentre,
         limit: pace.maximumActive,
         active: wave.active,
         done: wave.done,
@@ -162,7 +162,10 @@
       cause: reason,
       evidence: {done: pace.done, failures: pace.failures, total: wave.total},
       turnedDown: [
-        {choice: 'go on slower', because: 'the failures share the reboot'},
+        {
+          choice: 'continue more slowly',
+          because: 'the failures have the reboot in common',
+        },
       ],
     },
   };
--- a/packages/fleet/src/wave-preview.ts
+++ b/packages/fleet/src/wave-preview.ts
@@ -15,7 +15,7 @@
 import {wavePace} from './wave-pace.js';
 import {activeWork, isRemaining} from './wave-planner.js';
 
-/** A rack's share of a wave. */
+/** VMs of one rack in a wave. */
 export interface PreviewedRack {
   readonly dataCentre: string;
   readonly rack: string;
@@ -29,18 +29,18 @@
   readonly left: number;
   /** VMs under way now. */
   readonly active: number;
-  /** VMs that its pace allows at one time now. */
+  /** Maximum VMs at one time that its pace allows now. */
   readonly limit: number;
   /** Racks in the order in which it takes them. */
   readonly order: readonly PreviewedRack[];
   /** VMs that it would take now. */
   readonly next: readonly string[];
-  /** Why it would take nothing, or not more; one sentence each. */
+  /** Why it would take nothing, or no more; one sentence each. */
   readonly heldBack: readonly string[];
   readonly turnedDown: readonly RejectedAlternative[];
 }
 
-/** What a wave that runs or is held would do now. */
+/** Returns what a running or held wave would do now. */
 export function previewWave(state: FleetState, wave: Wave): WavePreview {
   const vms = [...state.waveVms]
     .filter(([, entry]) => entry.wave === wave.id)
@@ -51,23 +51,23 @@
   return preview(state, wave, vms, active);
 }
 
-/** What a wave over these VMs would do if it were started now. */
+/** Returns what a wave over these VMs would do if it were started now. */
 export function previewScope(state: FleetState, scope: WaveScope): WavePreview {
-  const covered = vmsInScope(state, scope);
-  const vms = covered.filter(vm => !state.handedOver.has(vm));
-  const shown = preview(state, unstarted(vms.length), vms, []);
-  const refusal = startRefusal(state, covered);
-  if (refusal === undefined) return shown;
-  return {...shown, next: [], heldBack: [refusal], turnedDown: []};
+  const scopeVms = vmsInScope(state, scope);
+  const vms = scopeVms.filter(vm => !state.handedOver.has(vm));
+  const scopePreview = preview(state, unstarted(vms.length), vms, []);
+  const refusal = startRefusal(state, scopeVms);
+  if (refusal === undefined) return scopePreview;
+  return {...scopePreview, next: [], heldBack: [refusal], turnedDown: []};
 }
 
-/** Why the fold would refuse to start a wave over these VMs. */
+/** Returns why the fold would refuse to start a wave over these VMs. */
 function startRefusal(
   state: FleetState,
-  covered: readonly string[],
+  scopeVms: readonly string[],
 ): string | undefined {
-  if (covered.length === 0) return 'the scope covers no VM; widen it';
-  return checkWaveOverlap(state, covered)?.detail;
+  if (scopeVms.length === 0) return 'the scope covers no VM; widen it';
+  return checkWaveOverlap(state, scopeVms)?.detail;
 }
 
 function preview(
@@ -77,15 +77,15 @@
   active: readonly PlannedWork[],
 ): WavePreview {
   const pace = wavePace(wave, active);
-  const stretches = orderByDomain(state, vms);
-  const isMoving = wave.state === WaveState.Running && !pace.stopReason;
-  const maximumVms = isMoving
+  const vmsByDataCentre = orderByDomain(state, vms);
+  const mayTakeVms = wave.state === WaveState.Running && !pace.stopReason;
+  const maximumVms = mayTakeVms
     ? Math.max(0, pace.maximumActive - active.length)
     : 0;
   const {vms: next, turnedDown} = selectVms(state, {
-    vmsByDataCentre: maximumVms > 0 ? stretches : [],
+    vmsByDataCentre: maximumVms > 0 ? vmsByDataCentre : [],
     currentDataCentre: currentDataCentreOf(state, active),
-    maximumVms: maximumVms,
+    maximumVms,
     usedPools: new Set(),
     isRemaining: () => true,
   });
@@ -94,7 +94,7 @@
   ];
   if (heldBack.length === 0 && next.length === 0 && vms.length > 0)
     heldBack.push('no VM that is left can be taken now');
-  const order = racksOf(state, stretches);
+  const order = racksOf(state, vmsByDataCentre);
   const counts = {
     left: vms.length,
     active: active.length,
@@ -105,23 +105,23 @@
 
 function* reasons(
   wave: Wave,
-  stop: string | undefined,
+  stopReason: string | undefined,
   limit: number,
   active: number,
 ): Generator<string> {
   if (wave.state !== WaveState.Running)
     yield `the wave is ${wave.state}: ${wave.stateReason}`;
-  else if (stop !== undefined) yield stop;
+  else if (stopReason !== undefined) yield stopReason;
   else if (active >= limit)
     yield `${active} VMs are under way and the pace allows ${limit}; it grows with each VM that returns healthy`;
 }
 
 function racksOf(
   state: FleetState,
-  stretches: readonly DataCentreVms[],
+  vmsByDataCentre: readonly DataCentreVms[],
 ): PreviewedRack[] {
   const index = capacityIndexOf(state);
-  return stretches.flatMap(({dataCentre, vms}) => {
+  return vmsByDataCentre.flatMap(({dataCentre, vms}) => {
     const counts = new Map<string, number>();
     for (const vm of vms) {
       const {rack} = index.locationOf(vm);
--- a/packages/fleet/src/wave-vm-selection.ts
+++ b/packages/fleet/src/wave-vm-selection.ts
@@ -7,31 +7,31 @@
 } from '@gentiandoor/shared-state';
 import type {DataCentreVms} from './wave-order.js';
 
-/** Alternatives named in one decision; more say nothing new. */
+/** Maximum alternatives named in one decision; more add no information. */
 const MAXIMUM_REJECTED_ALTERNATIVES = 5;
 
-/** What a choice of VMs starts from. */
+/** Inputs of a selection of VMs. */
 export interface VmSelectionInput {
   readonly vmsByDataCentre: readonly DataCentreVms[];
-  /** The data centre in which VMs are out already; nothing is taken elsewhere. */
+  /** The data centre in which VMs are already out; nothing is taken elsewhere. */
   readonly currentDataCentre: string | undefined;
-  /** VMs that the pace still allows. */
+  /** Maximum VMs that the pace still allows. */
   readonly maximumVms: number;
-  /** Pools that are done with for this round; the choice adds to them. */
+  /** Pools already used in this round; the selection adds to them. */
   readonly usedPools: Set<string>;
   /** Whether the wave still has to take a VM. */
   isRemaining(vm: string): boolean;
 }
 
-/** The VMs that a wave takes in one round, and what was turned down for them. */
+/** The VMs that a wave takes in one round, and the rejected alternatives. */
 export interface VmSelection {
-  /** Undefined when nothing is taken. */
+  /** Undefined if nothing is taken. */
   readonly dataCentreVms: DataCentreVms | undefined;
   readonly vms: readonly string[];
   readonly turnedDown: readonly RejectedAlternative[];
 }
 
-/** The data centre of the VMs under way. */
+/** Returns the data centre of the VMs under way. */
 export function currentDataCentreOf(
   state: FleetState,
   active: readonly PlannedWork[],
@@ -40,7 +40,7 @@
   return capacityIndexOf(state).locationOf(active[0].vm).dataCentre;
 }
 
-/** The first data centre with VMs that the budgets let go, and these VMs. */
+/** Selects VMs in the first data centre where the budgets allow any to be taken. */
 export function selectVms(
   state: FleetState,
   input: VmSelectionInput,
@@ -52,28 +52,28 @@
       dataCentreVms.dataCentre !== input.currentDataCentre;
     if (isElsewhere) continue;
     const vms = selectInDataCentre(state, dataCentreVms, input, turnedDown);
-    if (vms.length > 0) return {dataCentreVms: dataCentreVms, vms, turnedDown};
+    if (vms.length > 0) return {dataCentreVms, vms, turnedDown};
   }
   return {dataCentreVms: undefined, vms: [], turnedDown};
 }
 
 function selectInDataCentre(
   state: FleetState,
-  stretch: DataCentreVms,
+  dataCentreVms: DataCentreVms,
   input: VmSelectionInput,
   turnedDown: RejectedAlternative[],
 ): string[] {
-  const {maximumVms: room, usedPools: taken} = input;
+  const {maximumVms, usedPools} = input;
   const chosen: string[] = [];
   const index = capacityIndexOf(state);
-  for (const vm of stretch.vms) {
-    if (chosen.length >= room) break;
+  for (const vm of dataCentreVms.vms) {
+    if (chosen.length >= maximumVms) break;
     const pool = state.vms.get(vm)?.pool ?? '';
-    if (!input.isRemaining(vm) || taken.has(pool)) continue;
-    // A VM that is down is left to repair: a reboot of it would count as the wave's failure.
+    if (!input.isRemaining(vm) || usedPools.has(pool)) continue;
+    // A VM that is down is left to repair: rebooting it would count as the wave's failure.
     if (!index.isAvailable(vm)) continue;
     const refusal = checkPlannedStop(state, vm);
-    taken.add(pool);
+    usedPools.add(pool);
     if (!refusal) chosen.push(vm);
     else if (turnedDown.length < MAXIMUM_REJECTED_ALTERNATIVES)
       turnedDown.push({choice: `take ${vm}`, because: refusal.detail});
