--- a/packages/entry/src/__tests__/free-port.ts
+++ b/packages/entry/src/__tests__/free-port.ts
@@ -1,6 +1,6 @@
 import {createServer, type AddressInfo} from 'node:net';
 
-/** A port of loopback that nothing listens on. */
+/** Returns a loopback port on which nothing listens. */
 export async function freePort(): Promise<number> {
   const server = createServer();
   await new Promise<void>(resolve => {
--- a/packages/entry/src/__tests__/organisations.test.ts
+++ b/packages/entry/src/__tests__/organisations.test.ts
@@ -7,31 +7,31 @@
 import {eventually} from './eventually.js';
 import {RunningDaemon} from './running-daemon.js';
 
-const ROOM = {
+const CAPACITY = {
   processorMillicores: 8_000,
   memoryMegabytes: 64_000,
   accelerators: 0,
 };
 const JOB = {spec: 'text', steps: [{count: 1, cpu: 1_000, mem_mb: 10}]};
 
-describe('a daemon that knows organisations', () => {
+describe('a daemon with organisations', () => {
   const platform = new StandInPlatform({
     services: ['previews'],
     standbyService: 'spare',
     workersPerService: 1,
-    room: ROOM,
+    room: CAPACITY,
     behaviourOf: () => ({
       durationMilliseconds: 100,
       end: RunEnd.Done,
-      resources: {...ROOM, processorMillicores: 1_000},
+      resources: {...CAPACITY, processorMillicores: 1_000},
     }),
   });
   let daemon: RunningDaemon;
   let version = 1;
 
-  function publish(...keysOfAdvisers: string[]): void {
+  function publish(...adviserKeys: string[]): void {
     platform.organisations = [
-      {name: 'advisers', keys: keysOfAdvisers},
+      {name: 'advisers', keys: adviserKeys},
       {name: 'auditors', keys: ['open-audit']},
     ];
     platform.publishConfiguration(++version);
@@ -41,7 +41,7 @@
     await platform.start();
     publish('open-one');
     daemon = await RunningDaemon.start(platform);
-    await becomes(200, () => call('GET', 'open-one'));
+    await assertEventually(200, () => call('GET', 'open-one'));
   });
 
   after(() => daemon.stop());
@@ -52,7 +52,7 @@
     path = '',
   ): Promise<number> {
     const headers = {host: QUEUE_HOST, 'x-deadline-ms': '3000'};
-    const answer = await request(
+    const response = await request(
       `http://127.0.0.1:${daemon.callerPort}/previews/${path}`,
       {
         method,
@@ -61,18 +61,21 @@
         body: method === 'POST' ? JSON.stringify(JOB) : undefined,
       },
     );
-    await answer.body.dump();
-    return answer.statusCode;
+    await response.body.dump();
+    return response.statusCode;
   }
 
-  async function becomes(
-    wanted: number,
-    ask: () => Promise<number>,
+  async function assertEventually(
+    expected: number,
+    poll: () => Promise<number>,
   ): Promise<void> {
-    assert.equal(await eventually(ask, status => status === wanted), wanted);
+    assert.equal(
+      await eventually(poll, status => status === expected),
+      expected,
+    );
   }
 
-  it('serves a key that an organisation holds, and no other', async () => {
+  it('accepts a key that an organisation holds and rejects all others', async () => {
     assert.equal(await call('POST', 'open-one', '0000000000000001'), 200);
     for (const key of [
       undefined,
@@ -96,7 +99,7 @@
     assert.equal(await call('GET', undefined, '0000000000000001'), 401);
   });
 
-  it('refuses before the body has come', async () => {
+  it('rejects a call without a key before its body has arrived', async () => {
     const status = await new Promise(resolve => {
       const open = openRequest({
         port: daemon.callerPort,
@@ -104,8 +107,8 @@
         method: 'POST',
         headers: {host: QUEUE_HOST, 'content-length': '5000'},
       });
-      open.on('response', answer => {
-        resolve(answer.statusCode);
+      open.on('response', response => {
+        resolve(response.statusCode);
         open.destroy();
       });
       open.flushHeaders();
@@ -113,17 +116,17 @@
     assert.equal(status, 401);
   });
 
-  it('takes a new key at once and stops serving one that was taken away', async () => {
+  it('accepts a new key at once and stops accepting a removed one', async () => {
     publish('open-two');
     assert.equal(await call('GET', 'open-two'), 200);
-    await becomes(401, () => call('GET', 'open-one'));
+    await assertEventually(401, () => call('GET', 'open-one'));
     assert.equal(await call('GET', 'open-two', '0000000000000001'), 200);
   });
 
-  it('names no key in its metrics', async () => {
+  it('exposes no key in its metrics', async () => {
     const address = daemon.parts.metricsServer.boundAddress;
-    const answer = await request(`http://${address}/metrics`);
-    const text = await answer.body.text();
+    const response = await request(`http://${address}/metrics`);
+    const text = await response.body.text();
     assert.match(text, /organisation_jobs\{organisation="advisers"/);
     assert.match(text, /calls_refused\{reason="refused"\}/);
     assert.doesNotMatch(text, /open-/);
--- a/packages/entry/src/__tests__/running-daemon.ts
+++ b/packages/entry/src/__tests__/running-daemon.ts
@@ -9,7 +9,7 @@
 import {wireEntry, type EntryParts} from '../wiring.js';
 import {freePort} from './free-port.js';
 
-/** Ends a daemon of a test, and the platform that it runs on. */
+/** Stops a daemon of a test and the platform that it runs on. */
 export async function stopDaemon(
   parts: EntryParts,
   platform: StandInPlatform,
@@ -21,7 +21,7 @@
   platform.stop();
 }
 
-/** A whole daemon in this process, on a stand-in of the platform. */
+/** A complete daemon in this process, on a stand-in of the platform. */
 export class RunningDaemon {
   private constructor(
     readonly parts: EntryParts,
@@ -31,7 +31,7 @@
     private readonly folder: string,
   ) {}
 
-  /** `platform` has been started. */
+  /** Starts a daemon on `platform`, which must already be running. */
   static async start(platform: StandInPlatform): Promise<RunningDaemon> {
     const folder = mkdtempSync(join(tmpdir(), 'entry-'));
     const callers = await freePort();
--- a/packages/entry/src/__tests__/settings-change.test.ts
+++ b/packages/entry/src/__tests__/settings-change.test.ts
@@ -18,18 +18,18 @@
 import {freePort} from './free-port.js';
 import {stopDaemon} from './running-daemon.js';
 
-const ROOM = {
+const CAPACITY = {
   processorMillicores: 8_000,
   memoryMegabytes: 64_000,
   accelerators: 0,
 };
 const JOBS = 30;
 const JOB_GAP_MILLISECONDS = 60;
-const LONGEST_WAIT_ROUNDS = 200;
+const MAXIMUM_POLLS = 200;
 
-/** A way to the store that can be taken away. */
+/** A proxy in front of the store that a test can shut down. */
 class Forwarder {
-  private readonly open = new Set<Socket>();
+  private readonly sockets = new Set<Socket>();
   private readonly server = createServer(socket => this.forward(socket));
 
   constructor(private readonly target: string) {}
@@ -41,24 +41,24 @@
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  end(): void {
+  close(): void {
     this.server.close();
-    for (const socket of this.open) socket.destroy();
+    for (const socket of this.sockets) socket.destroy();
   }
 
   private forward(socket: Socket): void {
     const {host, port} = splitAddress(this.target);
-    const further = connect(port, host);
-    for (const one of [socket, further]) {
-      this.open.add(one);
-      one.on('error', () => one.destroy());
-      one.on('close', () => {
-        this.open.delete(one);
+    const upstream = connect(port, host);
+    for (const side of [socket, upstream]) {
+      this.sockets.add(side);
+      side.on('error', () => side.destroy());
+      side.on('close', () => {
+        this.sockets.delete(side);
         socket.destroy();
-        further.destroy();
+        upstream.destroy();
       });
     }
-    socket.pipe(further).pipe(socket);
+    socket.pipe(upstream).pipe(socket);
   }
 }
 
@@ -66,27 +66,27 @@
   return new Promise(resolve => setTimeout(resolve, milliseconds));
 }
 
-describe('a daemon whose settings file changes while work goes on', () => {
+describe('a daemon whose settings file changes under load', () => {
   const platform = new StandInPlatform({
     services: ['previews'],
     standbyService: 'spare',
     workersPerService: 2,
-    room: ROOM,
+    room: CAPACITY,
     behaviourOf: () => ({
       durationMilliseconds: 50,
       end: RunEnd.Done,
-      resources: {...ROOM, processorMillicores: 1_000},
+      resources: {...CAPACITY, processorMillicores: 1_000},
     }),
   });
   let folder: string;
   let path: string;
   let ports: {callers: number; readiness: number};
   let parts: EntryParts;
-  let callers: string;
-  let watch: SettingsWatcher;
+  let callerAddress: string;
+  let watcher: SettingsWatcher;
   let forwarder: Forwarder;
 
-  /** Writes the settings file with the store at `store`, or where it is. */
+  /** Writes the settings file with `store` as the address of the store, by default the real one. */
   function write(store?: string): void {
     const settings = standInSettings(platform, 'one', ports) as {
       platform: {address: string};
@@ -107,19 +107,19 @@
     const settings = readPlatformSettings(path);
     parts = wireEntry(settings, {metricsPort: await freePort()});
     const read = () => readPlatformSettings(path);
-    watch = new SettingsWatcher(
+    watcher = new SettingsWatcher(
       settings,
       read,
       parts.clock,
       new SilentLogger(),
     );
     await parts.lifeCycle.start();
-    callers = parts.callerServer.boundAddress;
+    callerAddress = parts.callerServer.boundAddress;
   });
 
   after(async () => {
     await stopDaemon(parts, platform);
-    forwarder.end();
+    forwarder.close();
     rmSync(folder, {recursive: true});
   });
 
@@ -127,7 +127,7 @@
     method: 'GET' | 'POST',
     id: string,
   ): Promise<{status: number; state: unknown}> {
-    const answer = await request(`http://${callers}/previews/${id}`, {
+    const response = await request(`http://${callerAddress}/previews/${id}`, {
       method,
       headers: {host: QUEUE_HOST, 'x-deadline-ms': '3000'},
       body:
@@ -138,37 +138,41 @@
             })
           : undefined,
     });
-    const body = JSON.parse(await answer.body.text()) as {state?: unknown};
-    return {status: answer.statusCode, state: body.state};
+    const body = JSON.parse(await response.body.text()) as {state?: unknown};
+    return {status: response.statusCode, state: body.state};
   }
 
-  // Callers of one daemon are refused, or hear old answers, for good. The store moves to another address,
-  // the file says so while jobs come, and the old address is dead a moment later: every call must go by the
-  // new one from then on, those of the coordinator, of the intake and of the reads alike.
-  it('goes on by the new ones, and runs every job that it took', async () => {
+  // Guards against a daemon that keeps using the old address of the store: its callers
+  // would be refused or get stale answers permanently. The address changes in the file
+  // while jobs arrive, and the old one goes down a moment later: every call of the
+  // coordinator, the intake and the reads must use the new one from then on.
+  it('uses the new settings and runs every job that it accepted', async () => {
     for (let round = 0; (await call('GET', 'f'.repeat(16))).status !== 410;) {
-      assert.ok(++round < LONGEST_WAIT_ROUNDS);
+      assert.ok(++round < MAXIMUM_POLLS);
       await pause(JOB_GAP_MILLISECONDS);
     }
-    const taken: string[] = [];
+    const accepted: string[] = [];
     for (let index = 0; index < JOBS; index++) {
       const id = index.toString(16).padStart(16, '0');
       const {status} = await call('POST', id);
-      if (status === 200) taken.push(id);
+      if (status === 200) accepted.push(id);
       if (index === JOBS / 3) {
         write();
-        watch.reload();
-        forwarder.end();
+        watcher.reload();
+        forwarder.close();
       }
       await pause(JOB_GAP_MILLISECONDS);
     }
-    assert.ok(taken.length >= JOBS - 2, `${taken.length} of ${JOBS} taken`);
-    for (const id of taken)
+    assert.ok(
+      accepted.length >= JOBS - 2,
+      `${accepted.length} of ${JOBS} accepted`,
+    );
+    for (const id of accepted)
       for (let round = 0; (await call('GET', id)).state !== 'completed';) {
-        assert.ok(++round < LONGEST_WAIT_ROUNDS, `${id} is not done`);
+        assert.ok(++round < MAXIMUM_POLLS, `${id} is not done`);
         await pause(JOB_GAP_MILLISECONDS);
       }
     const runs = platform.startedRuns();
-    assert.equal(new Set(runs.map(run => run.task)).size, taken.length);
+    assert.equal(new Set(runs.map(run => run.task)).size, accepted.length);
   });
 });
--- a/packages/entry/src/__tests__/settings-watcher.test.ts
+++ b/packages/entry/src/__tests__/settings-watcher.test.ts
@@ -6,26 +6,27 @@
 
 const SETTINGS = simulatedSettings('one');
 
-describe('SettingsWatch', () => {
-  it('takes a changed file without a signal', () => {
+describe('SettingsWatcher', () => {
+  it('applies a changed file without a signal', () => {
     const settings = {...SETTINGS};
     const clock = new VirtualClock();
-    const watch = new SettingsWatcher(
+    const watcher = new SettingsWatcher(
       settings,
       () => ({...SETTINGS, storeAddress: '127.0.0.1:9'}),
       clock,
       new SilentLogger(),
     );
-    watch.start();
+    watcher.start();
     clock.advance(6_000);
     assert.equal(settings.storeAddress, '127.0.0.1:9');
   });
 
-  // The file is being written while it is read: half a file must not end the daemon.
-  it('stays with the last good settings when the file can’t be read', () => {
+  // The file may be read while it is being written: an incomplete file must not terminate
+  // the daemon.
+  it('keeps the last valid settings when the file can’t be read', () => {
     const settings = {...SETTINGS};
     const clock = new VirtualClock();
-    const watch = new SettingsWatcher(
+    const watcher = new SettingsWatcher(
       settings,
       () => {
         throw new Error('cut short');
@@ -33,7 +34,7 @@
       clock,
       new SilentLogger(),
     );
-    watch.reload();
+    watcher.reload();
     assert.deepEqual(settings, SETTINGS);
   });
 });
--- a/packages/entry/src/__tests__/whole-path.test.ts
+++ b/packages/entry/src/__tests__/whole-path.test.ts
@@ -6,22 +6,22 @@
 import {eventually} from './eventually.js';
 import {RunningDaemon} from './running-daemon.js';
 
-const ROOM = {
+const CAPACITY = {
   processorMillicores: 8_000,
   memoryMegabytes: 64_000,
   accelerators: 0,
 };
-const TASK_ROOM = {...ROOM, processorMillicores: 1_000};
+const TASK_RESOURCES = {...CAPACITY, processorMillicores: 1_000};
 describe('a daemon on the platform', () => {
   const platform = new StandInPlatform({
     services: ['previews'],
     standbyService: 'spare',
     workersPerService: 2,
-    room: ROOM,
+    room: CAPACITY,
     behaviourOf: task => ({
       durationMilliseconds: task.startsWith('f') ? 60_000 : 100,
       end: RunEnd.Done,
-      resources: TASK_ROOM,
+      resources: TASK_RESOURCES,
     }),
   });
   let daemon: RunningDaemon;
@@ -38,7 +38,7 @@
     path: string,
     body?: object,
   ): Promise<{status: number; body: Record<string, unknown>}> {
-    const answer = await request(
+    const response = await request(
       `http://127.0.0.1:${daemon.callerPort}${path}`,
       {
         method,
@@ -46,9 +46,9 @@
         body: body && JSON.stringify(body),
       },
     );
-    const text = await answer.body.text();
+    const text = await response.body.text();
     return {
-      status: answer.statusCode,
+      status: response.statusCode,
       body: JSON.parse(text) as Record<string, unknown>,
     };
   }
@@ -64,25 +64,25 @@
   it('becomes ready', async () => {
     const status = await eventually(
       async () => {
-        const answer = await request(
+        const response = await request(
           `http://127.0.0.1:${daemon.readinessPort}/ready`,
         );
-        await answer.body.dump();
-        return answer.statusCode;
+        await response.body.dump();
+        return response.statusCode;
       },
-      answer => answer === 200,
+      response => response === 200,
     );
     assert.equal(status, 200);
   });
 
-  it('runs a job to its end', async () => {
+  it('runs a job to completion', async () => {
     const path = '/previews/0000000000000001';
     assert.equal((await call('POST', path, JOB)).status, 200);
-    const answer = await eventually(
+    const response = await eventually(
       () => call('GET', path),
       ({body}) => body.state === 'completed',
     );
-    assert.deepEqual(answer.body, {state: 'completed'});
+    assert.deepEqual(response.body, {state: 'completed'});
     assert.equal(platform.startedRuns().length, 3);
   });
 
@@ -90,14 +90,14 @@
     const path = '/previews/f000000000000002';
     assert.equal((await call('POST', path, JOB)).status, 200);
     assert.equal((await call('DELETE', path)).status, 200);
-    const answer = await eventually(
+    const response = await eventually(
       () => call('GET', path),
       ({body}) => body.state === 'cancelled',
     );
-    assert.equal(answer.body.state, 'cancelled');
+    assert.equal(response.body.state, 'cancelled');
   });
 
-  it('answers what it cannot serve at once', async () => {
+  it('responds at once to requests that it cannot serve', async () => {
     const unknown = await call('GET', '/previews/000000000000dead');
     assert.equal(unknown.status, 410);
     const noQueue = await call('POST', '/other/0000000000000003', JOB);
@@ -108,17 +108,17 @@
     assert.equal(notAnId.status, 404);
   });
 
-  it('counts the jobs that wait', async () => {
-    const answer = await call('GET', '/previews/');
-    assert.equal(answer.status, 200);
-    assert.equal(typeof answer.body.pending, 'number');
+  it('returns the number of pending jobs', async () => {
+    const response = await call('GET', '/previews/');
+    assert.equal(response.status, 200);
+    assert.equal(typeof response.body.pending, 'number');
   });
 
-  it('shows metrics as text', async () => {
+  it('serves metrics as text', async () => {
     const address = daemon.parts.metricsServer.boundAddress;
-    const answer = await request(`http://${address}/metrics`);
+    const response = await request(`http://${address}/metrics`);
     assert.match(
-      await answer.body.text(),
+      await response.body.text(),
       /gentiandoor_job_submissions\{answer="taken"\} 2/,
     );
   });
--- a/packages/entry/src/bin/gentiandoor-entry.ts
+++ b/packages/entry/src/bin/gentiandoor-entry.ts
@@ -7,11 +7,14 @@
 import {SettingsWatcher} from '../settings-watcher.js';
 import {wireEntry, type EntryParts} from '../wiring.js';
 
-/** The balancer drops a daemon after two answers, a second apart, that it is not ready. */
+/** The load balancer removes a daemon after two not-ready responses, one second apart. */
 const BALANCER_REMOVAL_MILLISECONDS = 2_300;
-/** Left of the time to the kill for the last answers and the exit. */
+/**
+ * Part of the grace period before the kill that is reserved for the last responses and
+ * the exit.
+ */
 const EXIT_MARGIN_MILLISECONDS = 700;
-/** The last log lines are written in the background. */
+/** The last log lines are written in the background, so the exit waits for them. */
 const LOG_FLUSH_MILLISECONDS = 20;
 const INVALID_SETTINGS_EXIT_CODE = 2;
 
@@ -24,17 +27,17 @@
   const settings = readSettingsOrExit(path);
   const parts = wireEntry(settings);
   const {clock, logger} = parts;
-  const watch = new SettingsWatcher(
+  const watcher = new SettingsWatcher(
     settings,
     () => readPlatformSettings(path),
     clock,
     logger,
   );
   process.on('SIGTERM', () => void shutDown(parts));
-  // Without a handler the signal would end the process.
-  process.on('SIGHUP', () => watch.reload());
+  // Without a handler, the signal would terminate the process.
+  process.on('SIGHUP', () => watcher.reload());
   await parts.lifeCycle.start();
-  watch.start();
+  watcher.start();
   logger.info(LogEvent.DaemonStarted, {
     dataCentre: settings.dataCentre,
     addresses: parts.lifeCycle.boundAddresses(),
@@ -46,12 +49,13 @@
   const {settings, logger, clock} = parts;
   logger.info(LogEvent.DaemonDraining);
   parts.drainState.begin();
-  const longest = settings.limits.grace - EXIT_MARGIN_MILLISECONDS;
+  const maximumDrainMilliseconds =
+    settings.limits.grace - EXIT_MARGIN_MILLISECONDS;
   const exit = () => {
     logger.info(LogEvent.DaemonStopped);
     setTimeout(() => process.exit(0), LOG_FLUSH_MILLISECONDS);
   };
-  clock.schedule(longest, exit);
+  clock.schedule(maximumDrainMilliseconds, exit);
   await parts.coordinator.drain();
   await sleep(clock, BALANCER_REMOVAL_MILLISECONDS);
   await parts.callerServer.drain();
--- a/packages/entry/src/coordinator-plugin.ts
+++ b/packages/entry/src/coordinator-plugin.ts
@@ -33,7 +33,7 @@
     );
   }
 
-  /** The coordinator of the present term; undefined while another daemon has it. */
+  /** The coordinator of the current term; undefined while another daemon holds it. */
   get current(): Coordinator | undefined {
     return this.coordinator;
   }
@@ -42,7 +42,10 @@
     this.election.start();
   }
 
-  /** Gives the term back first, so that another daemon goes on while this one lets its callers finish. */
+  /**
+   * Releases the term first, so that another daemon takes over while this one lets its
+   * callers finish.
+   */
   async drain(): Promise<void> {
     await this.election.stop();
   }
--- a/packages/entry/src/http-server-plugin.ts
+++ b/packages/entry/src/http-server-plugin.ts
@@ -1,12 +1,15 @@
 import {createServer, type RequestListener, type Server} from 'node:http';
 import {splitAddress, type Plugin} from '@gentiandoor/kernel';
 
-/** A head that does not come whole within this is not worth a connection. */
+/** A request whose headers are not complete within this time is not worth a connection. */
 const HEADERS_TIMEOUT_MILLISECONDS = 5_000;
-/** Callers keep connections for minutes; closing them ourselves would race with their next request. */
+/**
+ * Callers keep connections open for minutes; closing them here would race with their next
+ * request.
+ */
 const KEEP_ALIVE_MILLISECONDS = 75_000;
 
-/** An HTTP port as a part of the daemon. */
+/** Runs an HTTP server as a plugin of the daemon. */
 export class HttpServerPlugin implements Plugin {
   private readonly server: Server;
 
@@ -38,7 +41,7 @@
     });
   }
 
-  /** Takes no new connections; resolves when the last one is closed. */
+  /** Accepts no new connections; resolves when the last one is closed. */
   drain(): Promise<void> {
     return new Promise(resolve => {
       this.server.close(() => resolve());
--- a/packages/entry/src/job-table-refresh-plugin.ts
+++ b/packages/entry/src/job-table-refresh-plugin.ts
@@ -7,10 +7,13 @@
   type RandomSource,
 } from '@gentiandoor/kernel';
 
-/** Well within the time for which the store keeps records, so that a follower rarely starts from the newest ones. */
+/**
+ * Well below the time for which the store keeps records, so that a follower rarely has to start
+ * over from the newest ones.
+ */
 const REFRESH_INTERVAL_MILLISECONDS = 2_000;
 
-/** Keeps a daemon's view of the jobs warm, so that it can answer and take over at once. */
+/** Keeps a daemon's job table up to date, so that it can answer and take over at once. */
 export class JobTableRefreshPlugin implements Plugin {
   private stopping = false;
 
--- a/packages/entry/src/metrics-listener.ts
+++ b/packages/entry/src/metrics-listener.ts
@@ -1,12 +1,12 @@
 import type {RequestListener} from 'node:http';
 import type {PrometheusMetrics} from '@gentiandoor/plugin-metrics';
 
-/** Path under which the metrics are read. */
+/** Path of the metrics endpoint. */
 export const METRICS_PATH = '/metrics';
-/** Port on which the metrics are read. */
+/** Port of the metrics endpoint. */
 export const METRICS_PORT = 9_464;
 
-/** Answers with all metrics as text. */
+/** Serves all metrics in text format. */
 export function metricsListener(metrics: PrometheusMetrics): RequestListener {
   return (request, response) => {
     request.resume();
--- a/packages/entry/src/readiness-listener.ts
+++ b/packages/entry/src/readiness-listener.ts
@@ -1,7 +1,7 @@
 import type {RequestListener} from 'node:http';
 import type {DaemonReadiness} from '@gentiandoor/coordinator';
 
-/** Answers the balancer. */
+/** Answers the load balancer's readiness probe: 200 when the daemon is ready, else 503. */
 export function readinessListener(readiness: DaemonReadiness): RequestListener {
   return (request, response) => {
     request.resume();
--- a/packages/entry/src/settings-watcher.ts
+++ b/packages/entry/src/settings-watcher.ts
@@ -1,15 +1,18 @@
 import type {EntrySettings} from '@gentiandoor/coordinator';
 import {LogEvent, type Clock, type Logger} from '@gentiandoor/kernel';
 
-/** The file may change without a signal; reading a few kilobytes this often costs nothing that can be measured. */
+/**
+ * The file may change without a signal. Reading a few kilobytes at this interval has no
+ * measurable cost.
+ */
 const POLL_INTERVAL_MILLISECONDS = 5_000;
 
-/** Reads settings; throws `SettingsError` when the file is not whole. */
+/** Reads the settings; throws `SettingsError` when the file is incomplete. */
 export type SettingsReader = () => EntrySettings;
 
 /**
- * Keeps settings up to date in place: parts read addresses and limits where they use them.
- * What the daemon listens on stays as it was at the start.
+ * Updates the settings object in place: components read addresses and limits when they use them.
+ * Listen addresses stay as they were at startup.
  */
 export class SettingsWatcher {
   private stopped = false;
@@ -33,7 +36,7 @@
     this.stopped = true;
   }
 
-  /** Reads the file now; a file that can't be read leaves the last good settings in force. */
+  /** Reads the file now; if it can't be read, the last valid settings stay in force. */
   reload(): void {
     try {
       this.apply(this.read());
@@ -42,16 +45,16 @@
     }
   }
 
-  private apply(fresh: EntrySettings): void {
-    const before = new Map(Object.entries(this.settings));
-    const changed = Object.entries(fresh)
+  private apply(newSettings: EntrySettings): void {
+    const previous = new Map(Object.entries(this.settings));
+    const changed = Object.entries(newSettings)
       .filter(
         ([name, value]) =>
-          JSON.stringify(value) !== JSON.stringify(before.get(name)),
+          JSON.stringify(value) !== JSON.stringify(previous.get(name)),
       )
       .map(([name]) => name);
     if (changed.length === 0) return;
-    Object.assign(this.settings, fresh);
+    Object.assign(this.settings, newSettings);
     this.logger.info(LogEvent.SettingsChanged, {changed});
   }
 }
--- a/packages/entry/src/wiring.ts
+++ b/packages/entry/src/wiring.ts
@@ -41,12 +41,15 @@
 import {readinessListener} from './readiness-listener.js';
 
 const SEED_BOUND = 2 ** 31;
-/** Long waits hold up to nine connections to the store, one for each stream and partition that is followed, while appends and reads need others. */
+/**
+ * Long polls hold up to nine connections to the store, one for each stream and partition that is
+ * followed; appends and reads need others.
+ */
 const STORE_CONNECTIONS = 20;
-/** One for a poll that waits, the others for starts. */
+/** One connection for the pending poll, the others for starts. */
 const WORKER_CONNECTIONS = 4;
 
-/** Everything that a daemon on the platform is made of. */
+/** All components of a daemon on the platform. */
 export interface EntryParts {
   settings: EntrySettings;
   clock: Clock;
@@ -76,12 +79,12 @@
   lifeCycle: LifeCycle;
 }
 
-/** What tests change of a daemon. */
+/** Values that tests override when they wire a daemon. */
 export interface EntryOverrides {
   readonly metricsPort?: number;
 }
 
-/** Wires a daemon; the only place where its parts are joined. */
+/** Wires a daemon; the only place where its components are connected. */
 export function wireEntry(
   settings: EntrySettings,
   overrides: EntryOverrides = {},
@@ -90,54 +93,54 @@
     injectionMode: InjectionMode.PROXY,
     strict: true,
   });
-  const single = <Part>(make: (parts: EntryParts) => Part) =>
-    asFunction(make).singleton();
+  const singleton = <Part>(factory: (parts: EntryParts) => Part) =>
+    asFunction(factory).singleton();
   container.register({
-    settings: single(() => settings),
-    clock: single(() => new SystemClock()),
-    random: single(() => new SeededRandom(randomInt(SEED_BOUND))),
-    logger: single(
+    settings: singleton(() => settings),
+    clock: singleton(() => new SystemClock()),
+    random: singleton(() => new SeededRandom(randomInt(SEED_BOUND))),
+    logger: singleton(
       ({clock}) =>
         new RateLimitedLogger(
           new PinoLogger(LogLevel.Info, {node: settings.node}),
           clock,
         ),
     ),
-    metrics: single(() => new PrometheusMetrics()),
-    metricsServer: single(
+    metrics: singleton(() => new PrometheusMetrics()),
+    metricsServer: singleton(
       parts =>
         new HttpServerPlugin(
           `${splitAddress(settings.callerAddress).host}:${overrides.metricsPort ?? METRICS_PORT}`,
           metricsListener(parts.metrics),
         ),
     ),
-    drainState: single(() => new DrainState()),
-    storeClient: single(() => new HttpClient(STORE_CONNECTIONS)),
-    workerClient: single(() => new HttpClient(WORKER_CONNECTIONS)),
-    log: single(
+    drainState: singleton(() => new DrainState()),
+    storeClient: singleton(() => new HttpClient(STORE_CONNECTIONS)),
+    workerClient: singleton(() => new HttpClient(WORKER_CONNECTIONS)),
+    log: singleton(
       parts =>
         new PlatformStore(parts.storeClient, () => settings.storeAddress),
     ),
-    formats: single(() => new PlatformRecordFormats()),
-    workers: single(parts => new PlatformWorkerGateway(parts.workerClient)),
-    vmGateway: single(
+    formats: singleton(() => new PlatformRecordFormats()),
+    workers: singleton(parts => new PlatformWorkerGateway(parts.workerClient)),
+    vmGateway: singleton(
       parts =>
         new PlatformVmGateway(
           parts.storeClient,
           () => settings.machineListAddress,
         ),
     ),
-    operators: single(
+    operators: singleton(
       ({log, formats, clock, logger}) =>
         new OperatorView(log, formats, clock, logger),
     ),
-    table: single(() => new JobTable()),
-    jobs: single(
+    table: singleton(() => new JobTable()),
+    jobs: singleton(
       ({log, table, clock, logger}) =>
         new JobStreams(log, table, clock, logger),
     ),
-    submissions: single(({log, clock}) => new SubmissionLog(log, clock)),
-    jobIntake: single(
+    submissions: singleton(({log, clock}) => new SubmissionLog(log, clock)),
+    jobIntake: singleton(
       ({table, jobs, submissions, operators, clock, logger, metrics}) =>
         new JobIntake(
           table,
@@ -149,11 +152,11 @@
           metrics,
         ),
     ),
-    daemonReadiness: single(
-      ({operators, jobIntake: desk, drainState}) =>
-        new DaemonReadiness(operators, desk, () => drainState.isDraining),
+    daemonReadiness: singleton(
+      ({operators, jobIntake, drainState}) =>
+        new DaemonReadiness(operators, jobIntake, () => drainState.isDraining),
     ),
-    accessGuard: single(
+    accessGuard: singleton(
       ({operators, clock}) =>
         new AccessGuard(
           operators,
@@ -165,44 +168,44 @@
           clock,
         ),
     ),
-    callerRoutes: single(
+    callerRoutes: singleton(
       ({
-        jobIntake: desk,
+        jobIntake,
         operators,
-        accessGuard: guard,
+        accessGuard,
         clock,
         logger,
         metrics,
         daemonReadiness,
       }) =>
         new CallerRoutes({
-          jobIntake: desk,
+          jobIntake,
           operators,
-          accessGuard: guard,
+          accessGuard,
           clock,
           logger,
           metrics,
           shouldCloseConnections: () => !daemonReadiness.isReady,
         }),
     ),
-    callerServer: single(
+    callerServer: singleton(
       parts =>
         new HttpServerPlugin(
           settings.callerAddress,
           parts.callerRoutes.app.callback(),
         ),
     ),
-    readinessServer: single(
+    readinessServer: singleton(
       parts =>
         new HttpServerPlugin(
           settings.readinessAddress,
           readinessListener(parts.daemonReadiness),
         ),
     ),
-    jobTableRefresh: single(
+    jobTableRefresh: singleton(
       parts => new JobTableRefreshPlugin(parts.jobs, parts.clock, parts.random),
     ),
-    coordinator: single(
+    coordinator: singleton(
       parts =>
         new CoordinatorPlugin(
           coordinatorParts(parts),
@@ -210,7 +213,9 @@
           randomUUID(),
         ),
     ),
-    lifeCycle: single(parts => new LifeCycle(pluginsOf(parts), parts.logger)),
+    lifeCycle: singleton(
+      parts => new LifeCycle(pluginsOf(parts), parts.logger),
+    ),
   });
   return container.cradle;
 }
@@ -235,7 +240,7 @@
   };
 }
 
-/** Parts in the order in which they start. */
+/** Plugins in the order in which they start. */
 function pluginsOf(parts: EntryParts): NamedPlugin[] {
   const operators = {
     start: async () => parts.operators.start(),
