--- a/packages/plugin-fleet/src/__tests__/admin-path-calls.ts
+++ b/packages/plugin-fleet/src/__tests__/admin-path-calls.ts
@@ -3,7 +3,7 @@
 import type {FleetPath} from '../admin-shapes.js';
 import type {FleetHarness} from './fleet-harness.js';
 
-/** Calls a path of one daemon and lets virtual time pass until it answers. */
+/** Calls an admin path of one daemon and advances virtual time until it responds. */
 export async function call(
   fleet: FleetHarness,
   method: AdminMethod,
@@ -14,12 +14,12 @@
   const handler = fleet.daemons[daemon].routes.find(method, path);
   assert.ok(handler);
   const {query = {}, body} = input;
-  const answered = handler({path, query, body});
+  const response = handler({path, query, body});
   await fleet.run(6000);
-  return answered;
+  return response;
 }
 
-/** Posts a body to a path of the first daemon. */
+/** Posts a body to an admin path of the first daemon. */
 export function post(
   fleet: FleetHarness,
   path: FleetPath,
@@ -28,7 +28,7 @@
   return call(fleet, AdminMethod.Post, path, {body});
 }
 
-/** Reads a path of the first daemon. */
+/** Gets an admin path of the first daemon. */
 export function get(
   fleet: FleetHarness,
   path: FleetPath,
--- a/packages/plugin-fleet/src/__tests__/admin-paths.test.ts
+++ b/packages/plugin-fleet/src/__tests__/admin-paths.test.ts
@@ -8,9 +8,9 @@
 
 const DRAIN = {vm: 'admin-1', reason: 'disk', operator: 'moana'};
 
-describe('the operators\u2019 paths', () => {
-  describe('to a drain', () => {
-    it('answer with the offset, show the work, and take it back', async () => {
+describe('the admin paths', () => {
+  describe('for drains', () => {
+    it('return the offset, show the drain, and end it', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       const accepted = await post(fleet, FleetPath.Drains, DRAIN);
       assert.equal(accepted.status, 200);
@@ -22,7 +22,7 @@
       assert.equal(back.status, 200);
     });
 
-    it('answer 409 with the reason where a budget has no room', async () => {
+    it('respond with 409 and the reason when a budget allows no drain', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       const first = {...DRAIN, vm: 'eligibility-1'};
       await post(fleet, FleetPath.Drains, first);
@@ -32,9 +32,10 @@
       assert.deepEqual((body as {reason: string}).reason, 'leaving_limit');
     });
 
-    // The operator's command line lost the answer and sends the same request again. The drain
-    // stands once, and the second answer says that the first copy was judged.
-    it('take the same request id once', async () => {
+    // The operator's command line lost the response and sends the same request again. The
+    // drain must take effect once, and the second response must say that the request is a
+    // duplicate.
+    it('apply a request id only once', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       const body = {...DRAIN, requestId: 'drain-42'};
       const first = await post(fleet, FleetPath.Drains, body);
@@ -44,7 +45,7 @@
       assert.equal(fleet.state.work.size, 1);
     });
 
-    it('answer 400 naming the field of a malformed body', async () => {
+    it('respond with 400 to a malformed body', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       for (const body of [undefined, [], {vm: 1, reason: 'x'}, {vm: 'a'}]) {
         const {status} = await post(fleet, FleetPath.Drains, body);
@@ -53,7 +54,7 @@
       assert.equal(fleet.state.work.size, 0);
     });
 
-    it('answer 503 while the log is out, and lose nothing that was said', async () => {
+    it('respond with 503 while the log is unavailable, and advise to send the same id again', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       fleet.log.faults.add(LogFault.Outage);
       const {status, body} = await post(fleet, FleetPath.Drains, DRAIN);
@@ -62,8 +63,8 @@
     });
   });
 
-  describe('to moves', () => {
-    it('ask for the pool of a move that starts', async () => {
+  describe('for moves', () => {
+    it('require the pool of a move that starts', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       const body = {action: 'start', vm: 'admin-1', reason: 'x'};
       const {status} = await post(fleet, FleetPath.Moves, body);
@@ -71,8 +72,8 @@
     });
   });
 
-  describe('to explain', () => {
-    it('give cause, rule and what was turned down of the planner\u2019s decisions', async () => {
+  describe('for explanations', () => {
+    it('return the decisions of the planner with their causes', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       await post(fleet, FleetPath.Waves, {
         action: 'start',
@@ -85,20 +86,20 @@
         daemon => daemon === fleet.planningDaemon,
       );
       const query = {subject: 'vm', id: vm};
-      const answer = await call(
+      const response = await call(
         fleet,
         AdminMethod.Get,
         FleetPath.Explain,
         {query},
         planning,
       );
-      const {decisions, planner} = answer.body as ExplainBody;
+      const {decisions, planner} = response.body as ExplainBody;
       assert.match(decisions[0].decision, /take VM .* out for wave wave-1/);
       assert.match(decisions[0].cause, /kernel update/);
       assert.equal(planner, fleet.daemons[planning].identity.name);
     });
 
-    it('refuse an unknown subject', async () => {
+    it('reject an unknown subject', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       const query = {subject: 'planet', id: 'x'};
       const {status} = await get(fleet, FleetPath.Explain, query);
--- a/packages/plugin-fleet/src/__tests__/fleet-harness.ts
+++ b/packages/plugin-fleet/src/__tests__/fleet-harness.ts
@@ -54,14 +54,17 @@
   maintenance_period_days: 35,
   lease_milliseconds: 60_000,
 };
-/** Wait of one read for a record; also the pause after a failed one. */
+/** Longest wait of one read for a record; also the pause after a failed read. */
 const READ_MILLISECONDS = 2000;
 
-/** Follows the log of the stand-in by reading; a record's fate is what was read back. */
+/**
+ * Follows the log of the stand-in by reading; the outcome of a record is known once it is
+ * read back.
+ */
 class LogFollowingState implements SharedState {
   readonly state = emptyFleetState(EXAMPLE_TRUSTED_OPERATORS);
   isLogReachable = true;
-  /** While true nothing is read: the daemon is cut off from the log, or paused. */
+  /** While true, nothing is read: the daemon is disconnected from the log or paused. */
   isDisconnected = false;
   private readonly awaited = new Map<string, (outcome: FoldOutcome) => void>();
   private readonly listeners: Array<() => void> = [];
@@ -77,18 +80,18 @@
     record: FleetRecord,
     signal?: AbortSignal,
   ): Promise<FoldOutcome> {
-    const judged = new Promise<FoldOutcome>((resolve, reject) => {
+    const outcome = new Promise<FoldOutcome>((resolve, reject) => {
       this.awaited.set(record.id, resolve);
       signal?.addEventListener('abort', () => reject(new Error('too late')));
     });
-    judged.catch(() => undefined);
-    if (this.isDisconnected) return judged;
+    outcome.catch(() => undefined);
+    if (this.isDisconnected) return outcome;
     await this.log
       .append(StreamName.Fleet, [encodeRecord(record)])
       .catch((error: {failure?: string}) => {
         if (error.failure !== 'no_answer') throw error;
       });
-    return judged;
+    return outcome;
   }
 
   onChange(listener: () => void): void {
@@ -125,7 +128,7 @@
   }
 }
 
-/** A router whose exchanges the test holds open. */
+/** A router whose exchanges a test can keep in flight. */
 export class BlockableRoutingDrain implements RoutingDrain {
   /** VMs on which an exchange is in flight. */
   readonly busy = new Set<string>();
@@ -138,7 +141,7 @@
   }
 }
 
-/** A daemon's fleet part over the stand-ins. */
+/** The fleet plug-in of a daemon on stand-ins. */
 export class FleetDaemon {
   readonly sharedState: LogFollowingState;
   readonly routing: BlockableRoutingDrain;
@@ -149,7 +152,7 @@
   readonly linked: Peer[] = [];
   readonly planner: PlannerLoop;
   readonly publisher: FleetPublisher;
-  /** While true the daemon's process makes no step. */
+  /** While true, the process of the daemon makes no progress. */
   isPaused = false;
   private readonly acknowledger: DrainAcknowledger;
 
@@ -208,7 +211,7 @@
   }
 }
 
-/** Reads the stand-in's list as a daemon's edge would. */
+/** Reads the stand-in's VM list as a daemon's platform plug-in would. */
 class StandInVmList implements VmList {
   constructor(private readonly list: MemoryVmList) {}
 
@@ -240,7 +243,7 @@
   readonly actions = new MemoryVmActions(this.clock, this.vmList);
   readonly leases: MemoryLeaseClient;
   readonly daemons: FleetDaemon[] = [];
-  /** What a task does; the test may change it. */
+  /** How tasks behave; a test may replace it. */
   behaviour: (request: TaskRequest) => TaskBehaviour = () => SUCCESSFUL_TASK;
   private written = 0;
 
@@ -250,7 +253,7 @@
     );
   }
 
-  /** Daemons running, one planning, the bundle in force. */
+  /** Starts daemons and waits until one of them plans and the bundle is in force. */
   static async start(
     deployment: ExampleDeployment,
     daemons = 2,
@@ -288,7 +291,7 @@
     await this.log.append(StreamName.Fleet, [encodeRecord(record)]);
   }
 
-  /** Writes a record as an operator and lets it be read. */
+  /** Appends a record as an operator and waits until it is read. */
   async appendOperatorRecord(draft: object): Promise<void> {
     const id = `operator-${this.written++}`;
     await this.append({...draft, id, writer: 'moana'} as FleetRecord);
@@ -305,7 +308,7 @@
     });
   }
 
-  /** The daemon that plans, as its own state says. */
+  /** The daemon that plans according to its own state. */
   get planningDaemon(): FleetDaemon | undefined {
     return this.daemons.find(daemon => {
       const planner = daemon.state.planner.get('planner');
@@ -321,7 +324,7 @@
     await this.clock.advanceAsync(milliseconds);
   }
 
-  /** Runs until the condition holds; fails after `limit` of virtual time. */
+  /** Runs until the condition holds; throws after `limit` milliseconds of virtual time. */
   async runUntil(
     condition: () => boolean,
     limit = 3_600_000,
--- a/packages/plugin-fleet/src/__tests__/jobs.test.ts
+++ b/packages/plugin-fleet/src/__tests__/jobs.test.ts
@@ -46,7 +46,7 @@
     assert.equal(fleet.leases.startCounts.get('badge-1/1'), 1);
   });
 
-  it('are the same job under the same key', async () => {
+  it('submitted twice with the same key run once', async () => {
     const fleet = await FleetHarness.start(KINGSTON);
     await submit(fleet, 'badge-1');
     await fleet.runUntil(
@@ -57,8 +57,9 @@
     assert.deepEqual([...fleet.leases.startCounts], [['badge-1/1', 1]]);
   });
 
-  // The tailor waits at the counter. The job comes right after a planning round; the next is up
-  // to two seconds away. The planner wakes for the job instead of waiting for it.
+  // A caller waits for this job. It arrives right after a planning round, and the next
+  // one is up to two seconds away: the planner must wake for the job instead of waiting
+  // for that round.
   it('start within 1.9 s of their submission', async () => {
     const fleet = await FleetHarness.start(KINGSTON);
     for (let n = 0; n < 20; n++) {
@@ -74,7 +75,7 @@
     }
   });
 
-  it('that can never run are refused with the reason', async () => {
+  it('that can never run are rejected with the reason', async () => {
     const fleet = await FleetHarness.start(KINGSTON);
     const {publisher} = fleet.daemons[0];
     const published = publisher.publish({
@@ -94,8 +95,8 @@
     assert.match(rejection?.detail ?? '', /4000 GB.*128/);
   });
 
-  describe('of an urgent team behind a night of others', () => {
-    it('go first once there is room', async () => {
+  describe('of an urgent team behind many others', () => {
+    it('run first once capacity is free', async () => {
       const fleet = await FleetHarness.start(KINGSTON);
       for (let n = 0; n < 150; n++) await submit(fleet, `night-${n}`);
       await submit(fleet, 'preview', {team: 'counter'});
@@ -103,14 +104,18 @@
         () => job(fleet, 'preview')?.state === JobState.Finished,
       );
       const waiting = jobIndexOf(fleet.state).queuedCountOfPool('crest-works');
-      assert.ok(waiting > 0, 'the night was over before the preview');
+      assert.ok(
+        waiting > 0,
+        'all other jobs had left the queue before the urgent one finished',
+      );
     });
   });
 
   describe('that are not idempotent', () => {
-    // The holder of the lease is cut off from the platform for longer than the lease. The task
-    // may have run on. When the platform answers again it says "lapsed": nobody knows, so the
-    // job ends as unknown and is never started again.
+    // The holder of the lease is disconnected from the platform for longer than the
+    // lease, and the task may have continued. The platform then reports it as lapsed: its
+    // outcome is unknown, so the job ends with an unknown outcome and is never started
+    // again.
     it('are not run again when the lease lapsed', async () => {
       const fleet = await FleetHarness.start(KINGSTON);
       fleet.behaviour = () => ({
@@ -128,9 +133,9 @@
       assert.deepEqual([...fleet.leases.startCounts], [['billing-1/1', 1]]);
     });
 
-    // Each answer of the platform is lost: the start took effect. The same id again is the same
-    // task, and it runs once.
-    it('run once when every answer of the platform is lost', async () => {
+    // Every response of the platform is lost although the start took effect. A start with
+    // the same id is the same task, so it runs once.
+    it('run once when every response of the platform is lost', async () => {
       const fleet = await FleetHarness.start(KINGSTON);
       fleet.leases.faults.add(LeaseFault.LostResponses);
       await submit(fleet, 'billing-1', {idempotent: false});
@@ -142,8 +147,8 @@
       assert.deepEqual([...fleet.leases.startCounts], [['billing-1/1', 1]]);
     });
 
-    // The planner stops between placing and starting, another takes over and starts the task;
-    // the first wakes and starts it too. Both name the same attempt.
+    // The planner pauses between placing and starting a job, and another takes over and starts the
+    // task. The first one resumes and starts it too; both use the id of the same attempt.
     it('run once when the planner was paused between placing and starting', async () => {
       const fleet = await FleetHarness.start(KINGSTON, 3);
       const paused = fleet.planningDaemon;
@@ -157,12 +162,12 @@
       await fleet.run(MINUTE);
       paused.sharedState.isDisconnected = false;
       await fleet.run(10 * MINUTE);
-      const [, ...more] = [...fleet.leases.startCounts.values()];
-      assert.deepEqual(more, []);
+      const [, ...otherCounts] = [...fleet.leases.startCounts.values()];
+      assert.deepEqual(otherCounts, []);
       assert.equal(fleet.leases.startCounts.get('billing-1/1'), 1);
     });
 
-    it('hold a drain up instead of being stopped', async () => {
+    it('delay a drain instead of being stopped', async () => {
       const fleet = await FleetHarness.start(KINGSTON);
       await submit(fleet, 'billing-1', {idempotent: false});
       await fleet.runUntil(() => fleet.leases.startCounts.size === 1);
@@ -181,7 +186,7 @@
   });
 
   describe('on a VM that drains', () => {
-    it('are checkpointed, stopped and run elsewhere when they may be', async () => {
+    it('are checkpointed, stopped and run elsewhere when they are idempotent', async () => {
       const fleet = await FleetHarness.start(KINGSTON);
       await submit(fleet, 'badge-1');
       await fleet.runUntil(() => fleet.leases.startCounts.size === 1);
@@ -201,7 +206,7 @@
   });
 
   describe('that fail', () => {
-    it('everywhere are set aside after three VMs, and no VM is blamed', async () => {
+    it('everywhere are set aside after three VMs, and no VM is suspected', async () => {
       const fleet = await FleetHarness.start(KINGSTON);
       fleet.behaviour = ({payload}) => ({
         runMilliseconds: 1000,
@@ -217,8 +222,9 @@
       assert.equal(fleet.state.conditions.size, 0);
     });
 
-    // One VM fails each task within a second and so always looks free. Distinct jobs fail on it
-    // while they succeed elsewhere: it is suspected, gets no more jobs and is repaired.
+    // One VM fails each task within a second and so always has free capacity. Distinct
+    // jobs fail on it while they succeed elsewhere: it must be suspected, get no more
+    // jobs and be repaired.
     it('all on one VM lead to the repair of that VM', async () => {
       const fleet = await FleetHarness.start(KINGSTON);
       const broken = 'crest-works-1';
@@ -237,10 +243,11 @@
     });
   });
 
-  describe('cancelled in a wave of 10,000', () => {
-    // A cooperative withdraws a whole order. One record holds up to 2,000 keys and each key is
-    // one step of the fold; queued jobs are not run, the few that run are stopped.
-    it('end at once, and none of them starts later', async () => {
+  describe('cancelled 10,000 at a time', () => {
+    // A caller cancels 10,000 jobs together. One record holds up to 2,000 keys and each
+    // key is one step of the fold; queued jobs must not start, and the few that run are
+    // stopped.
+    it('end at once, and none starts later', async () => {
       const fleet = await FleetHarness.start(KINGSTON);
       fleet.behaviour = () => ({
         runMilliseconds: 60 * MINUTE,
@@ -248,10 +255,10 @@
         usage: SMALL,
       });
       const keys = Array.from({length: 10_000}, (_, n) => `badge-${n}`);
-      const state = fleet.daemons[0].publisher;
+      const publisher = fleet.daemons[0].publisher;
       for (let from = 0; from < keys.length; from += 400) {
         const group = keys.slice(from, from + 400).map(key =>
-          state.publish({
+          publisher.publish({
             kind: RecordKind.JobSubmitted,
             writer: 'moana',
             key,
--- a/packages/plugin-fleet/src/__tests__/moves.test.ts
+++ b/packages/plugin-fleet/src/__tests__/moves.test.ts
@@ -24,11 +24,11 @@
   });
 }
 
-function hold(fleet: FleetHarness, daemon = 0): void {
+function blockDrain(fleet: FleetHarness, daemon = 0): void {
   fleet.daemons[daemon].routing.busy.add(VM);
 }
 
-function release(fleet: FleetHarness): void {
+function unblockDrains(fleet: FleetHarness): void {
   for (const daemon of fleet.daemons) daemon.routing.busy.delete(VM);
 }
 
@@ -55,37 +55,37 @@
     assert.equal(fleet.state.vms.get(VM)?.drainReason, undefined);
   });
 
-  it('waits for the daemon that still has an exchange and says which', async () => {
+  it('waits for the daemon that still has an exchange and names it', async () => {
     const fleet = await FleetHarness.start(SWAN_COAST);
-    hold(fleet, 1);
+    blockDrain(fleet, 1);
     await startMove(fleet);
     await fleet.run(5 * MINUTE);
     const work = fleet.state.work.get(VM);
     assert.ok(work);
     assert.deepEqual(outstandingDaemons(fleet.state, work), ['incarnation-2']);
-    const named =
+    const decisions =
       fleet.planningDaemon?.journal.entriesAbout(SubjectKind.Vm, VM) ?? [];
-    assert.match(named.at(-1)?.cause ?? '', /waits for entry-2/);
+    assert.match(decisions.at(-1)?.cause ?? '', /waits for entry-2/);
     assert.equal(owner(fleet), 'statements');
-    release(fleet);
+    unblockDrains(fleet);
     await fleet.runUntil(() => owner(fleet) === 'admin', MINUTE);
   });
 
   describe('aborted', () => {
-    it('before acknowledgement leaves the VM where it was', async () => {
+    it('before acknowledgement leaves the VM in its pool', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
-      hold(fleet);
+      blockDrain(fleet);
       await startMove(fleet);
       await fleet.run(5000);
       await abort(fleet);
-      release(fleet);
+      unblockDrains(fleet);
       await fleet.run(MINUTE);
       assert.equal(owner(fleet), 'statements');
       assert.equal(fleet.state.vms.get(VM)?.epoch, 1);
       assert.equal(fleet.state.vms.get(VM)?.drainReason, undefined);
     });
 
-    it('after assignment changes nothing: the answer names the new owner', async () => {
+    it('after assignment has no effect and names the new owner', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       await startMove(fleet);
       const {startedAt} = fleet.state.work.get(VM) ?? {startedAt: 0};
@@ -104,16 +104,16 @@
       assert.equal(owner(fleet), 'admin');
     });
 
-    // A daemon acknowledged the first move. It was aborted, so the daemon routes again. The
-    // acknowledgement must not count for a second move of the same VM.
-    it('does not let an old acknowledgement stand for a later move', async () => {
+    // A daemon acknowledged the first move, which was then aborted, so the daemon routes to the VM
+    // again. The old acknowledgement must not count for a second move of the same VM.
+    it('does not count an old acknowledgement for a later move', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
-      hold(fleet, 1);
+      blockDrain(fleet, 1);
       await startMove(fleet);
       await fleet.run(10_000);
       await abort(fleet);
-      release(fleet);
-      hold(fleet, 0);
+      unblockDrains(fleet);
+      blockDrain(fleet, 0);
       await startMove(fleet);
       await fleet.run(MINUTE);
       const work = fleet.state.work.get(VM);
@@ -125,16 +125,16 @@
     });
   });
 
-  describe('whose VM dies while it drains', () => {
-    // The VM leaves the list. Exchanges on it break, so the daemons acknowledge; ownership
-    // still follows the operator's wish, and repair finds the VM in its new pool.
+  describe('whose VM disappears while it drains', () => {
+    // The VM leaves the list. Its exchanges break, so the daemons acknowledge; the VM is
+    // still assigned as the operator requested, and repair finds it in its new pool.
     it('is assigned, and the VM is repaired in its new pool', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
-      hold(fleet);
+      blockDrain(fleet);
       await startMove(fleet);
       await fleet.run(5000);
       fleet.vmList.remove(VM);
-      release(fleet);
+      unblockDrains(fleet);
       await fleet.runUntil(() => owner(fleet) === 'admin', 5 * MINUTE);
       await fleet.runUntil(
         () => fleet.actions.startedActions.length > 0,
@@ -144,18 +144,18 @@
     });
   });
 
-  describe('with the log gone', () => {
+  describe('during a log outage', () => {
     for (const step of ['drain', 'assignment']) {
-      it(`at its ${step} stands still and ends afterwards`, async () => {
+      it(`at its ${step} pauses and completes afterwards`, async () => {
         const fleet = await FleetHarness.start(SWAN_COAST);
-        hold(fleet);
+        blockDrain(fleet);
         await startMove(fleet);
         await fleet.run(5000);
-        if (step === 'assignment') release(fleet);
+        if (step === 'assignment') unblockDrains(fleet);
         fleet.log.faults.add(LogFault.Outage);
         await fleet.run(10 * MINUTE);
         assert.equal(owner(fleet), 'statements');
-        release(fleet);
+        unblockDrains(fleet);
         fleet.log.faults.delete(LogFault.Outage);
         await fleet.runUntil(() => owner(fleet) === 'admin', 5 * MINUTE);
         assert.equal(fleet.state.vms.get(VM)?.epoch, 2);
@@ -163,20 +163,21 @@
     }
   });
 
-  describe('with a daemon cut off from the log', () => {
-    // The daemon may still route to the VM under the old pool. It does not acknowledge, so the
-    // VM is not given away, however long that takes, until the daemon is replaced.
+  describe('with a daemon disconnected from the log', () => {
+    // The daemon may still route to the VM under the old pool. It does not acknowledge,
+    // so the VM must not be assigned to another pool, however long that takes, until the
+    // daemon is replaced.
     it('waits until the daemon is replaced', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST, 3);
-      const cut = fleet.daemons.findIndex(
+      const disconnected = fleet.daemons.findIndex(
         daemon =>
           daemon !== fleet.planningDaemon && daemon !== fleet.daemons.at(-1),
       );
-      fleet.daemons[cut].sharedState.isDisconnected = true;
+      fleet.daemons[disconnected].sharedState.isDisconnected = true;
       await startMove(fleet);
       await fleet.run(10 * MINUTE);
       assert.equal(owner(fleet), 'statements');
-      const {name, dataCentre} = fleet.daemons[cut].identity;
+      const {name, dataCentre} = fleet.daemons[disconnected].identity;
       await fleet.appendOperatorRecord({
         kind: RecordKind.MemberJoined,
         name,
@@ -191,10 +192,10 @@
 
 describe('a planner paused for minutes', () => {
   for (const step of ['release', 'drain', 'acknowledgement']) {
-    // The planner neither reads nor writes while the move is at this step. Another daemon takes
-    // the term and finishes the move. The paused one wakes with its old state and its old term:
-    // the fold rejects what it writes, and the VM has moved once.
-    it(`at ${step} is replaced, and fenced when it wakes`, async () => {
+    // The planner neither reads nor writes while the move is at this step. Another daemon
+    // takes the term and finishes the move. The paused one resumes with its old state and
+    // its old term: the fold must reject what it writes, and the VM must have moved once.
+    it(`at ${step} is replaced, and fenced when it resumes`, async () => {
       const fleet = await FleetHarness.start(SWAN_COAST, 3);
       const paused = fleet.planningDaemon;
       assert.ok(paused);
@@ -225,7 +226,7 @@
     });
   }
 
-  it('does not take the role back while another holds it', async () => {
+  it('does not take the term back while another daemon holds it', async () => {
     const fleet = await FleetHarness.start(SWAN_COAST, 3);
     const paused = fleet.planningDaemon;
     assert.ok(paused);
@@ -239,7 +240,7 @@
     assert.notEqual(holder, paused.identity.incarnation);
   });
 
-  it('is not replaced for a log outage', async () => {
+  it('is not replaced because of a log outage', async () => {
     const fleet = await FleetHarness.start(SWAN_COAST, 3);
     const {term, holder} = plannerOf(fleet.state);
     fleet.log.faults.add(LogFault.Outage);
--- a/packages/plugin-fleet/src/__tests__/wave-forecasts.test.ts
+++ b/packages/plugin-fleet/src/__tests__/wave-forecasts.test.ts
@@ -11,12 +11,12 @@
 const MINUTE = 60_000;
 const TOTAL = 400;
 
-class ForecastCase {
+class ForecastFixture {
   readonly clock = new VirtualClock();
   readonly forecasts = new WaveForecasts({clock: this.clock});
   readonly state: FleetState = emptyFleetState({});
 
-  /** Sets how many VMs of the wave have ended and are under way, and lets a round pass. */
+  /** Sets how many VMs of the wave are done and in progress, and takes a sample. */
   observe(done: number, active = 0): void {
     this.state.waves.set('wave-1', {
       id: 'wave-1',
@@ -45,72 +45,73 @@
 
 describe('the forecast of a wave', () => {
   describe('before a VM has ended', () => {
-    it('is not known', () => {
-      const test = new ForecastCase();
-      assert.equal(test.remaining, undefined);
-      test.observe(0, 2);
-      assert.equal(test.remaining, undefined);
-      test.clock.advance(5 * MINUTE);
-      test.observe(0, 2);
-      assert.equal(test.remaining, undefined);
+    it('is unknown', () => {
+      const fixture = new ForecastFixture();
+      assert.equal(fixture.remaining, undefined);
+      fixture.observe(0, 2);
+      assert.equal(fixture.remaining, undefined);
+      fixture.clock.advance(5 * MINUTE);
+      fixture.observe(0, 2);
+      assert.equal(fixture.remaining, undefined);
     });
   });
 
   describe('at a steady pace', () => {
-    it('is what is left, with what is under way, at that pace', () => {
-      const test = new ForecastCase();
+    it('covers the remaining VMs and those in progress at that pace', () => {
+      const fixture = new ForecastFixture();
       for (let minute = 0; minute <= 10; minute++) {
-        test.observe(4 * minute, 4);
-        test.clock.advance(MINUTE);
+        fixture.observe(4 * minute, 4);
+        fixture.clock.advance(MINUTE);
       }
-      assert.equal(test.remaining, ((TOTAL - 40) / 4) * MINUTE);
+      assert.equal(fixture.remaining, ((TOTAL - 40) / 4) * MINUTE);
     });
   });
 
   describe('with a round every second', () => {
-    it('follows the count at once and keeps about a sample a minute', () => {
-      const test = new ForecastCase();
+    it('follows the count at once and keeps about one sample a minute', () => {
+      const fixture = new ForecastFixture();
       for (let second = 0; second <= 600; second++) {
-        test.observe(Math.floor(second / 6));
-        test.clock.advance(1000);
+        fixture.observe(Math.floor(second / 6));
+        fixture.clock.advance(1000);
       }
-      assert.equal(test.remaining, (TOTAL - 100) * 6000);
+      assert.equal(fixture.remaining, (TOTAL - 100) * 6000);
     });
   });
 
   describe('when the pace changes', () => {
-    // The first VMs go one at a time. A forecast over the whole wave would be too long for hours.
+    // The wave starts slowly. A forecast from the pace of the whole wave would be too
+    // long for hours.
     it('follows the last hour only', () => {
-      const test = new ForecastCase();
+      const fixture = new ForecastFixture();
       let done = 0;
       for (let minute = 0; minute < 120; minute++) {
         done += minute < 60 ? 0 : 5;
-        test.observe(done);
-        test.clock.advance(MINUTE);
+        fixture.observe(done);
+        fixture.clock.advance(MINUTE);
       }
-      assert.equal(test.remaining, ((TOTAL - 300) / 5) * MINUTE);
+      assert.equal(fixture.remaining, ((TOTAL - 300) / 5) * MINUTE);
     });
   });
 
   describe('at the end', () => {
-    it('is 0 also an hour after the last VM', () => {
-      const test = new ForecastCase();
+    it('is still 0 an hour after the last VM', () => {
+      const fixture = new ForecastFixture();
       for (let minute = 0; minute < 120; minute++) {
-        test.observe(TOTAL);
-        test.clock.advance(MINUTE);
+        fixture.observe(TOTAL);
+        fixture.clock.advance(MINUTE);
       }
-      assert.equal(test.remaining, 0);
+      assert.equal(fixture.remaining, 0);
     });
 
-    it('is not known any more when the wave is forgotten', () => {
-      const test = new ForecastCase();
-      test.observe(0);
-      test.clock.advance(MINUTE);
-      test.observe(4);
-      assert.notEqual(test.remaining, undefined);
-      test.state.waves.delete('wave-1');
-      test.forecasts.observe(test.state);
-      assert.equal(test.remaining, undefined);
+    it('is unknown again once the wave is deleted', () => {
+      const fixture = new ForecastFixture();
+      fixture.observe(0);
+      fixture.clock.advance(MINUTE);
+      fixture.observe(4);
+      assert.notEqual(fixture.remaining, undefined);
+      fixture.state.waves.delete('wave-1');
+      fixture.forecasts.observe(fixture.state);
+      assert.equal(fixture.remaining, undefined);
     });
   });
 });
--- a/packages/plugin-fleet/src/__tests__/wave-preview.test.ts
+++ b/packages/plugin-fleet/src/__tests__/wave-preview.test.ts
@@ -10,14 +10,14 @@
   fleet: FleetHarness,
   query: Record<string, string> = {},
 ): Promise<WavePreviewBody> {
-  const answer = await get(fleet, FleetPath.WavePreview, query);
-  assert.equal(answer.status, 200);
-  return answer.body as WavePreviewBody;
+  const response = await get(fleet, FleetPath.WavePreview, query);
+  assert.equal(response.status, 200);
+  return response.body as WavePreviewBody;
 }
 
-describe('the dry run of a wave', () => {
+describe('the preview of a wave', () => {
   describe('that was not started', () => {
-    it('names the VM that the planner then really takes first', async () => {
+    it('names the VM that the planner then takes out first', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       const plan = await preview(fleet);
       assert.equal(plan.left, 40);
@@ -29,7 +29,7 @@
       assert.deepEqual([...fleet.state.work.keys()], plan.next);
     });
 
-    it('goes data centre by data centre and counts each VM once', async () => {
+    it('orders VMs by data centre and counts each VM once', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       const {order} = await preview(fleet);
       const dataCentres = order.map(({dataCentre}) => dataCentre);
@@ -38,7 +38,7 @@
       assert.equal(sum, exampleVms(SWAN_COAST).length);
     });
 
-    it('says that its scope covers nothing, or meets another wave', async () => {
+    it('reports that its scope covers no VM or overlaps another wave', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       const empty = await preview(fleet, {pools: 'nothing'});
       assert.match(empty.heldBack[0], /covers no VM/);
@@ -50,7 +50,7 @@
   });
 
   describe('that was started', () => {
-    it('says that it is held, and why', async () => {
+    it('reports that it is held, and why', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       await fleet.startWave();
       await fleet.appendOperatorRecord({
@@ -64,7 +64,7 @@
       assert.deepEqual(plan.next, []);
     });
 
-    it('names the budget that leaves no room', async () => {
+    it('names the budget that allows no further VM', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       const drained = 'eligibility-1';
       const reason = 'disk';
@@ -75,11 +75,11 @@
       assert.match(plan.turnedDown[0].because, /eligibility/);
     });
 
-    it('is refused for a wave that nobody started', async () => {
+    it('is rejected for a wave that was never started', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       const query = {wave: 'spring'};
-      const answer = await get(fleet, FleetPath.WavePreview, query);
-      assert.equal(answer.status, 400);
+      const response = await get(fleet, FleetPath.WavePreview, query);
+      assert.equal(response.status, 400);
     });
   });
 });
--- a/packages/plugin-fleet/src/__tests__/waves.test.ts
+++ b/packages/plugin-fleet/src/__tests__/waves.test.ts
@@ -14,17 +14,19 @@
 const HOUR = 3_600_000;
 
 describe('a maintenance wave', () => {
-  describe('with nothing else going on', () => {
+  describe('without other changes', () => {
     it('reboots every VM once, one data centre at a time, and finishes', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       await fleet.startWave();
-      const places = new Map(exampleVms(SWAN_COAST).map(vm => [vm.id, vm]));
-      let mixed = 0;
+      const vmsById = new Map(exampleVms(SWAN_COAST).map(vm => [vm.id, vm]));
+      let mixedSamples = 0;
       await fleet.runUntil(
         () => {
           const out = [...fleet.state.work.keys()];
-          const at = new Set(out.map(vm => places.get(vm)?.dataCentre));
-          if (at.size > 1) mixed++;
+          const dataCentres = new Set(
+            out.map(vm => vmsById.get(vm)?.dataCentre),
+          );
+          if (dataCentres.size > 1) mixedSamples++;
           return fleet.state.waves.get('wave-1')?.state === WaveState.Finished;
         },
         12 * HOUR,
@@ -33,16 +35,16 @@
       const rebooted = fleet.actions.startedActions
         .map(action => action.vm)
         .sort();
-      assert.deepEqual(rebooted, [...places.keys()].sort());
-      assert.equal(mixed, 0);
+      assert.deepEqual(rebooted, [...vmsById.keys()].sort());
+      assert.equal(mixedSamples, 0);
     });
   });
 
-  describe('that meets a rack failure', () => {
-    // Callers of three services lose VMs at once while the wave has others out. The rack is
-    // reported down; from then on the budgets have no room, and no further VM is taken until
-    // the rack is back. Then the wave goes on by itself.
-    it('takes no more VMs of those pools until the rack is back', async () => {
+  describe('during a rack failure', () => {
+    // Three services lose VMs at once while the wave has taken others out. Once the rack
+    // is reported down, the budgets allow no further VM until the rack is back; then the
+    // wave must continue by itself.
+    it('takes out no more VMs of those pools until the rack is back', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       await fleet.startWave();
       await fleet.runUntil(() => fleet.state.work.size > 0);
@@ -58,14 +60,14 @@
         .map(action => action.vm);
       const poolOf = new Map(vms.map(vm => [vm.id, vm.pool]));
       const taken = later.filter(vm => pools.has(poolOf.get(vm) ?? ''));
-      const spare = serviceBudgetStatuses(fleet.state).filter(({pool}) =>
+      const statuses = serviceBudgetStatuses(fleet.state).filter(({pool}) =>
         pools.has(pool),
       );
-      assert.ok(spare.some(standing => standing.spare === 0));
+      assert.ok(statuses.some(status => status.spare === 0));
       for (const vm of taken) {
         const pool = poolOf.get(vm);
-        const standing = spare.find(entry => entry.pool === pool);
-        assert.notEqual(standing?.leavingAtOnce, 1);
+        const status = statuses.find(entry => entry.pool === pool);
+        assert.notEqual(status?.leavingAtOnce, 1);
       }
       for (const vm of rack) {
         const {id, dataCentre} = vm;
@@ -86,9 +88,10 @@
     });
   });
 
-  describe('whose VMs fail once traffic is back', () => {
-    // The update is broken: each VM boots and is listed, and fails its first requests. Without
-    // the stop the wave would do this to every VM. Two failures before any success hold it.
+  describe('whose VMs fail once they receive requests again', () => {
+    // The update is broken: each VM boots and is listed, but fails its first requests.
+    // Unless it is held, the wave would break every VM. Two failures before any success
+    // must hold it.
     it('is held by the planner after two VMs, with the reason', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       await fleet.startWave();
@@ -108,9 +111,10 @@
   });
 
   describe('with a VM that never returns', () => {
-    // It is rebooted twice and replaced once with growing waits, then handed to operators; its
-    // place in the budget is taken all that time, and the rest of the wave goes on.
-    it('hands the VM to operators after bounded tries and finishes without it', async () => {
+    // It is rebooted twice and replaced once with increasing delays, then handed over to
+    // operators. It counts against the budget all that time, and the rest of the wave
+    // must continue.
+    it('hands the VM over to operators after a limited number of attempts and finishes without it', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       fleet.actions.neverReturn.add('admin-1');
       await fleet.startWave();
@@ -119,19 +123,20 @@
         24 * HOUR,
         5000,
       );
-      const tries = fleet.actions.startedActions
+      const attempts = fleet.actions.startedActions
         .filter(action => action.vm === 'admin-1')
         .map(action => action.action);
-      assert.deepEqual(tries, ['reboot', 'reboot', 'replace']);
+      assert.deepEqual(attempts, ['reboot', 'reboot', 'replace']);
       assert.ok(fleet.state.handedOver.has('admin-1'));
       assert.equal(fleet.state.waves.get('wave-1')?.handedOver, 1);
     });
   });
 
-  describe('with the log gone for an hour in its midst', () => {
-    // Nothing new is agreed while the log is out: VMs that are out stay out, none is added and
-    // none is rebooted that the log has not said. Afterwards the wave goes on where it was.
-    it('takes nothing and loses nothing, then finishes', async () => {
+  describe('during a log outage of an hour', () => {
+    // No record can be written during the outage: VMs that are out stay out, no other is
+    // taken out, and none is rebooted without a record in the log. Afterwards the wave
+    // must continue where it was.
+    it('takes out and loses no VM, then finishes', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       await fleet.startWave();
       await fleet.runUntil(
@@ -142,10 +147,10 @@
       fleet.log.faults.add(LogFault.Outage);
       await fleet.run(10_000);
       const out = [...fleet.state.work.keys()].sort();
-      const asked = fleet.actions.startedActions.length;
+      const startedCount = fleet.actions.startedActions.length;
       await fleet.run(HOUR);
       assert.deepEqual([...fleet.state.work.keys()].sort(), out);
-      assert.equal(fleet.actions.startedActions.length, asked);
+      assert.equal(fleet.actions.startedActions.length, startedCount);
       fleet.log.faults.delete(LogFault.Outage);
       await fleet.runUntil(
         () => fleet.state.waves.get('wave-1')?.state === WaveState.Finished,
@@ -156,8 +161,8 @@
     });
   });
 
-  describe('with the answer of every append lost', () => {
-    it('does each step once: the fate is read back', async () => {
+  describe('with the response to every append lost', () => {
+    it('does each step once, since outcomes are read back', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       fleet.log.faults.add(LogFault.LostResponses);
       await fleet.startWave('wave-1').catch(() => undefined);
@@ -171,9 +176,10 @@
   });
 
   describe('aborted while VMs drain', () => {
-    // The operator aborts before the daemons have acknowledged. The VM was not rebooted and
-    // goes back into service; an ask that comes after the abort in the log is rejected.
-    it('returns what was not rebooted yet', async () => {
+    // The operator aborts the wave before the daemons have acknowledged. The VMs were not
+    // rebooted and return to service; a reboot request recorded after the abort is
+    // rejected.
+    it('returns VMs that were not rebooted yet', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       for (const daemon of fleet.daemons)
         for (const vm of exampleVms(SWAN_COAST)) daemon.routing.busy.add(vm.id);
@@ -192,8 +198,8 @@
     });
   });
 
-  describe('and a second one by another operator', () => {
-    it('is refused where they overlap and shares the budget where not', async () => {
+  describe('alongside a second one', () => {
+    it('rejects an overlapping one and shares the budget with one that does not overlap', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       await fleet.startWave('wave-1', {pools: ['admin', 'valuation']});
       await fleet.startWave('wave-2', {pools: ['valuation']});
@@ -210,9 +216,10 @@
     });
   });
 
-  describe('on a list that lags a minute', () => {
-    // The list still shows a VM that is rebooting and does not yet show one that is back. The
-    // platform's own word on the action and the list must both say that it is back.
+  describe('with a list that lags by a minute', () => {
+    // The list still shows a VM that is rebooting and does not yet show one that is back.
+    // A VM counts as back only when both the platform's state of the action and the list
+    // say so.
     it('reboots every VM once and repairs none', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       fleet.vmList.lagMilliseconds = 60_000;
@@ -226,10 +233,10 @@
     });
   });
 
-  describe('on a list that loses returned VMs for moments', () => {
-    // A VM on trial is missing from the list for some seconds while it serves. Taken as a failure
-    // after reboot, two such moments would stop the wave.
-    it('goes on', async () => {
+  describe('with a list that briefly omits returned VMs', () => {
+    // A VM on trial is missing from the list for some seconds while it serves. If that counted as a
+    // failure after the reboot, two such gaps would hold the wave.
+    it('continues', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       await fleet.startWave('wave-1', {pools: ['admin']});
       const flapped = new Set<string>();
@@ -252,10 +259,11 @@
     });
   });
 
-  describe('on a list that flaps', () => {
-    // The list drops a VM and shows it again every few seconds. Each flap would be two records
-    // and a gap in which a drain is admitted; the VM stays suspected until it holds still.
-    it('costs few records and repairs nothing that serves', async () => {
+  describe('with a list that flaps', () => {
+    // The list drops a VM and shows it again every few seconds. Each flap would cost two
+    // records and leave a gap in which a drain is admitted, so the VM stays suspected
+    // until it is stable.
+    it('costs few records and repairs no VM that serves', async () => {
       const fleet = await FleetHarness.start(SWAN_COAST);
       const vm = fleet.vmList.visible()[0];
       const before = fleet.log.appends;
--- a/packages/plugin-fleet/src/admin-responses.ts
+++ b/packages/plugin-fleet/src/admin-responses.ts
@@ -17,23 +17,26 @@
 const STATUS_CONFLICT = 409;
 const STATUS_UNAVAILABLE = 503;
 
-/** Thrown for input that no record can be made of. */
+/** Thrown for input from which no record can be built. */
 export class BadInputError extends Error {}
 
-/** A handler that reads. */
+/** Creates a handler that responds with what it reads from the query. */
 export function readHandler(
-  answer: (query: AdminRequest['query']) => unknown,
+  read: (query: AdminRequest['query']) => unknown,
 ): AdminHandler {
   return async request => {
     try {
-      return {status: STATUS_OK, body: answer(request.query)};
+      return {status: STATUS_OK, body: read(request.query)};
     } catch (error) {
       return badInputResponse(error);
     }
   };
 }
 
-/** A handler that checks a body, makes a record of it and says what became of the record. */
+/**
+ * Creates a handler that validates a body, publishes it as a record and responds with its
+ * outcome.
+ */
 export function recordHandler<Schema extends z.ZodType<{requestId?: string}>>(
   publisher: FleetPublisher,
   schema: Schema,
@@ -54,7 +57,7 @@
   };
 }
 
-/** What an operator is told of a judged record. */
+/** Converts the outcome of a record to the response for the operator. */
 export function toAdminResponse(result: PublishResult): AdminResponse {
   const {offset, rejection} = result;
   if (!rejection) {
@@ -73,7 +76,7 @@
   const body: RefusedBody = {
     accepted: false,
     reason: 'log_unavailable',
-    error: `${error.message}; it may still take effect: ask again with the same requestId`,
+    error: `${error.message}; it may still take effect: send the request again with the same requestId`,
   };
   return {status: STATUS_UNAVAILABLE, body};
 }
--- a/packages/plugin-fleet/src/admin-schemas.ts
+++ b/packages/plugin-fleet/src/admin-schemas.ts
@@ -5,7 +5,7 @@
   MAXIMUM_BATCH_ENTRIES,
 } from '@gentiandoor/shared-state';
 
-/** Shorter than an id of a record: `/jobs/cancel` adds the place of each batch. */
+/** Shorter than the id of a record, since `/jobs/cancel` appends the position of each batch. */
 const MAXIMUM_REQUEST_ID_LENGTH = 180;
 
 const operatorFields = {
--- a/packages/plugin-fleet/src/admin-shapes.ts
+++ b/packages/plugin-fleet/src/admin-shapes.ts
@@ -13,10 +13,10 @@
 } from '@gentiandoor/shared-state';
 
 /**
- * JSON of the fleet's admin paths. POST answers 200 with `AcceptedBody`, 409 with
- * `RefusedBody` where the fold rejected the record, 400 with `BadInputBody`, 503 with
- * `RefusedBody` while the log cannot be reached: then the record may still take effect, and
- * the same `requestId` again is safe.
+ * Admin paths of the fleet. A POST responds with 200 and `AcceptedBody`, 409 and
+ * `RefusedBody` where the fold rejected the record, 400 and `BadInputBody`, or 503 and
+ * `RefusedBody` while the log is unreachable: then the record may still take effect, and
+ * it is safe to send the same `requestId` again.
  */
 export enum FleetPath {
   Drains = '/fleet/drains',
@@ -36,9 +36,9 @@
 
 /** Fields of every POST. */
 export interface OperatorRequest {
-  /** Name that the record carries. */
+  /** Recorded as the writer of the record. */
   readonly operator?: string;
-  /** Names the request; the same again is the same request. */
+  /** Id of the request; a request with the same id takes effect once. */
   readonly requestId?: string;
 }
 
@@ -57,7 +57,7 @@
 export interface MoveRequest extends OperatorRequest {
   readonly action: 'start' | 'abort';
   readonly vm: string;
-  /** Needed to start. */
+  /** Required for a start. */
   readonly toPool?: string;
   readonly reason: string;
 }
@@ -67,11 +67,11 @@
   readonly action: 'start' | 'hold' | 'resume' | 'abort';
   readonly wave: string;
   readonly reason: string;
-  /** For a start; all VMs where it is missing. */
+  /** Scope of a start; all VMs where it is missing. */
   readonly scope?: WaveScope;
 }
 
-/** POST /fleet/members/removals: the daemon must really be stopped. */
+/** POST /fleet/members/removals: the daemon must really have stopped. */
 export interface MemberRemovalRequest extends OperatorRequest {
   /** Name of the daemon. */
   readonly name: string;
@@ -94,27 +94,27 @@
   readonly keys: readonly string[];
 }
 
-/** Answer to a POST that took effect. */
+/** Response to a POST that took effect. */
 export interface AcceptedBody {
   readonly accepted: true;
   /** Offset of the record. */
   readonly offset: number;
 }
 
-/** Answer to a POST that had no effect, or whose effect is not known yet. */
+/** Response to a POST that had no effect, or whose effect is not known yet. */
 export interface RefusedBody {
   readonly accepted: false;
   readonly reason: RejectionReason | 'log_unavailable';
-  /** One sentence that operators can act on. */
+  /** A sentence that operators can act on. */
   readonly error: string;
 }
 
-/** Answer to a malformed request. */
+/** Response to a malformed request. */
 export interface BadInputBody {
   readonly error: string;
 }
 
-/** Planned work as shown. */
+/** Planned work on a VM as shown to operators. */
 export interface WorkBody {
   readonly kind: PlannedWorkKind;
   readonly step: PlannedWorkStep;
@@ -138,7 +138,7 @@
   readonly condition: VmCondition;
   readonly available: boolean;
   readonly work?: WorkBody;
-  /** Why operators have to look after it. */
+  /** Why the VM was handed over to operators. */
   readonly handedOver?: string;
   /** Milliseconds since the Unix epoch. */
   readonly maintainedAt?: number;
@@ -158,7 +158,7 @@
 
 /** GET /fleet/budgets */
 export interface BudgetsBody {
-  /** Services whose budget is not met: planned work is stopped while there is one. */
+  /** Services whose budget is not met; while there are any, planned work is stopped. */
   readonly broken: readonly string[];
   readonly services: readonly ServiceBudgetStatus[];
 }
@@ -176,13 +176,16 @@
   readonly done: number;
   readonly failed: number;
   readonly handedOver: number;
-  /** Milliseconds to the end at the pace seen by this daemon; missing until it has seen any. */
+  /**
+   * Milliseconds to the end at the pace that this daemon observed; missing until it has
+   * observed any.
+   */
   readonly forecastMilliseconds?: number;
 }
 
 /**
- * GET /fleet/waves/preview?wave=... for one that was started, else ?pools=...&dataCentres=...,
- * comma-separated, for one that was not: what it would do now. Nothing is written.
+ * GET /fleet/waves/preview?wave=... for a wave that was started, or ?pools=...&dataCentres=...,
+ * comma-separated, for one that was not: what the wave would do now. Nothing is written.
  */
 export type WavePreviewBody = WavePreview;
 
@@ -192,11 +195,11 @@
   readonly incarnation: string;
   readonly dataCentre: string;
   readonly peerAddress: string;
-  /** Whether the daemon that answers has a link to it, or is it. */
+  /** Whether the daemon that responds is this member or has a link to it. */
   readonly linked: boolean;
-  /** Whether it plans for the fleet. */
+  /** Whether this member plans for the fleet. */
   readonly plans: boolean;
-  /** VMs whose drain waits for its acknowledgement. */
+  /** VMs whose drain waits for the acknowledgement of this member. */
   readonly holdsUp: readonly string[];
 }
 
@@ -211,11 +214,11 @@
   readonly reason?: string;
 }
 
-/** GET /explain?subject=vm&id=...: decisions that this daemon took, oldest first. */
+/** GET /explain?subject=vm&id=...: decisions that this daemon made, oldest first. */
 export interface ExplainBody {
   readonly subject: string;
   readonly id: string;
-  /** The daemon that plans now and so holds most decisions; empty when none does. */
+  /** The daemon that plans now and so has most decisions; empty when none does. */
   readonly planner: string;
   readonly decisions: readonly JournalEntry[];
 }
--- a/packages/plugin-fleet/src/drain-acknowledger.ts
+++ b/packages/plugin-fleet/src/drain-acknowledger.ts
@@ -10,7 +10,7 @@
 import type {FleetOptions} from './fleet-options.js';
 import type {FleetPublisher} from './fleet-publisher.js';
 
-/** What the acknowledger needs. */
+/** Components that the acknowledger depends on. */
 export interface DrainAcknowledgerDependencies {
   readonly clock: Clock;
   readonly identity: DaemonIdentity;
@@ -27,9 +27,10 @@
 }
 
 /**
- * Tells the log when this daemon has nothing left on VMs that leave by plan. Without it a
- * move or reboot would either cut exchanges or never go on. Acknowledgements of one tick go
- * out as one record: a rack that drains is one append a daemon, not one a VM.
+ * Records in the log when this daemon has no exchange left on a VM that planned work takes out.
+ * Without it, a move or reboot would either cut exchanges or never continue. Acknowledgements of
+ * one tick are written as one record: a draining rack costs one append for each daemon, not one
+ * for each VM.
  */
 export class DrainAcknowledger {
   private readonly pendingDrains = new Map<string, PendingDrain>();
@@ -44,8 +45,8 @@
 
   async stop(): Promise<void> {
     this.stopController.abort();
-    for (const {abortController: abandoned} of this.pendingDrains.values())
-      abandoned.abort();
+    for (const {abortController} of this.pendingDrains.values())
+      abortController.abort();
     await this.loop;
   }
 
@@ -68,14 +69,14 @@
     return work !== undefined && work.awaiting.includes(incarnation);
   }
 
-  /** A drain that was aborted waits for nobody; its watch must not answer for a later drain. */
+  /** An aborted drain waits for no daemon; its pending entry must not acknowledge a later drain. */
   private abortEndedDrains(): void {
     const {work} = this.dependencies.sharedState.state;
     for (const [vm, entry] of this.pendingDrains) {
-      const present = work.get(vm);
+      const current = work.get(vm);
       if (
-        this.awaitsThisDaemon(present) &&
-        present.startedAt === entry.startedAt
+        this.awaitsThisDaemon(current) &&
+        current.startedAt === entry.startedAt
       )
         continue;
       entry.abortController.abort();
@@ -97,7 +98,7 @@
         () => {
           entry.isDrained = true;
         },
-        // Tried again at the next tick; until then the move says that it waits for this daemon.
+        // Retried at the next tick; until then the move is shown as waiting for this daemon.
         () => this.pendingDrains.delete(vm),
       );
     }
@@ -116,7 +117,8 @@
         acknowledgements,
       });
     } catch {
-      // The log is out: what is ready stays ready and is sent again; twice does no harm.
+      // The log is unavailable: drained VMs stay drained and are acknowledged again; a
+      // duplicate does no harm.
     }
   }
 
--- a/packages/plugin-fleet/src/fallbacks.ts
+++ b/packages/plugin-fleet/src/fallbacks.ts
@@ -7,28 +7,31 @@
   VmHealth,
 } from '@gentiandoor/shared-state';
 
-/** Stands in where no router is wired: acknowledges nothing, so that no move rests on a guess. */
+/** Fallback without a router: never reports a drained VM, so that no move relies on a guess. */
 export class NoRoutingDrain implements RoutingDrain {
   stopRouting(): Promise<void> {
     return new Promise(() => undefined);
   }
 }
 
-/** Stands in where nothing gives first-hand evidence. */
+/** Fallback without a source of first-hand evidence on VMs: suspects none. */
 export class NoVmHealth implements VmHealth {
   suspected(): ReadonlySet<string> {
     return new Set();
   }
 }
 
-/** Stands in where no platform edge for actions is wired. */
+/** Fallback without a platform plug-in for VM actions: rejects every request. */
 export class NoVmActions implements VmActions {
   async requestAction(): Promise<VmActionState> {
-    throw new Error('no platform edge for VM actions is set up');
+    throw new Error('no platform plug-in for VM actions is registered');
   }
 }
 
-/** Stands in where no platform edge for leases is wired: no job is started. */
+/**
+ * Fallback without a platform plug-in for leases: rejects every call, so that no job is
+ * started.
+ */
 export class NoLeaseClient implements LeaseClient {
   start(): Promise<TaskReport> {
     return rejectLeaseCall();
@@ -56,5 +59,5 @@
 }
 
 async function rejectLeaseCall(): Promise<never> {
-  throw new Error('no platform edge for leases is set up');
+  throw new Error('no platform plug-in for leases is registered');
 }
--- a/packages/plugin-fleet/src/fleet-publisher.ts
+++ b/packages/plugin-fleet/src/fleet-publisher.ts
@@ -13,7 +13,7 @@
 } from '@gentiandoor/shared-state';
 import type {FleetOptions} from './fleet-options.js';
 
-/** What became of a record. */
+/** Outcome of a published record. */
 export interface PublishResult {
   readonly offset: number;
   /** Undefined when the record took effect. */
@@ -24,10 +24,10 @@
   ? Omit<Entry, 'id'>
   : never;
 
-/** A record that has no id yet. */
+/** A record without its id. */
 export type RecordWithoutId = WithoutId<FleetRecord>;
 
-/** What the publisher needs. */
+/** Components that the publisher depends on. */
 export interface FleetPublisherDependencies {
   readonly clock: Clock;
   readonly logger: Logger;
@@ -35,29 +35,29 @@
   readonly fleetOptions: FleetOptions;
 }
 
-/** Publishes the fleet's records with a time limit on the passed clock. */
+/** Publishes the fleet's records with a timeout on the injected clock. */
 export class FleetPublisher {
   constructor(private readonly dependencies: FleetPublisherDependencies) {}
 
   /**
-   * Resolves when the fold has judged the record. Throws `PlatformLogError` when that is not
-   * known in time: the record may still take effect, and the same id again is safe.
+   * Resolves when the fold has accepted or rejected the record. Throws `PlatformLogError` on a
+   * timeout: the record may still take effect, and publishing the same id again is safe.
    */
   async publish(
-    unnamed: RecordWithoutId,
+    recordWithoutId: RecordWithoutId,
     id: string = randomUUID(),
   ): Promise<PublishResult> {
     const {clock, sharedState, fleetOptions, logger} = this.dependencies;
-    const limit = new AbortController();
+    const timeout = new AbortController();
     const timer = clock.schedule(
       fleetOptions.publish_timeout_milliseconds,
-      () => limit.abort(),
+      () => timeout.abort(),
     );
     try {
-      const record = {...unnamed, id} as FleetRecord;
+      const record = {...recordWithoutId, id} as FleetRecord;
       const {offset, rejection} = await Promise.race([
-        sharedState.publish(record, limit.signal),
-        rejectOnAbort(limit.signal),
+        sharedState.publish(record, timeout.signal),
+        rejectOnAbort(timeout.signal),
       ]);
       if (rejection)
         logger.debug(LogEvent.RecordRejected, {offset, ...rejection});
@@ -68,7 +68,10 @@
   }
 }
 
-/** A publisher that only watches its signal between steps would leave this daemon waiting for ever. */
+/**
+ * Rejects on the timeout: a publisher that checks its signal only between steps would
+ * never settle.
+ */
 function rejectOnAbort(signal: AbortSignal): Promise<never> {
   return new Promise((_, reject) => {
     signal.addEventListener(
@@ -77,7 +80,7 @@
         reject(
           new PlatformLogError(
             PlatformLogFailure.NoResponse,
-            'the log did not judge the record in time',
+            'the outcome of the record was not read back in time',
           ),
         ),
       {once: true},
--- a/packages/plugin-fleet/src/fleet-routes.ts
+++ b/packages/plugin-fleet/src/fleet-routes.ts
@@ -37,7 +37,7 @@
   abort: WaveChange.Abort,
 } as const;
 
-/** What the routes need. */
+/** Components that the routes depend on. */
 export interface FleetRoutesDependencies {
   readonly adminRoutes: AdminRoutes;
   readonly decisionJournal: DecisionJournal;
@@ -46,7 +46,7 @@
   readonly waveForecasts: WaveForecasts;
 }
 
-/** The operators' paths to drains, moves, waves and what is known of the fleet. */
+/** Admin paths for drains, moves, waves and the state of the fleet. */
 export class FleetRoutes {
   constructor(private readonly dependencies: FleetRoutesDependencies) {
     const {adminRoutes} = dependencies;
@@ -54,26 +54,26 @@
       adminRoutes.add(AdminMethod.Get, path, handler);
     const post = (path: FleetPath, handler: AdminHandler) =>
       adminRoutes.add(AdminMethod.Post, path, handler);
-    const {fleetPublisher: publisher, waveForecasts} = dependencies;
+    const {fleetPublisher, waveForecasts} = dependencies;
     post(
       FleetPath.Drains,
-      recordHandler(publisher, drainRequestSchema, drainRecord),
+      recordHandler(fleetPublisher, drainRequestSchema, drainRecord),
     );
     post(
       FleetPath.Returns,
-      recordHandler(publisher, returnRequestSchema, body =>
+      recordHandler(fleetPublisher, returnRequestSchema, body =>
         this.returnRecord(body),
       ),
     );
     post(
       FleetPath.Moves,
-      recordHandler(publisher, moveRequestSchema, body =>
+      recordHandler(fleetPublisher, moveRequestSchema, body =>
         this.moveRecord(body),
       ),
     );
     post(
       FleetPath.Waves,
-      recordHandler(publisher, waveRequestSchema, waveRecord),
+      recordHandler(fleetPublisher, waveRequestSchema, waveRecord),
     );
     get(
       FleetPath.Vms,
--- a/packages/plugin-fleet/src/fleet-service.ts
+++ b/packages/plugin-fleet/src/fleet-service.ts
@@ -5,7 +5,7 @@
 import type {MemberRoutes} from './member-routes.js';
 import type {PlannerLoop} from './planner-loop.js';
 
-/** What the service needs. */
+/** Components that the service depends on. */
 export interface FleetServiceDependencies {
   readonly plannerLoop: PlannerLoop;
   readonly drainAcknowledger: DrainAcknowledger;
@@ -14,7 +14,7 @@
   readonly memberRoutes: MemberRoutes;
 }
 
-/** The fleet's part of a daemon: planner, acknowledgements, operators' paths. */
+/** Runs the fleet plug-in of a daemon: planner, acknowledgements and admin paths. */
 export class FleetService implements Plugin {
   private readonly dependencies: FleetServiceDependencies;
 
@@ -40,7 +40,7 @@
     this.dependencies.drainAcknowledger.start();
   }
 
-  /** Plans no more; acknowledgements go on while exchanges finish. */
+  /** Stops planning; acknowledgements continue while exchanges finish. */
   async drain(): Promise<void> {
     await this.dependencies.plannerLoop.stop();
   }
--- a/packages/plugin-fleet/src/fleet-views.ts
+++ b/packages/plugin-fleet/src/fleet-views.ts
@@ -18,7 +18,7 @@
   WorkBody,
 } from './admin-shapes.js';
 
-/** VMs, all or those of one pool or id. */
+/** Returns all VMs, those of one pool or the one with an id. */
 export function vmBodies(
   state: FleetState,
   query: Readonly<Record<string, string>>,
@@ -66,7 +66,7 @@
   };
 }
 
-/** Pools of the bundle, and those that still own VMs. */
+/** Returns the pools of the bundle and those that still own VMs. */
 export function poolBodies(state: FleetState): PoolBody[] {
   const index = capacityIndexOf(state);
   const pools = state.inForce?.bundle.pools ?? {};
@@ -85,7 +85,7 @@
   });
 }
 
-/** How each service stands against its budget. */
+/** Returns the status of the budget of each service. */
 export function budgetsBody(state: FleetState): BudgetsBody {
   return {
     broken: [...capacityIndexOf(state).brokenServices],
@@ -93,7 +93,7 @@
   };
 }
 
-/** Waves, with a forecast where the pace is known. */
+/** Returns the waves, with a forecast where their pace is known. */
 export function waveBodies(
   state: FleetState,
   forecast: (wave: string) => number | undefined,
@@ -117,7 +117,7 @@
 const DEFAULT_JOB_LIMIT = 100;
 const MAXIMUM_JOB_LIMIT = 10_000;
 
-/** Jobs by key or state, the newest last. */
+/** Returns jobs by key or state, the newest last. */
 export function jobBodies(
   state: FleetState,
   query: Readonly<Record<string, string>>,
@@ -126,8 +126,8 @@
     const job = state.jobs.get(query.key);
     return job ? [jobBody(job)] : [];
   }
-  const asked = Number(query.limit ?? DEFAULT_JOB_LIMIT);
-  const limit = Math.min(Math.max(1, asked || 1), MAXIMUM_JOB_LIMIT);
+  const requestedLimit = Number(query.limit ?? DEFAULT_JOB_LIMIT);
+  const limit = Math.min(Math.max(1, requestedLimit || 1), MAXIMUM_JOB_LIMIT);
   const shown: JobBody[] = [];
   for (const job of state.jobs.values()) {
     if (shown.length >= limit) break;
--- a/packages/plugin-fleet/src/index.ts
+++ b/packages/plugin-fleet/src/index.ts
@@ -26,7 +26,7 @@
 export {FleetPublisher} from './fleet-publisher.js';
 export {WaveForecasts} from './wave-forecasts.js';
 
-/** Registers the fleet: planner, moves, waves, repair, jobs and their admin paths. */
+/** Registers the fleet plug-in: planner, moves, waves, repair, jobs and their admin paths. */
 export function registerFleet(registry: PluginRegistry): void {
   registry.add({
     name: 'fleet',
@@ -54,12 +54,14 @@
 function makePlanner(dependencies: {
   readonly fleetOptions: FleetOptions;
 }): FleetPlanner {
-  const {automatic_waves: isOn, maintenance_period_days: days} =
+  const {automatic_waves: isAutomatic, maintenance_period_days: periodDays} =
     dependencies.fleetOptions;
-  return new FleetPlanner({maintenancePeriodDays: isOn ? days : undefined});
+  return new FleetPlanner({
+    maintenancePeriodDays: isAutomatic ? periodDays : undefined,
+  });
 }
 
-/** Edges that another plug-in registered before this one stand. */
+/** Registers fallbacks; what another plug-in registered earlier stays in place. */
 function registerFallbacks(container: AwilixContainer): void {
   const fallbacks = {
     routingDrain: NoRoutingDrain,
--- a/packages/plugin-fleet/src/job-routes.ts
+++ b/packages/plugin-fleet/src/job-routes.ts
@@ -20,14 +20,14 @@
 import {jobBodies} from './fleet-views.js';
 import type {FleetPublisher, RecordWithoutId} from './fleet-publisher.js';
 
-/** What the routes need. */
+/** Components that the routes depend on. */
 export interface JobRoutesDependencies {
   readonly adminRoutes: AdminRoutes;
   readonly sharedState: SharedState;
   readonly fleetPublisher: FleetPublisher;
 }
 
-/** The paths to submit, look at and cancel jobs. */
+/** Admin paths to submit, list and cancel jobs. */
 export class JobRoutes {
   constructor(private readonly dependencies: JobRoutesDependencies) {
     const {adminRoutes, fleetPublisher, sharedState} = dependencies;
@@ -46,20 +46,23 @@
     );
   }
 
-  /** One record for each `MOST_BATCHED` keys; the answer is that of the last one refused, if any. */
+  /**
+   * Writes one record for each `MAXIMUM_BATCH_ENTRIES` keys; stops at the first one whose
+   * outcome is not known and responds with the outcome of the last one written.
+   */
   private async cancel(body: unknown): Promise<AdminResponse> {
     const parsed = cancelRequestSchema.safeParse(body);
     if (!parsed.success)
       return {status: 400, body: {error: parsed.error.message}};
     const {keys, operator: writer, requestId} = parsed.data;
-    let answer: AdminResponse = {status: 200, body: {}};
+    let response: AdminResponse = {status: 200, body: {}};
     for (let from = 0; from < keys.length; from += MAXIMUM_BATCH_ENTRIES) {
       const batch = keys.slice(from, from + MAXIMUM_BATCH_ENTRIES);
       const id = requestId && `${requestId}/${from}`;
-      answer = await this.cancelBatch(batch, writer, id);
-      if (answer.status === 503) return answer;
+      response = await this.cancelBatch(batch, writer, id);
+      if (response.status === 503) return response;
     }
-    return answer;
+    return response;
   }
 
   private async cancelBatch(
@@ -83,7 +86,7 @@
         body: {
           accepted: false,
           reason: 'log_unavailable',
-          error: `${error.message}; cancel again, what is cancelled stays so`,
+          error: `${error.message}; send the cancellation again, jobs that are already cancelled stay cancelled`,
         },
       };
     }
--- a/packages/plugin-fleet/src/job-runner.ts
+++ b/packages/plugin-fleet/src/job-runner.ts
@@ -18,11 +18,11 @@
 import type {FleetOptions} from './fleet-options.js';
 import type {FleetPublisher} from './fleet-publisher.js';
 
-/** Calls to the platform at one time. */
+/** Maximum number of concurrent calls to the platform. */
 const MAXIMUM_CONCURRENT_CALLS = 32;
-/** A task that is to stop runs on at this share until its checkpoint is written. */
+/** Share at which a task that must stop keeps running until its checkpoint is written. */
 const THROTTLED_SHARE = 0.25;
-/** Starts that may fail before the task is barred and its job placed elsewhere. */
+/** Failed starts after which the task is barred and its job is placed elsewhere. */
 const MAXIMUM_START_ATTEMPTS = 3;
 
 const OUTCOMES: Readonly<Record<TaskState, JobOutcome | undefined>> = {
@@ -34,7 +34,7 @@
   [TaskState.NeverStarted]: JobOutcome.NeverStarted,
 };
 
-/** What the runner needs. */
+/** Components that the runner depends on. */
 export interface JobRunnerDependencies {
   readonly clock: Clock;
   readonly identity: DaemonIdentity;
@@ -45,15 +45,19 @@
   readonly fleetOptions: FleetOptions;
 }
 
-/** Names an attempt towards the platform: the same again is the same task, never a second run. */
+/**
+ * Returns the id of an attempt at the platform: the same id is the same task, never a
+ * second run.
+ */
 export function taskId(job: Job): string {
   return `${job.key}/${job.attempt}`;
 }
 
 /**
- * Runs placed jobs as tasks under leases. Only what was read back as placed is started. A
- * planner that was paused starts the same task id as its successor, so the platform runs it
- * once; a lease that lapsed is an outcome nobody knows, never a reason to start again.
+ * Runs placed jobs as tasks under leases. Only jobs that were read back as placed are
+ * started. A planner that was paused starts the same task id as its successor, so the
+ * platform runs the task once. The outcome of a task whose lease lapsed is unknown; a
+ * lapsed lease is never a reason to start it again.
  */
 export class JobRunner {
   private readonly renewedAt = new Map<string, number>();
@@ -62,7 +66,7 @@
 
   constructor(private readonly dependencies: JobRunnerDependencies) {}
 
-  /** VMs that fail every job they start. */
+  /** Returns the VMs that fail every job they start. */
   faultyVms(): ReadonlySet<string> {
     const {sharedState, fleetPlanner} = this.dependencies;
     return fleetPlanner.faultyVmDetector.faultyVms(
@@ -70,7 +74,10 @@
     );
   }
 
-  /** Starts, renews, stops and reports; does nothing where no job is placed. */
+  /**
+   * Starts, renews and stops tasks and reports their outcomes; does nothing while no job
+   * is placed.
+   */
   async reconcile(
     state: FleetState,
     term: number,
@@ -91,13 +98,13 @@
     );
   }
 
-  /** Starts what was placed since the last round, without asking for reports first. */
+  /** Starts jobs placed since the last round, without requesting reports first. */
   async startNewTasks(state: FleetState, signal: AbortSignal): Promise<void> {
-    const fresh = [...placedJobsByTaskId(state)]
+    const newJobs = [...placedJobsByTaskId(state)]
       .filter(([id]) => !this.renewedAt.has(id) && !this.failedStarts.has(id))
       .map(([, job]) => job)
       .filter(job => !mustStop(state, job));
-    await this.runInBatches(fresh, job => this.startTask(job, signal));
+    await this.runInBatches(newJobs, job => this.startTask(job, signal));
   }
 
   private async reportedTasks(
@@ -107,7 +114,7 @@
       const reports = await this.dependencies.leaseClient.report(signal);
       return new Map(reports.map(report => [report.id, report]));
     } catch {
-      // The platform cannot be asked: leases may lapse, and that is settled when it answers.
+      // The platform is unreachable: leases may lapse; their outcomes are handled once it responds.
       return undefined;
     }
   }
@@ -116,21 +123,20 @@
     placed: ReadonlyMap<string, Job>,
     tasks: ReadonlyMap<string, TaskReport>,
   ): JobReport[] {
-    const {jobSizeEstimator: sizes, faultyVmDetector: failures} =
-      this.dependencies.fleetPlanner;
+    const {jobSizeEstimator, faultyVmDetector} = this.dependencies.fleetPlanner;
     const ended: JobReport[] = [];
     for (const [id, job] of placed) {
       const task = tasks.get(id);
       if (!task) continue;
-      sizes.observe(job.jobClass, task.usage);
+      jobSizeEstimator.observe(job.jobClass, task.usage);
       const outcome = OUTCOMES[task.state];
       if (outcome === undefined) continue;
       const {key, attempt, pool, vm = ''} = job;
       ended.push({key, attempt, outcome});
-      const isVerdict =
+      const isConclusive =
         outcome === JobOutcome.Finished || outcome === JobOutcome.Failed;
-      if (isVerdict)
-        failures.observe(pool, vm, key, outcome === JobOutcome.Failed);
+      if (isConclusive)
+        faultyVmDetector.observe(pool, vm, key, outcome === JobOutcome.Failed);
     }
     return ended;
   }
@@ -156,8 +162,8 @@
     task: TaskReport | undefined,
     signal: AbortSignal,
   ): Promise<void> {
-    const isOver = task !== undefined && task.state !== TaskState.Running;
-    if (isOver) return;
+    const hasEnded = task !== undefined && task.state !== TaskState.Running;
+    if (hasEnded) return;
     if (mustStop(state, job)) return this.stopTask(job, task, signal);
     if (!task) return this.startTask(job, signal);
     return this.renewLease(job, signal);
@@ -167,7 +173,7 @@
     const {leaseClient, fleetOptions} = this.dependencies;
     const id = taskId(job);
     if ((this.failedStarts.get(id) ?? 0) >= MAXIMUM_START_ATTEMPTS) {
-      // Barred first: only then is it certain that no start of it is still on its way.
+      // The stop bars the task id: only then is it certain that no start of it is still in flight.
       await leaseClient.stop(id, signal).catch(() => undefined);
       return;
     }
@@ -191,16 +197,17 @@
   private async renewLease(job: Job, signal: AbortSignal): Promise<void> {
     const {leaseClient, fleetOptions, clock} = this.dependencies;
     const id = taskId(job);
-    const length = fleetOptions.lease_milliseconds;
-    const last = this.renewedAt.get(id) ?? -Infinity;
-    if (clock.monotonicMilliseconds() - last < length / 3) return;
-    await leaseClient.renew(id, length, signal).then(
+    const leaseMilliseconds = fleetOptions.lease_milliseconds;
+    const renewedAt = this.renewedAt.get(id) ?? -Infinity;
+    if (clock.monotonicMilliseconds() - renewedAt < leaseMilliseconds / 3)
+      return;
+    await leaseClient.renew(id, leaseMilliseconds, signal).then(
       () => this.recordRenewal(id),
       () => undefined,
     );
   }
 
-  /** Throttled, then checkpointed, then stopped: what was done is not lost. */
+  /** Throttles, checkpoints and then stops a task, so that its progress is not lost. */
   private async stopTask(
     job: Job,
     task: TaskReport | undefined,
@@ -217,7 +224,7 @@
       }
       await leaseClient.stop(id, signal);
     } catch {
-      // Tried again in the next round.
+      // Retried in the next round.
     } finally {
       this.stoppingTasks.delete(id);
     }
@@ -229,8 +236,8 @@
   }
 
   private pruneUnplacedTasks(placed: ReadonlyMap<string, Job>): void {
-    for (const known of [this.renewedAt, this.failedStarts])
-      for (const id of known.keys()) if (!placed.has(id)) known.delete(id);
+    for (const entries of [this.renewedAt, this.failedStarts])
+      for (const id of entries.keys()) if (!placed.has(id)) entries.delete(id);
   }
 
   private async runInBatches(
@@ -255,7 +262,10 @@
   return placed;
 }
 
-/** Cancelled jobs stop; a drain moves only what may be run again, and waits for the rest. */
+/**
+ * Cancelled jobs must stop; a drain stops only jobs that may run again and waits for the
+ * others.
+ */
 function mustStop(state: FleetState, job: Job): boolean {
   if (job.cancelRequested) return true;
   const work = state.work.get(job.vm ?? '');
--- a/packages/plugin-fleet/src/member-routes.ts
+++ b/packages/plugin-fleet/src/member-routes.ts
@@ -17,7 +17,7 @@
 import {FleetPath, type MemberBody} from './admin-shapes.js';
 import type {FleetPublisher, RecordWithoutId} from './fleet-publisher.js';
 
-/** What the routes need. */
+/** Components that the routes depend on. */
 export interface MemberRoutesDependencies {
   readonly adminRoutes: AdminRoutes;
   readonly identity: DaemonIdentity;
@@ -27,10 +27,10 @@
 }
 
 /**
- * The operators' paths to the daemons themselves. A crashed daemon whose VM the platform still
- * lists holds up every move that waits for its acknowledgement; only an operator can know that
- * it is really stopped. Rests on that one assumption: a daemon that still runs could send a
- * request to a VM that has been given away.
+ * Admin paths for the entry daemons themselves. A crashed daemon whose VM the platform still lists
+ * blocks every move that waits for its acknowledgement, and only an operator can know that it has
+ * really stopped. Removal relies on that one assumption: a daemon that still runs could send a request to a
+ * VM that already belongs to another pool.
  */
 export class MemberRoutes {
   constructor(private readonly dependencies: MemberRoutesDependencies) {
@@ -51,7 +51,7 @@
 
   private members(): MemberBody[] {
     const {state} = this.dependencies.sharedState;
-    const held = vmsAwaitingAcknowledgement(state);
+    const waitingVms = vmsAwaitingAcknowledgement(state);
     const {holder} = plannerOf(state);
     return [...state.members.values()].map(member => ({
       name: member.name,
@@ -60,7 +60,7 @@
       peerAddress: member.peerAddress,
       linked: this.isLinked(member.incarnation),
       plans: member.incarnation === holder,
-      holdsUp: held.get(member.incarnation) ?? [],
+      holdsUp: waitingVms.get(member.incarnation) ?? [],
     }));
   }
 
@@ -79,10 +79,11 @@
       );
     }
     const {incarnation} = member;
-    // The only evidence at hand that the operator is wrong: a daemon that answers is not stopped.
+    // The only available evidence that the operator is wrong: a daemon that responds has
+    // not stopped.
     if (this.isLinked(incarnation)) {
       throw new BadInputError(
-        `${name} runs: the daemon that answers is it or is linked to it; stop it first, then it leaves by itself`,
+        `${name} runs: the daemon that handled this request is that daemon or is linked to it; stop it first, then it leaves by itself`,
       );
     }
     return {kind: RecordKind.MemberLeft, writer, incarnation, reason};
@@ -97,15 +98,15 @@
   }
 }
 
-/** VMs whose planned work waits for a daemon, by incarnation. */
+/** Returns the VMs whose planned work waits for a daemon, by its incarnation. */
 function vmsAwaitingAcknowledgement(state: FleetState): Map<string, string[]> {
-  const held = new Map<string, string[]>();
+  const vmsByIncarnation = new Map<string, string[]>();
   for (const work of state.work.values()) {
     for (const incarnation of outstandingDaemons(state, work)) {
-      const vms = held.get(incarnation) ?? [];
+      const vms = vmsByIncarnation.get(incarnation) ?? [];
       vms.push(work.vm);
-      held.set(incarnation, vms);
+      vmsByIncarnation.set(incarnation, vms);
     }
   }
-  return held;
+  return vmsByIncarnation;
 }
--- a/packages/plugin-fleet/src/planner-loop.ts
+++ b/packages/plugin-fleet/src/planner-loop.ts
@@ -32,12 +32,18 @@
 import type {FleetPublisher, RecordWithoutId} from './fleet-publisher.js';
 import type {WaveForecasts} from './wave-forecasts.js';
 
-/** Records of one part that are published at one time; they share appends by group commit. */
+/**
+ * Records of one planning stage that are published concurrently; they share appends by
+ * group commit.
+ */
 const PUBLISH_BATCH_SIZE = 50;
-/** Wait after a job came for others to come with it: a tenth of what urgent work may wait. */
+/**
+ * Delay after a job arrives, so that jobs arriving together are placed together: a tenth of what
+ * urgent work may wait.
+ */
 const JOB_BATCH_DELAY_MILLISECONDS = 200;
 
-/** What the loop needs. */
+/** Components that the loop depends on. */
 export interface PlannerLoopDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -55,7 +61,10 @@
   readonly fleetOptions: FleetOptions;
 }
 
-/** Plans for the fleet while this daemon holds the term, and takes the term when nobody does. */
+/**
+ * Plans for the fleet while this daemon holds the term, and takes the term when no daemon
+ * holds it.
+ */
 export class PlannerLoop {
   private readonly election: PlannerElection;
   private readonly vmActionTracker: VmActionTracker;
@@ -64,7 +73,7 @@
   private readonly slowDrainReporter = new SlowDrainReporter();
   private heldTerm: number | undefined;
   private wakeController: AbortController | undefined;
-  private seenEnqueued = 0;
+  private lastEnqueueCount = 0;
 
   constructor(private readonly dependencies: PlannerLoopDependencies) {
     const {identity, random, vmActions} = dependencies;
@@ -92,31 +101,34 @@
     }
   }
 
-  /** Rests until the next round is due; new jobs are placed meanwhile. */
+  /** Waits until the next round is due and places new jobs meanwhile. */
   private async placeJobsUntil(due: number): Promise<void> {
     const {clock} = this.dependencies;
     const {signal} = this.stopController;
     for (;;) {
-      const left = due - clock.monotonicMilliseconds();
-      if (left <= 0 || signal.aborted) return;
+      const remaining = due - clock.monotonicMilliseconds();
+      if (remaining <= 0 || signal.aborted) return;
       this.wakeController = new AbortController();
       const wake = AbortSignal.any([signal, this.wakeController.signal]);
-      await sleep(clock, left, wake);
+      await sleep(clock, remaining, wake);
       if (!this.wakeController.signal.aborted) return;
-      // Jobs that come together are placed together.
+      // Jobs that arrive together are placed together.
       await sleep(clock, JOB_BATCH_DELAY_MILLISECONDS, signal);
       await this.runAndLogFailure(() => this.placeJobs());
     }
   }
 
-  /** Urgent jobs start within 1.9 s: they cannot wait for a round of up to two seconds. */
+  /**
+   * Urgent jobs must start within 1.9 s, so they cannot wait for a round that is up to
+   * two seconds away.
+   */
   private wakeForJobs(): void {
     const {sharedState, identity} = this.dependencies;
     const {state} = sharedState;
     if (plannerOf(state).holder !== identity.incarnation) return;
-    const {enqueueCount: enqueued} = jobIndexOf(state);
-    if (enqueued === this.seenEnqueued) return;
-    this.seenEnqueued = enqueued;
+    const {enqueueCount} = jobIndexOf(state);
+    if (enqueueCount === this.lastEnqueueCount) return;
+    this.lastEnqueueCount = enqueueCount;
     this.wakeController?.abort();
   }
 
@@ -132,13 +144,13 @@
     try {
       await step();
     } catch (error) {
-      // The log or the platform is out: what was planned is planned anew from the folded state.
+      // The log or the platform is unavailable: the next round plans again from the folded state.
       const {logger} = this.dependencies;
       logger.debug(LogEvent.FleetDecision, {failedRound: String(error)});
     }
   }
 
-  /** One round: whatever this daemon's role asks for now. */
+  /** Runs one round: takes the term or plans, as the role of this daemon requires. */
   async round(): Promise<void> {
     const {clock, sharedState, waveForecasts} = this.dependencies;
     waveForecasts.observe(sharedState.state);
@@ -182,8 +194,8 @@
     const {signal} = this.stopController;
     await this.vmActionTracker.refresh(sharedState.state, signal);
     await jobRunner.reconcile(sharedState.state, term, signal);
-    for (const part of fleetPlanner.stages) {
-      const proposals = part.plan(this.plannerInput());
+    for (const stage of fleetPlanner.stages) {
+      const proposals = stage.plan(this.plannerInput());
       if (!(await this.publishAll(proposals, term))) return;
     }
     this.reportSlowDrains();
@@ -220,15 +232,15 @@
     };
   }
 
-  /** Publishes in bounded groups; false when this daemon's term is over. */
+  /** Publishes records in batches; returns false when the term of this daemon has ended. */
   private async publishAll(
     proposals: readonly ProposedRecord[],
     term: number,
   ): Promise<boolean> {
     for (let from = 0; from < proposals.length; from += PUBLISH_BATCH_SIZE) {
-      const group = proposals.slice(from, from + PUBLISH_BATCH_SIZE);
+      const batch = proposals.slice(from, from + PUBLISH_BATCH_SIZE);
       const results = await Promise.all(
-        group.map(proposal => this.publishProposal(proposal, term)),
+        batch.map(proposal => this.publishProposal(proposal, term)),
       );
       if (results.includes(RejectionReason.StaleTerm)) return false;
     }
--- a/packages/plugin-fleet/src/vm-action-tracker.ts
+++ b/packages/plugin-fleet/src/vm-action-tracker.ts
@@ -7,31 +7,32 @@
 } from '@gentiandoor/shared-state';
 
 /**
- * Asks the platform for what the log says was asked, and keeps its answers. Only what was
- * read back is asked for; a planner that takes over asks again under the same id.
+ * Requests from the platform the VM actions that are recorded in the log, and keeps its responses.
+ * Only actions that were read back are requested; a planner that takes over requests them again
+ * under the same id.
  */
 export class VmActionTracker {
-  /** Answers by action id. */
+  /** States by action id. */
   readonly states = new Map<string, VmActionState>();
 
   constructor(private readonly vmActions: VmActions) {}
 
   async refresh(state: FleetState, signal: AbortSignal): Promise<void> {
-    const wanted = new Set<string>();
-    const calls: Array<Promise<void>> = [];
+    const requestedIds = new Set<string>();
+    const requests: Array<Promise<void>> = [];
     for (const work of state.work.values()) {
       if (work.step !== PlannedWorkStep.Asked || work.lastAction === undefined)
         continue;
       const id = actionId(work);
-      wanted.add(id);
+      requestedIds.add(id);
       const known = this.states.get(id);
       if (known === VmActionState.Done || known === VmActionState.Failed)
         continue;
-      calls.push(this.request(id, work.vm, work.lastAction, signal));
+      requests.push(this.request(id, work.vm, work.lastAction, signal));
     }
     for (const id of this.states.keys())
-      if (!wanted.has(id)) this.states.delete(id);
-    await Promise.all(calls);
+      if (!requestedIds.has(id)) this.states.delete(id);
+    await Promise.all(requests);
   }
 
   private async request(
@@ -46,7 +47,8 @@
         await this.vmActions.requestAction({id, vm, action}, signal),
       );
     } catch {
-      // No answer is no news: it is asked again in the next round, under the same id.
+      // Without a response the state stays unchanged; the next round repeats the request
+      // under the same id.
     }
   }
 }
--- a/packages/plugin-fleet/src/wave-forecasts.ts
+++ b/packages/plugin-fleet/src/wave-forecasts.ts
@@ -6,11 +6,11 @@
   readonly ended: number;
 }
 
-/** Samples kept of a wave, about one a minute: the forecast follows the last hour. */
+/** Samples kept for each wave, about one a minute, so that the forecast follows the last hour. */
 const MAXIMUM_SAMPLES = 60;
 const SAMPLE_INTERVAL_MILLISECONDS = 60_000;
 
-/** Forecasts the end of waves from the pace that this daemon saw over the last hour. */
+/** Forecasts the end of waves from the pace that this daemon observed over the last hour. */
 export class WaveForecasts {
   private readonly samples = new Map<string, ProgressSample[]>();
   private readonly unfinishedVms = new Map<string, number>();
@@ -20,19 +20,19 @@
     this.clock = dependencies.clock;
   }
 
-  /** Takes a sample of each wave; called once a planning round on every daemon. */
+  /** Takes a sample of each wave; called in every planning round on every daemon. */
   observe(state: FleetState): void {
     const now = this.clock.monotonicMilliseconds();
     for (const wave of state.waves.values()) {
       this.unfinishedVms.set(wave.id, wave.remaining + wave.active);
       const ended = wave.total - wave.remaining - wave.active;
-      const list = this.samples.get(wave.id) ?? [];
-      const last = list.at(-1);
+      const samples = this.samples.get(wave.id) ?? [];
+      const last = samples.at(-1);
       if (last && now - last.atMilliseconds < SAMPLE_INTERVAL_MILLISECONDS)
         continue;
-      list.push({atMilliseconds: now, ended});
-      if (list.length > MAXIMUM_SAMPLES) list.shift();
-      this.samples.set(wave.id, list);
+      samples.push({atMilliseconds: now, ended});
+      if (samples.length > MAXIMUM_SAMPLES) samples.shift();
+      this.samples.set(wave.id, samples);
     }
     for (const id of this.samples.keys()) {
       if (state.waves.has(id)) continue;
@@ -41,17 +41,21 @@
     }
   }
 
-  /** Milliseconds to the end; undefined until some VM has ended. */
+  /**
+   * Returns the milliseconds to the end of a wave; undefined until a VM has ended within
+   * the samples.
+   */
   remainingMilliseconds(wave: string): number | undefined {
-    const list = this.samples.get(wave);
-    const left = this.unfinishedVms.get(wave);
-    if (!list || list.length < 2 || left === undefined) return undefined;
-    const first = list[0];
-    const last = list[list.length - 1];
+    const samples = this.samples.get(wave);
+    const unfinished = this.unfinishedVms.get(wave);
+    if (!samples || samples.length < 2 || unfinished === undefined)
+      return undefined;
+    const first = samples[0];
+    const last = samples[samples.length - 1];
     const ended = last.ended - first.ended;
-    if (ended <= 0) return left === 0 ? 0 : undefined;
+    if (ended <= 0) return unfinished === 0 ? 0 : undefined;
     return Math.round(
-      (left * (last.atMilliseconds - first.atMilliseconds)) / ended,
+      (unfinished * (last.atMilliseconds - first.atMilliseconds)) / ended,
     );
   }
 }
