--- a/packages/coordinator/src/__tests__/cancelled-jobs.test.ts
+++ b/packages/coordinator/src/__tests__/cancelled-jobs.test.ts
@@ -3,17 +3,18 @@
 import {LogStream} from '../index.js';
 import {ANY_CALLER, LASTING_JOB, TestDeployment} from './deployment.js';
 
-const BOUND = 3_000;
+const TIMEOUT = 3_000;
 
-describe('a job that is cancelled', () => {
+describe('a cancelled job', () => {
   describe('while the worker of one of its runs has no entry', () => {
-    // The caller cancels, hears that it is done, and the task runs on for good. The worker sits behind
-    // a cut, its entry has lapsed and the coordinator has changed, so that the run is known but there
-    // is nobody to order about. The cancellation comes; only then does the worker's entry return.
+    // The worker is unreachable, its entry has expired and the coordinator has changed,
+    // so the run is known but there is no session that could send orders. The
+    // cancellation arrives; only then does the worker's entry return. The caller is told
+    // that the job is cancelled, and the task runs on forever.
     it('has its run stopped once the worker is back', async () => {
       const deployment = new TestDeployment(1);
       const first = await deployment.startDaemon('one');
-      await deployment.startLastingJob(first);
+      await deployment.startLongRunningJob(first);
       deployment.store.write(LogStream.Workers, {
         key: 'worker-0',
         value: undefined,
@@ -21,7 +22,11 @@
       first.kill();
       const second = await deployment.startDaemon('two');
       await deployment.run(2_000);
-      const cancelled = second.desk.cancel(LASTING_JOB, BOUND, ANY_CALLER);
+      const cancelled = second.jobIntake.cancel(
+        LASTING_JOB,
+        TIMEOUT,
+        ANY_CALLER,
+      );
       await deployment.run(500);
       await cancelled;
 
--- a/packages/coordinator/src/__tests__/coordinator-election.test.ts
+++ b/packages/coordinator/src/__tests__/coordinator-election.test.ts
@@ -42,8 +42,8 @@
 const WEAK = 0.2;
 const STRONG = 1.35;
 
-/** A strong coordinator was just killed, among weak daemons and one more strong one. */
-async function strongCoordinatorLost(seed: number): Promise<{
+/** Kills a strong coordinator among weak daemons and one more strong one. */
+async function loseStrongCoordinator(seed: number): Promise<{
   all: Candidates;
   weak: readonly Candidate[];
   strong: Candidate;
@@ -60,8 +60,11 @@
   return {all, weak, strong};
 }
 
-/** When the only other daemon takes the term after a strong coordinator was killed. */
-async function leftAlone(strength: number): Promise<{
+/**
+ * Returns when the only other daemon takes the term after a strong coordinator was
+ * killed.
+ */
+async function loseCoordinatorBesideOne(strength: number): Promise<{
   began: readonly number[];
   lostAt: number;
 }> {
@@ -78,22 +81,23 @@
 
 describe('the next term', () => {
   describe('among VMs of several sizes', () => {
-    // Callers wait for seconds, then are turned away. The coordinator's VM is lost, one of the many
-    // small ones is the quickest to take the term, and its processor and link can't carry it.
-    it('goes to a strong VM while one is there', async () => {
+    // The coordinator's VM is lost, one of the many small ones is the quickest to take
+    // the term, and its processor and link can't carry the load. Callers wait for seconds
+    // and are then refused.
+    it('goes to a strong VM while one is available', async () => {
       for (const seed of [100, 200, 300, 400]) {
-        const {all, weak, strong} = await strongCoordinatorLost(seed);
+        const {all, weak, strong} = await loseStrongCoordinator(seed);
         await all.clock.advanceAsync(2_000);
         assert.equal(strong.began.length, 1, `seed ${seed}`);
         assert.ok(weak.every(one => one.began.length === 0));
       }
     });
 
-    // The store is away for seconds, for everybody. When it is back all daemons have long been due, and
-    // the first of many small VMs to reach it took the term.
+    // The store is unavailable for seconds, for all daemons. When it is back all of them
+    // have long been due, and the first of many small VMs to reach it took the term.
     it('goes to a strong VM when the store comes back from an outage', async () => {
       for (const seed of [100, 200, 300, 400]) {
-        const {all, weak, strong} = await strongCoordinatorLost(seed);
+        const {all, weak, strong} = await loseStrongCoordinator(seed);
         const others = [strong, ...weak];
         for (const {store} of others) store.setFault(StoreFault.Refusing);
         await all.clock.advanceAsync(4_000);
@@ -104,16 +108,17 @@
       }
     });
 
-    // All strong VMs are gone for good; a weak coordinator is better than none.
-    it('goes to a weak VM soon after when no strong one takes it', async () => {
-      const {began, lostAt} = await leftAlone(WEAK);
+    // All strong VMs are lost permanently; a weak coordinator is better than none.
+    it('goes to a weak VM soon after if no strong one takes it', async () => {
+      const {began, lostAt} = await loseCoordinatorBesideOne(WEAK);
       assert.equal(began.length, 1);
       assert.ok(began[0] - lostAt < 2_200);
     });
 
-    // Forty daemons that each read every renewal of the term cost the store more calls than all the jobs
-    // of a calm day, and callers are refused where it bounds its calls. Those that would not take the
-    // next term anyway look seldom; the strong ones go on reading each renewal.
+    // Forty daemons that each read every renewal of the term cost the store more calls
+    // than all the jobs of a normal day, and callers are refused where the store limits
+    // its calls. Daemons that would not take the next term anyway read rarely; the strong
+    // ones continue to read each renewal.
     it('is watched closely by strong VMs only', async () => {
       const all = new Candidates();
       const strong = [all.add('strong-0', STRONG), all.add('strong-1', STRONG)];
@@ -128,7 +133,8 @@
       assert.ok((other?.store.reads ?? 0) - beforeOther >= 38);
     });
 
-    // Each daemon tells its strength at its start, and the first one up would not wait for that.
+    // Each daemon publishes its strength at startup, and the first one to start would
+    // not wait for the others to do so.
     it('goes to a strong VM when all start for the first time', async () => {
       const all = new Candidates();
       const weak = Array.from({length: 8}, (_, index) =>
@@ -141,8 +147,8 @@
       assert.ok(weak.every(one => one.began.length === 0));
     });
 
-    // A weak coordinator that is restarted must not take its term again ahead of a strong VM.
-    it('is not taken back by a weak VM that has restarted', async () => {
+    // A restarted weak coordinator must not take its term again ahead of a strong VM.
+    it('is not taken again by a weak VM that has restarted', async () => {
       const all = new Candidates();
       const weak = all.add('weak', WEAK);
       await all.clock.advanceAsync(500);
@@ -157,19 +163,21 @@
   });
 
   describe('among VMs of one size', () => {
-    it('costs no more time than it did without telling strengths', async () => {
-      const {began, lostAt} = await leftAlone(STRONG);
+    it('takes no longer than without published strengths', async () => {
+      const {began, lostAt} = await loseCoordinatorBesideOne(STRONG);
       assert.ok(began[0] - lostAt < 1_650);
     });
 
-    // Nothing starts while nobody gives orders: callers of a burst wait for as long as the term lasts.
+    // Nothing starts without a coordinator: callers of a burst wait for as long as the
+    // term lasts.
     it('goes to another daemon within 1.1 s of the loss of its holder', async () => {
-      const {began, lostAt} = await leftAlone(STRONG);
+      const {began, lostAt} = await loseCoordinatorBesideOne(STRONG);
       assert.ok(began[0] - lostAt < 1_100);
     });
 
-    // A store slowed sixty times over answers in 240 ms. A term as short as on a calm day would run
-    // out between two renewals, and nothing would be ordered for part of each.
+    // A store that is slowed down sixty times responds in 240 ms. A term as short as on a
+    // normal day would expire between two renewals, and no orders could be given for part
+    // of each.
     it('is kept without a gap while the store is slow', async () => {
       const all = new Candidates();
       const holder = all.add('one', STRONG);
@@ -189,7 +197,7 @@
 });
 
 describe('coordinatorStrength', () => {
-  it('is the smaller of what processor and link allow', () => {
+  it('is the smaller of the limits that processor and link set', () => {
     const strong = coordinatorStrength({cores: 1.35, megabitsPerSecond: 200});
     const thin = coordinatorStrength({cores: 1.35, megabitsPerSecond: 10});
     assert.ok(thin < strong);
--- a/packages/coordinator/src/__tests__/crashed-workers.test.ts
+++ b/packages/coordinator/src/__tests__/crashed-workers.test.ts
@@ -20,7 +20,7 @@
   return metrics.value(MetricName.RunEnds, {end}) ?? 0;
 }
 
-describe('a run that is over with its worker', () => {
+describe('a run that ends together with its worker', () => {
   async function startRun(): Promise<{
     deployment: TestDeployment;
     daemon: TestDaemon;
@@ -28,7 +28,7 @@
     const deployment = new TestDeployment(1);
     deployment.behaviours.set('a', behaviour({durationMilliseconds: 30_000}));
     const daemon = await deployment.startDaemon('one');
-    void daemon.desk.submit(job('a', [step({taskCount: 1})]), TIMEOUT);
+    void daemon.jobIntake.submit(job('a', [step({taskCount: 1})]), TIMEOUT);
     await deployment.run(500);
     return {deployment, daemon};
   }
@@ -49,7 +49,7 @@
     assert.equal(endsOf(daemon, RunEnd.Crashed), 0);
   });
 
-  it('counts as lost when the worker had said that it drains', async () => {
+  it('counts as lost when the worker had announced that it drains', async () => {
     const {deployment, daemon} = await startRun();
     const worker = deployment.worker(WORKER);
     assert.ok(worker);
--- a/packages/coordinator/src/__tests__/crashing-tasks.test.ts
+++ b/packages/coordinator/src/__tests__/crashing-tasks.test.ts
@@ -14,13 +14,13 @@
 const TIMEOUT = 3_000;
 const CRASH = behaviour({crashesAfterMilliseconds: 10});
 const TASK = 'bad.0.0.0';
-/** Starts that are allowed after three workers have crashed under a task. */
-const MOST_STARTS_AFTER_THREE = 2;
+/** Maximum number of starts after three workers have crashed while running a task. */
+const MAXIMUM_STARTS_AFTER_THREE = 2;
 const CRASH_GAP_MILLISECONDS = 1_500;
 
 function assertBounded(deployment: TestDeployment, task = TASK): void {
-  const starts = startsAfterCrashes(deployment.begunRuns(), task, 3);
-  assert.ok(starts <= MOST_STARTS_AFTER_THREE, `${task}: ${starts} starts`);
+  const starts = startsAfterCrashes(deployment.startedRuns(), task, 3);
+  assert.ok(starts <= MAXIMUM_STARTS_AFTER_THREE, `${task}: ${starts} starts`);
 }
 
 async function assertState(
@@ -36,9 +36,9 @@
 function submit(
   daemon: TestDaemon,
   id: string,
-  differences: Partial<StepSpecification> = {},
+  overrides: Partial<StepSpecification> = {},
 ): void {
-  void daemon.desk.submit(job(id, [step(differences)]), TIMEOUT);
+  void daemon.jobIntake.submit(job(id, [step(overrides)]), TIMEOUT);
 }
 
 function crashOneOf(deployment: TestDeployment, random: SeededRandom): void {
@@ -54,7 +54,7 @@
 }
 
 describe('a task that crashes its workers', () => {
-  // Guards against a task that takes down one worker after the other without end.
+  // Guards against a task that crashes one worker after the other without end.
   it('is given up, and its job is shown as failed', async () => {
     const deployment = new TestDeployment(4);
     deployment.behaviours.set(TASK, CRASH);
@@ -65,16 +65,16 @@
     await assertState(deployment, daemon, 'bad', JobState.Failed);
   });
 
-  // Guards against a successor that counts from zero.
+  // Guards against a new coordinator that counts crashes from zero.
   it('is given up when each coordinator is killed right after its crash', async () => {
     const deployment = new TestDeployment(4);
     deployment.behaviours.set(TASK, CRASH);
     let daemon = await deployment.startDaemon('one');
     submit(daemon, 'bad');
-    for (let life = 2; life < 12; life++) {
+    for (let incarnation = 2; incarnation < 12; incarnation++) {
       await deployment.run(40);
       daemon.kill();
-      daemon = new TestDaemon(deployment, 'one', String(life));
+      daemon = new TestDaemon(deployment, 'one', String(incarnation));
       daemon.start();
       await deployment.run(3_000);
     }
@@ -83,7 +83,7 @@
     await assertState(deployment, daemon, 'bad', JobState.Failed);
   });
 
-  // Guards against crashes that count only when they follow the start at once.
+  // Guards against counting only the crashes right after a start.
   it('is given up when it crashes late in its run', async () => {
     const deployment = new TestDeployment(4);
     deployment.behaviours.set(
@@ -98,11 +98,11 @@
   });
 
   for (const [kind, differences] of [
-    ['that lasts', {longRunning: true}],
+    ['that is long-running', {longRunning: true}],
     ['of a gang', {gang: true}],
-    ['that saves its progress', {checkpointing: true}],
+    ['that saves checkpoints', {checkpointing: true}],
   ] as const)
-    // Guards against a kind of task that escapes the count.
+    // Guards against a kind of task whose crashes are not counted.
     it(`is given up when it is one ${kind}`, async () => {
       const deployment = new TestDeployment(4);
       deployment.behaviours.set(TASK, CRASH);
@@ -113,8 +113,8 @@
       await assertState(deployment, daemon, 'bad', JobState.Failed);
     });
 
-  // Guards against jobs that are given up for the task that runs beside theirs.
-  it('does not take the jobs beside it down', async () => {
+  // Guards against giving up jobs because of a task that runs on the same worker.
+  it('does not make other jobs fail', async () => {
     const deployment = new TestDeployment(3);
     deployment.behaviours.set(TASK, CRASH);
     const daemon = await deployment.startDaemon('one');
@@ -128,8 +128,9 @@
       await assertState(deployment, daemon, id, JobState.Completed);
   });
 
-  // Guards against a pool with one worker at a time, where all that waits starts together again.
-  it('does not take the jobs beside it down on a single worker', async () => {
+  // Guards against a pool with one worker at a time, where all waiting tasks start
+  // together again.
+  it('does not make other jobs fail on a single worker', async () => {
     const deployment = new TestDeployment(1);
     deployment.behaviours.set(TASK, CRASH);
     const daemon = await deployment.startDaemon('one');
@@ -142,8 +143,8 @@
       await assertState(deployment, daemon, id, JobState.Completed);
   });
 
-  // Guards against a whole class of such jobs, among sound ones of the same queue.
-  it('is given up beside many others of its kind, and sound jobs are not', async () => {
+  // Guards against many such jobs, among healthy ones of the same queue.
+  it('is given up among many others of its kind, and healthy jobs are not', async () => {
     const deployment = new TestDeployment(8);
     const bad = ids('bad', 12);
     const sound = ids('sound', 24);
@@ -164,14 +165,14 @@
   });
 });
 
-describe('workers that are lost in series by other causes', () => {
-  // Guards against jobs that are given up for crashes that no task has caused.
+describe('workers that crash one after the other for other reasons', () => {
+  // Guards against giving up jobs for crashes that no task has caused.
   for (const seed of [1, 2, 3, 4, 5, 6])
-    it(`have no job given up under seed ${seed}`, async () => {
+    it(`cause no job to be given up with seed ${seed}`, async () => {
       const deployment = new TestDeployment(8);
       const random = new SeededRandom(seed);
       const daemon = await deployment.startDaemon('one');
-      await deployment.startLastingJob(daemon, {
+      await deployment.startLongRunningJob(daemon, {
         taskCount: 6,
         maximumPerWorker: 1,
       });
--- a/packages/coordinator/src/__tests__/daemon-readiness.test.ts
+++ b/packages/coordinator/src/__tests__/daemon-readiness.test.ts
@@ -4,7 +4,7 @@
 import {StoreFault} from '../stand-ins/index.js';
 import {TestDeployment, job, type TestDaemon} from './deployment.js';
 
-const BOUND = 3_000;
+const TIMEOUT = 3_000;
 
 async function readyDaemon(): Promise<{
   deployment: TestDeployment;
@@ -13,8 +13,8 @@
 }> {
   const deployment = new TestDeployment(1);
   const daemon = await deployment.startDaemon('one');
-  const {operators, desk} = daemon;
-  const readiness = new DaemonReadiness(operators, desk, () => false);
+  const {operators, jobIntake} = daemon;
+  const readiness = new DaemonReadiness(operators, jobIntake, () => false);
   return {deployment, daemon, readiness};
 }
 
@@ -24,12 +24,13 @@
     assert.equal(readiness.isReady, true);
   });
 
-  // Callers of a data centre that is cut off are refused by its daemons, try again a second later and
-  // meet the next daemon behind the same cut. The balancer knows better places, once it is told.
-  it('sends its callers away once its store is silent, and has them back', async () => {
+  // Callers of a data centre that is cut off from the store are refused by its daemons,
+  // retry a second later and reach the next daemon in the same data centre. The load
+  // balancer can send them elsewhere once it is told.
+  it('becomes unready once its store does not respond, and ready again afterwards', async () => {
     const {deployment, daemon, readiness} = await readyDaemon();
     daemon.store.setFault(StoreFault.Silent);
-    void daemon.desk.submit(job('behind-the-cut'), BOUND);
+    void daemon.jobIntake.submit(job('behind-the-cut'), TIMEOUT);
     await deployment.run(2_000);
     assert.equal(readiness.isReady, false);
     daemon.store.setFault(undefined);
@@ -37,19 +38,19 @@
     assert.equal(readiness.isReady, true);
   });
 
-  it('sends its callers away at once when the store turns it down', async () => {
+  it('becomes unready at once when the store refuses its calls', async () => {
     const {deployment, daemon, readiness} = await readyDaemon();
     daemon.store.setFault(StoreFault.Refusing);
-    void daemon.desk.submit(job('turned-down'), BOUND);
+    void daemon.jobIntake.submit(job('turned-down'), TIMEOUT);
     await deployment.run(400);
     assert.equal(readiness.isReady, false);
   });
 
-  // One lost answer is no reason to send callers elsewhere.
-  it('stays ready when one answer is lost', async () => {
+  // A single lost response is no reason to send callers elsewhere.
+  it('stays ready when one response is lost', async () => {
     const {deployment, daemon, readiness} = await readyDaemon();
     daemon.store.setFault(StoreFault.Refusing);
-    void daemon.desk.submit(job('lost'), BOUND);
+    void daemon.jobIntake.submit(job('lost'), TIMEOUT);
     await deployment.run(10);
     daemon.store.setFault(undefined);
     await deployment.run(400);
--- a/packages/coordinator/src/__tests__/deployment.ts
+++ b/packages/coordinator/src/__tests__/deployment.ts
@@ -42,7 +42,7 @@
   type WorkerConnection,
 } from '../stand-ins/index.js';
 
-/** Records of others in the tests' own format. */
+/** Record formats of the tests: plain JSON. */
 class PlainFormats implements RecordFormats {
   operatorRecord(record: {value: Buffer | undefined}): OperatorRecord {
     return JSON.parse(String(record.value)) as OperatorRecord;
@@ -73,12 +73,12 @@
   isPublicQueue: true,
 };
 const LASTING_JOB_BOUND_MILLISECONDS = 3_000;
-const ROOM = {
+const CAPACITY = {
   processorMillicores: 8_000,
   memoryMegabytes: 64_000,
   accelerators: 0,
 };
-const TASK_ROOM = {
+const TASK_RESOURCES = {
   processorMillicores: 1_000,
   memoryMegabytes: 100,
   accelerators: 0,
@@ -109,23 +109,23 @@
   }
 }
 
-/** One daemon of a test: its own connections, table, desk and term. */
+/** One daemon of a test, with its own connections, job table, intake and term. */
 export class TestDaemon {
   readonly events = new EventCounts();
   readonly store: StoreConnection;
   readonly workers: WorkerConnection;
   readonly table = new JobTable();
   readonly jobs: JobStreams;
-  readonly desk: JobIntake;
+  readonly jobIntake: JobIntake;
   readonly operators: OperatorView;
-  readonly keeper: CoordinatorElection;
+  readonly election: CoordinatorElection;
   readonly parts: CoordinatorParts;
   coordinator: Coordinator | undefined;
 
   constructor(
     deployment: TestDeployment,
     node: string,
-    life = '1',
+    incarnation = '1',
     link = new SimulatedLink(deployment.clock),
   ) {
     const {clock} = deployment;
@@ -140,7 +140,7 @@
       clock,
       logger,
     );
-    this.desk = new JobIntake(
+    this.jobIntake = new JobIntake(
       this.table,
       this.jobs,
       submissions,
@@ -163,11 +163,11 @@
       logger,
       metrics: new MemoryMetrics(),
     };
-    this.keeper = new CoordinatorElection(
+    this.election = new CoordinatorElection(
       this.store,
       {
         node,
-        incarnation: `${node}/${life}`,
+        incarnation: `${node}/${incarnation}`,
         strength: 1,
         isFirstStart: false,
       },
@@ -183,19 +183,19 @@
 
   start(): void {
     this.operators.start();
-    this.keeper.start();
+    this.election.start();
   }
 
-  /** Takes jobs in and never becomes the coordinator. */
+  /** Starts the daemon so that it accepts jobs and never becomes the coordinator. */
   startIntakeOnly(): void {
     this.operators.start();
   }
 
-  /** The process is gone at once, with everything in it. */
+  /** Ends the process abruptly, together with all its state. */
   kill(): void {
     this.operators.stop();
     this.end();
-    // A killed process writes nothing more; the keeper's promise is left behind.
+    // A killed process writes nothing more, and its term is not released.
     this.store.kill();
   }
 
@@ -204,7 +204,7 @@
     this.coordinator = new Coordinator(
       term,
       this.parts,
-      () => this.keeper.isValid,
+      () => this.election.isValid,
     );
     void this.coordinator.run();
   }
@@ -215,19 +215,19 @@
   }
 }
 
-/** A deployment of stand-ins on a virtual clock. */
+/** A deployment of simulated components on a virtual clock. */
 export class TestDeployment {
   readonly clock = new VirtualClock();
   readonly store = new MemoryStore(this.clock);
   readonly workers = new SimulatedWorkers(this.clock);
   readonly fleet = new SimulatedFleet(this.clock);
-  /** By job, or by task where one task behaves otherwise. */
+  /** Behaviour by job, or by task if one task behaves differently. */
   readonly behaviours = new Map<string, TaskBehaviour>();
-  /** What a worker does to all that runs on it. */
+  /** Behaviour by worker, which overrides that of all tasks on the worker. */
   readonly workerBehaviours = new Map<string, Partial<TaskBehaviour>>();
-  /** Set before the workers are added. */
+  /** Must be set before the workers are added. */
   workersEnforceCapacity = true;
-  /** Undefined for a deployment that knows none. */
+  /** Undefined for a deployment without organisations. */
   organisations: readonly Organisation[] | undefined;
   private incarnations = 0;
 
@@ -237,7 +237,10 @@
       this.addWorker(`worker-${index}`, SERVICE);
   }
 
-  /** A link so narrow that a turn of a queue fills it; undefined bandwidth for one that is never full. */
+  /**
+   * Creates a link so slow that a burst of a queue saturates it; undefined bandwidth is
+   * unlimited.
+   */
   link(bytesPerMillisecond?: number): SimulatedLink {
     return new SimulatedLink(this.clock, bytesPerMillisecond);
   }
@@ -253,7 +256,10 @@
     return daemon;
   }
 
-  /** `services`: those with a pool and a queue of their own. */
+  /**
+   * Publishes a configuration; `services` maps queues to the services that have a pool
+   * and a queue of their own.
+   */
   publishConfiguration(
     version: number,
     services: ReadonlyMap<string, string> = new Map([[QUEUE, SERVICE]]),
@@ -289,9 +295,9 @@
     });
   }
 
-  /** A worker with an entry, on a VM of the same name in its pool. */
+  /** Adds a worker with an entry, by default on a VM of the same name in its pool. */
   addWorker(name: string, service: string, onVm = name): SimulatedWorker {
-    const worker = this.beginWorker(name, service);
+    const worker = this.startWorker(name, service);
     this.writeEntry(worker);
     this.fleet.add({
       name: onVm,
@@ -299,22 +305,25 @@
       state: VmState.Up,
       dataCentre: 'one',
       labels: ['rack-1'],
-      capacity: ROOM,
+      capacity: CAPACITY,
       workerId: name,
     });
     return worker;
   }
 
-  /** The worker's room changes while it runs; its entry says so `beatMilliseconds` later. */
-  changeRoom(
+  /**
+   * Changes the worker's capacity while it runs; its entry follows
+   * `entryDelayMilliseconds` later.
+   */
+  changeCapacity(
     id: string,
     processorMillicores: number,
-    beatMilliseconds = 0,
+    entryDelayMilliseconds = 0,
   ): void {
     const worker = this.worker(id);
-    if (!worker) throw new Error(`no worker ${id}`);
+    if (!worker) throw new Error(`worker "${id}" does not exist`);
     worker.capacity = {...worker.capacity, processorMillicores};
-    this.clock.schedule(beatMilliseconds, () => this.writeEntry(worker));
+    this.clock.schedule(entryDelayMilliseconds, () => this.writeEntry(worker));
   }
 
   writeEntry(worker: SimulatedWorker): void {
@@ -324,7 +333,9 @@
     });
   }
 
-  /** The VM order ends the incarnation of the worker on it, and a new one begins. */
+  /**
+   * Makes each VM order end the incarnation of the worker on the VM and begin a new one.
+   */
   linkFleet(): void {
     this.fleet.onOrder = order => {
       const before = this.fleet.vms.get(order.vm);
@@ -333,14 +344,14 @@
       const pool = order.kind === 'move' ? order.to : (before?.pool ?? '');
       const takes = order.kind === 'move' ? 1_500 : 2_000;
       this.clock.schedule(takes, () => {
-        const worker = this.beginWorker(id, pool);
+        const worker = this.startWorker(id, pool);
         this.writeEntry(worker);
       });
       return id;
     };
   }
 
-  /** The worker's incarnation ends without a word; a new one begins on its VM. */
+  /** Ends the worker's incarnation without notice; a new one begins on its VM. */
   crashWorker(id: string): void {
     const vm = [...this.fleet.vms.values()].find(item => item.workerId === id);
     this.worker(id)?.crash();
@@ -348,7 +359,7 @@
     const next = `${vm.name}/${++this.incarnations}`;
     this.fleet.vms.set(vm.name, {...vm, workerId: next});
     this.clock.schedule(1_000, () => {
-      const worker = this.beginWorker(next, vm.pool);
+      const worker = this.startWorker(next, vm.pool);
       this.writeEntry(worker);
     });
   }
@@ -361,40 +372,45 @@
     await this.clock.advanceAsync(milliseconds);
   }
 
-  /** Hands in a job named `lasting` with a long-running step, and lets its tasks start. */
-  async startLastingJob(
+  /** Submits a job named `lasting` with a long-running step, and lets its tasks start. */
+  async startLongRunningJob(
     daemon: TestDaemon,
-    differences: Partial<StepSpecification> = {},
+    overrides: Partial<StepSpecification> = {},
   ): Promise<void> {
     this.behaviours.set(
       LASTING_JOB,
       behaviour({durationMilliseconds: undefined}),
     );
-    const asked = job(LASTING_JOB, [step({longRunning: true, ...differences})]);
-    const submitted = daemon.desk.submit(asked, LASTING_JOB_BOUND_MILLISECONDS);
+    const submission = job(LASTING_JOB, [
+      step({longRunning: true, ...overrides}),
+    ]);
+    const submitted = daemon.jobIntake.submit(
+      submission,
+      LASTING_JOB_BOUND_MILLISECONDS,
+    );
     await this.run(1_000);
     await submitted;
   }
 
-  /** What a daemon says of a job. */
+  /** Returns a daemon's answer about the state of a job. */
   async answerOf(daemon: TestDaemon, jobId: string): Promise<JobAnswer> {
-    const answer = daemon.desk.state(jobId, ANY_CALLER);
+    const answer = daemon.jobIntake.state(jobId, ANY_CALLER);
     await this.run(50);
     return answer;
   }
 
-  /** Every run that any worker began, in order. */
-  begunRuns(): StartedRun[] {
+  /** Returns every run that any worker began, in order. */
+  startedRuns(): StartedRun[] {
     return [...this.workers.byAddress.values()]
       .flatMap(worker => worker.startedRuns)
       .sort((left, right) => left.startedAt - right.startedAt);
   }
 
-  private beginWorker(id: string, service: string): SimulatedWorker {
+  private startWorker(id: string, service: string): SimulatedWorker {
     const worker = new SimulatedWorker(
       id,
       service,
-      ROOM,
+      CAPACITY,
       this.clock,
       (task, on) => this.behaviourOf(task, on),
     );
@@ -408,7 +424,7 @@
     return {
       durationMilliseconds: 500,
       end: RunEnd.Done,
-      resources: TASK_ROOM,
+      resources: TASK_RESOURCES,
       ...(this.behaviours.get(task) ?? this.behaviours.get(job)),
       ...this.workerBehaviours.get(worker),
     };
@@ -431,14 +447,14 @@
   };
 }
 
-/** A step with the given differences from a plain one. */
+/** Returns a plain step with the given overrides. */
 export function step(
-  differences: Partial<StepSpecification> = {},
+  overrides: Partial<StepSpecification> = {},
 ): StepSpecification {
-  return {...PLAIN_STEP, ...differences};
+  return {...PLAIN_STEP, ...overrides};
 }
 
-/** A job of the given steps. */
+/** Returns a job with the given steps. */
 export function job(
   id: string,
   steps: readonly StepSpecification[] = [step()],
@@ -453,14 +469,14 @@
   };
 }
 
-/** Behaviour of the tasks of a job. */
+/** Returns a plain task behaviour with the given overrides. */
 export function behaviour(
-  differences: Partial<TaskBehaviour> = {},
+  overrides: Partial<TaskBehaviour> = {},
 ): TaskBehaviour {
   return {
     durationMilliseconds: 500,
     end: RunEnd.Done,
-    resources: TASK_ROOM,
-    ...differences,
+    resources: TASK_RESOURCES,
+    ...overrides,
   };
 }
--- a/packages/coordinator/src/__tests__/dispatcher.test.ts
+++ b/packages/coordinator/src/__tests__/dispatcher.test.ts
@@ -9,10 +9,11 @@
 import {SERVICE, job} from './deployment.js';
 
 describe('Dispatcher', () => {
-  // Callers of everything else wait longer and longer. Each round of placement set a timer of its own
-  // for a job that is due later, each timer led to a round, and none of them ever became fewer: after a
-  // busy second the coordinator went on with a hundred rounds a second for nothing.
-  it('looks at a job that is due later once a second, however busy it was', async () => {
+  // Each round of placement set a timer of its own for a job that is due later, each
+  // timer led to a round, and their number never decreased: after a busy second the
+  // coordinator continued with a hundred useless rounds a second. Callers of everything
+  // else waited longer and longer.
+  it('checks a job that is due later once a second, however busy it was before', async () => {
     const clock = new VirtualClock();
     let rounds = 0;
     const dispatcher = new Dispatcher(
--- a/packages/coordinator/src/__tests__/evacuation.test.ts
+++ b/packages/coordinator/src/__tests__/evacuation.test.ts
@@ -5,23 +5,24 @@
 import {TestDeployment} from './deployment.js';
 
 const STOP_MILLISECONDS = 900;
-/** Too short for VMs that don't idle by themselves: they are emptied at once. */
+/** Too short to wait until VMs are idle by themselves: they are evacuated at once. */
 const SHORT_WAVE_MILLISECONDS = 3_000;
 
-describe('a VM that is emptied for maintenance', () => {
+describe('a VM that is evacuated for maintenance', () => {
   describe('when the coordinator changes while a run is being stopped', () => {
-    // A service that may miss one task misses two. The coordinator has one task of the step stopped
-    // and gives its term back; the worker takes its time and lists the run as at work meanwhile. The
-    // next coordinator takes the step for whole and has a second task stopped.
+    // The coordinator has one task of the step stopped and releases its term; the worker
+    // takes its time and meanwhile lists the run as alive. The next coordinator considers
+    // the step complete and has a second task stopped: a service that may miss one task
+    // misses two.
     it('loses no second task of the step before the first is back', async () => {
       const deployment = new TestDeployment(2);
       const first = await deployment.startDaemon('one');
-      await deployment.startLastingJob(first, {
+      await deployment.startLongRunningJob(first, {
         taskCount: 2,
         maximumPerWorker: 1,
         mayMiss: 1,
       });
-      // The polls that wait show the tasks at work.
+      // The long polls show the tasks as running.
       await deployment.run(2_000);
       const [kept, stopped] = [
         workerOf(deployment, 'worker-0'),
@@ -30,30 +31,31 @@
       assert.equal(kept.running.length, 1);
       assert.equal(stopped.running.length, 1);
       stopped.stopMilliseconds = STOP_MILLISECONDS;
-      askForWave(deployment, 1, kept.id, 60_000);
-      askForWave(deployment, 2, stopped.id, SHORT_WAVE_MILLISECONDS);
+      requestWave(deployment, 1, kept.id, 60_000);
+      requestWave(deployment, 2, stopped.id, SHORT_WAVE_MILLISECONDS);
       for (let tries = 0; tries < 100 && stopped.stopsAsked === 0; tries++)
         await deployment.run(10);
       assert.equal(stopped.stopsAsked, 1);
-      void first.keeper.stop();
+      void first.election.stop();
       // The operators shorten the first wave, so that the next coordinator begins with it.
-      askForWave(deployment, 1, kept.id, SHORT_WAVE_MILLISECONDS);
+      requestWave(deployment, 1, kept.id, SHORT_WAVE_MILLISECONDS);
       const second = await deployment.startDaemon('two');
       await deployment.run(400);
 
       assert.ok(second.coordinator);
-      assert.equal(stopped.running.length, 1, 'the stop is still under way');
+      assert.equal(stopped.running.length, 1, 'the stop is still in progress');
       assert.equal(kept.stopsAsked, 0);
     });
   });
 
   describe('when its worker has no entry', () => {
-    // A service loses its tasks at once. The worker sits behind a cut, its entry has lapsed and the
-    // coordinator has changed: no session with it is known, and nothing seems to run on its VM.
+    // The worker is unreachable, its entry has expired and the coordinator has changed:
+    // no session with it is known, and nothing seems to run on its VM. Maintaining the VM
+    // would make a service lose its tasks at once.
     it('is not maintained while tasks may run on it', async () => {
       const deployment = new TestDeployment(1);
       const first = await deployment.startDaemon('one');
-      await deployment.startLastingJob(first, {mayMiss: 1});
+      await deployment.startLongRunningJob(first, {mayMiss: 1});
       const worker = workerOf(deployment, 'worker-0');
       deployment.store.write(LogStream.Workers, {
         key: worker.id,
@@ -62,12 +64,13 @@
       first.kill();
       const second = await deployment.startDaemon('two');
       second.workers.setFault(worker.id, WorkerFault.Cut);
-      askForWave(deployment, 1, worker.id, 20_000);
+      requestWave(deployment, 1, worker.id, 20_000);
       await deployment.run(5_000);
       assert.ok(second.coordinator);
       assert.deepEqual(deployment.fleet.orders, []);
 
-      // The worker never comes back: its VM can be maintained once nothing can be alive on it.
+      // The worker never comes back: its VM can be maintained once no run on it can be
+      // alive.
       await deployment.run(8_000);
       assert.equal(deployment.fleet.orders.length, 1);
     });
@@ -80,7 +83,7 @@
   return worker;
 }
 
-function askForWave(
+function requestWave(
   deployment: TestDeployment,
   number: number,
   vm: string,
--- a/packages/coordinator/src/__tests__/job-streams.test.ts
+++ b/packages/coordinator/src/__tests__/job-streams.test.ts
@@ -16,11 +16,11 @@
 import {MemoryStore, StoreFault} from '../stand-ins/index.js';
 import {job} from './deployment.js';
 
-/** Counts how many first reads are under way at once. */
+/** Counts how many initial reads are in flight at once. */
 class CountedReads implements RecordLog {
-  most = 0;
+  maximumInFlight = 0;
   total = 0;
-  private underWay = 0;
+  private inFlight = 0;
 
   constructor(private readonly log: RecordLog) {}
 
@@ -46,9 +46,9 @@
     partition?: number,
   ): Promise<NewestByKeyResult> {
     this.total++;
-    this.most = Math.max(this.most, ++this.underWay);
+    this.maximumInFlight = Math.max(this.maximumInFlight, ++this.inFlight);
     const result = await this.log.newestByKey(stream, partition);
-    this.underWay--;
+    this.inFlight--;
     return result;
   }
 }
@@ -64,19 +64,20 @@
 }
 
 describe('JobStreams', () => {
-  // All daemons lose power at once. Each reads every job of the last minutes, seven streams side by side
-  // over the same link and store; none is done within its bound, all begin again, for good.
-  it('reads one stream after the other at the start, whoever asks', async () => {
+  // All daemons lose power at once. Each reads every job of the last minutes, seven
+  // streams in parallel over the same link and store; none completes within its timeout,
+  // and all start over, forever.
+  it('reads one stream after the other at startup, whoever requests it', async () => {
     const {clock, log, jobs} = streams();
     void jobs.refreshStale();
     void jobs.refresh();
     for (const id of ['a', 'b', 'c', 'd']) void jobs.refreshJob(id);
     await clock.advanceAsync(1_000);
-    assert.equal(log.most, 1);
+    assert.equal(log.maximumInFlight, 1);
     assert.ok(log.total >= 1 + SUBMISSION_PARTITIONS);
   });
 
-  it('goes on after a first read that failed', async () => {
+  it('continues after an initial read that failed', async () => {
     const {clock, connection, jobs} = streams();
     connection.setFault(StoreFault.Refusing);
     const failed = jobs.refresh();
@@ -88,7 +89,7 @@
     assert.equal(await read, true);
   });
 
-  it('finds a job that was handed in elsewhere with the reads of its own partition', async () => {
+  it('finds a job that was submitted elsewhere by reading its own partition', async () => {
     const {clock, store, table, jobs} = streams();
     void jobs.refresh();
     await clock.advanceAsync(1_000);
--- a/packages/coordinator/src/__tests__/learned-demand-store.test.ts
+++ b/packages/coordinator/src/__tests__/learned-demand-store.test.ts
@@ -24,7 +24,7 @@
   return {clock, store, logger, coordinator};
 }
 
-function teach(demand: ServiceDemand): void {
+function recordObservations(demand: ServiceDemand): void {
   demand.note('service', {...job('a', [ESTIMATED]), queue: QUEUE}, 0);
   for (let index = 0; index < 40; index++)
     demand.noteDuration(
@@ -36,13 +36,14 @@
   demand.noteStartDelay(120);
 }
 
-describe('LearnedFigures', () => {
-  // The coordinator is lost in the middle of a turn. Its successor reckons with the callers' estimates, four
-  // times too long here: it orders jobs and sizes pools by them until a second of its own runs has ended.
-  it('hands what was learned of run times to the next coordinator', async () => {
+describe('LearnedDemandStore', () => {
+  // The coordinator is lost during a burst. Its successor would use the callers'
+  // estimates, four times too long here: it would order jobs and size pools by them until
+  // a second of its own runs has ended.
+  it('passes the learned run times on to the next coordinator', async () => {
     const {clock, coordinator} = setUp();
     const first = coordinator();
-    teach(first.demand);
+    recordObservations(first.demand);
     first.learned.start();
     await clock.advanceAsync(2_500);
     first.learned.close();
@@ -58,14 +59,14 @@
   it('writes only when something new was learned', async () => {
     const {clock, store, coordinator} = setUp();
     const {demand, learned} = coordinator();
-    teach(demand);
+    recordObservations(demand);
     learned.start();
     await clock.advanceAsync(20_000);
     learned.close();
     assert.equal(store.calls.append, 1);
   });
 
-  it('begins with the estimates when the store does not answer', async () => {
+  it('begins with the estimates when the store does not respond', async () => {
     const {clock, coordinator} = setUp();
     const {demand, connection, learned} = coordinator();
     connection.setFault(StoreFault.Refusing);
@@ -76,14 +77,14 @@
   });
 
   for (const [what, value] of [
-    ['cut short', '{"startDelay":{'],
+    ['that is truncated', '{"startDelay":{'],
     ['without figures', '{"startDelay":{"count":1,"mean":2}}'],
     [
-      'with a figure that is none',
+      'with an invalid figure',
       '{"startDelay":{"count":1,"mean":null},"durations":[],"spreads":[],"work":[]}',
     ],
   ])
-    it(`leaves out a record that is ${what}`, async () => {
+    it(`ignores a record ${what}`, async () => {
       const {clock, store, logger, coordinator} = setUp();
       store.write(LogStream.Fleet, {
         key: 'learned',
--- a/packages/coordinator/src/__tests__/observed-run.test.ts
+++ b/packages/coordinator/src/__tests__/observed-run.test.ts
@@ -6,16 +6,13 @@
 import {canStall, toObservedRun} from '../observed-run.js';
 import {job, step} from './deployment.js';
 
-function liveRun(
-  differences: Partial<LiveRun>,
-  specification = step(),
-): LiveRun {
+function liveRun(overrides: Partial<LiveRun>, specification = step()): LiveRun {
   const execution = new JobExecution(job('a', [specification]), {
     state: JobState.Running,
     tasks: new Map(),
   });
-  const [taskOfJob] = execution.readyTasks(0);
-  const planned = newLiveRun(execution, taskOfJob, {
+  const [executableTask] = execution.readyTasks(0);
+  const planned = newLiveRun(execution, executableTask, {
     run: 1,
     plannedAt: 0,
     weight: 1,
@@ -25,26 +22,27 @@
     status: RunStatus.Ordered,
     orderAnsweredAt: Infinity,
   });
-  return {...planned, ...differences};
+  return {...planned, ...overrides};
 }
 
-describe('a run that is watched for standing still', () => {
-  // The store is slow and keeps the plan of a run for 1.6 s; its order is sent then, and a poll shows
-  // it before the order is answered. Counted from the plan it had stood still for all that time, was
-  // stopped at once, and its sound worker taken for a suspect.
-  it('counts from its order, not from its plan', () => {
+describe('stall detection of a run', () => {
+  // The store is slow and takes 1.6 s to store the plan of a run; only then is its order
+  // sent, and a poll shows the run before the order is answered. Measured from the plan
+  // it had stalled for all that time: it was stopped at once, and its healthy worker
+  // became suspect.
+  it('measures from the order, not from the plan', () => {
     const run = liveRun({orderedAt: 1_646});
     assert.equal(isStalled(toObservedRun(run, 1_656)), false);
     assert.equal(isStalled(toObservedRun(run, 3_300)), true);
   });
 
-  it('counts from its last progress', () => {
+  it('measures from the last progress', () => {
     const run = liveRun({orderedAt: 10, percent: 40, percentChangedAt: 2_000});
     assert.equal(isStalled(toObservedRun(run, 2_300)), false);
     assert.equal(isStalled(toObservedRun(run, 2_700)), true);
   });
 
-  it('is none that lasts, is slowed on purpose, is being stopped or waits for its gang', () => {
+  it('ignores runs that are long-running, slowed on purpose, being stopped or waiting for their gang', () => {
     assert.equal(canStall(liveRun({})), true);
     assert.equal(canStall(liveRun({stopsOnStall: false})), false);
     assert.equal(canStall(liveRun({stopRequested: true})), false);
--- a/packages/coordinator/src/__tests__/overload.test.ts
+++ b/packages/coordinator/src/__tests__/overload.test.ts
@@ -8,7 +8,7 @@
   step,
 } from './deployment.js';
 
-const BOUND = 3_000;
+const TIMEOUT = 3_000;
 
 async function submit(
   deployment: TestDeployment,
@@ -17,13 +17,13 @@
 ): Promise<void> {
   const submittedAtMilliseconds = deployment.clock.wallMilliseconds();
   const answers = jobs.map(one =>
-    daemon.desk.submit({...one, submittedAtMilliseconds}, BOUND),
+    daemon.jobIntake.submit({...one, submittedAtMilliseconds}, TIMEOUT),
   );
   await deployment.run(50);
   await Promise.all(answers);
 }
 
-/** Hands in more work than the workers hold, for some seconds. */
+/** Submits more work than the workers can hold, for some seconds. */
 async function overload(
   deployment: TestDeployment,
   daemon: TestDaemon,
@@ -40,7 +40,7 @@
   }
 }
 
-function lastingJob(id: string, taskCount: number) {
+function longRunningJob(id: string, taskCount: number) {
   return job(id, [
     step({
       taskCount,
@@ -52,10 +52,11 @@
 }
 
 describe('under overload', () => {
-  // A review that has run for seconds loses a task with its worker. The job is older than any
-  // objective by then, so its task came behind all work that could still be in time, and with work
-  // for twice the room there was always some: the review stood still for as long as that lasted.
-  it('starts a task that lasts again before the work that waits', async () => {
+  // A long-running job that has run for seconds loses a task with its worker. The job is
+  // older than any objective by then, so its task ranked behind all work that could still
+  // be in time, and with work for twice the capacity there was always some: the job made
+  // no progress for as long as that lasted.
+  it('restarts a long-running task before waiting work', async () => {
     const deployment = new TestDeployment(2);
     deployment.linkFleet();
     deployment.behaviours.set(
@@ -63,7 +64,7 @@
       behaviour({durationMilliseconds: undefined}),
     );
     const daemon = await deployment.startDaemon('one');
-    await submit(deployment, daemon, [lastingJob('lasting', 2)]);
+    await submit(deployment, daemon, [longRunningJob('lasting', 2)]);
     await overload(deployment, daemon, 12);
     deployment.clock.schedule(300, () => deployment.crashWorker('worker-1'));
     await overload(deployment, daemon, 5);
@@ -73,8 +74,9 @@
     assert.equal(alive.length, 2);
   });
 
-  // Callers of short work wait although workers are free. Each task of a step that has found all
-  // the workers that its bound allows counted as a sign of a full pool, and a dozen ended the round.
+  // Each task of a step that had found all the workers that its limit allows counted as a
+  // sign of a full pool, and a dozen ended the round. Callers of short work waited
+  // although workers were free.
   it('places other work beside a step that waits for more workers', async () => {
     const deployment = new TestDeployment(2);
     deployment.behaviours.set(
@@ -82,11 +84,11 @@
       behaviour({durationMilliseconds: undefined}),
     );
     const daemon = await deployment.startDaemon('one');
-    await submit(deployment, daemon, [lastingJob('lasting', 20)]);
+    await submit(deployment, daemon, [longRunningJob('lasting', 20)]);
     await submit(deployment, daemon, [job('short')]);
     await deployment.run(1_000);
     const short = deployment
-      .begunRuns()
+      .startedRuns()
       .filter(run => run.task.startsWith('short'));
     assert.equal(short.length, 1);
   });
--- a/packages/coordinator/src/__tests__/pools.test.ts
+++ b/packages/coordinator/src/__tests__/pools.test.ts
@@ -11,9 +11,9 @@
   step,
 } from './deployment.js';
 
-const BOUND = 3_000;
+const TIMEOUT = 3_000;
 
-async function turn(
+async function submitBurst(
   deployment: TestDeployment,
   daemon: TestDaemon,
   seconds: number,
@@ -21,15 +21,19 @@
   for (let tick = 0; tick < 10 * seconds; tick++) {
     const submittedAtMilliseconds = deployment.clock.wallMilliseconds();
     const id = `job-${submittedAtMilliseconds}`;
-    const asked = {...job(id, [step({taskCount: 4})]), submittedAtMilliseconds};
-    void daemon.desk.submit(asked, BOUND);
+    const submission = {
+      ...job(id, [step({taskCount: 4})]),
+      submittedAtMilliseconds,
+    };
+    void daemon.jobIntake.submit(submission, TIMEOUT);
     await deployment.run(100);
   }
 }
 
 describe('a pool whose tasks need much memory', () => {
-  // Callers wait although a dozen VMs are off. Two tasks fill the memory of a VM and a quarter of its
-  // processor; reckoned by the processor alone the pool seemed to have room for six more on each.
+  // Two tasks fill the memory of a VM and a quarter of its processor; judged by the
+  // processor alone the pool seemed to have capacity for six more on each. Callers wait
+  // although a dozen VMs are off.
   it('is given VMs as its memory fills', async () => {
     const deployment = new TestDeployment(2);
     deployment.linkFleet();
@@ -42,34 +46,35 @@
       memoryMegabytes: 32_000,
     });
     const submittedAtMilliseconds = deployment.clock.wallMilliseconds();
-    void daemon.desk.submit(
+    void daemon.jobIntake.submit(
       {...job('large', [large]), submittedAtMilliseconds},
-      BOUND,
+      TIMEOUT,
     );
     await deployment.run(600);
-    const fetched = deployment.fleet.orders.filter(
+    const movedToPool = deployment.fleet.orders.filter(
       order => order.to === SERVICE,
     );
-    assert.ok(fetched.length >= 4, `${fetched.length}`);
+    assert.ok(movedToPool.length >= 4, `${movedToPool.length}`);
   });
 });
 
 describe('a pool whose tasks may not share a VM', () => {
-  // Two of three tasks of a job that lasts are away for half a minute. They ask for a tenth of a VM each, so
-  // the pool seems large enough; it is enlarged by one VM, and by the next only when that one has come.
-  it('is given all the VMs that they need at once', async () => {
+  // Two of three tasks of a long-running job are missing for half a minute. They request
+  // a tenth of a VM each, so the pool seems large enough; it is enlarged by one VM, and
+  // by the next only once that one has arrived.
+  it('is given all the VMs that its tasks need at once', async () => {
     const deployment = new TestDeployment(2);
     deployment.linkFleet();
     for (let index = 0; index < 20; index++)
       deployment.addWorker(`spare-${index}`, STANDBY);
     const daemon = await deployment.startDaemon('one');
-    await deployment.startLastingJob(daemon, {
+    await deployment.startLongRunningJob(daemon, {
       taskCount: 12,
       processorMillicores: 100,
       maximumPerWorker: 1,
     });
     await deployment.run(2_500);
-    assert.equal(deployment.begunRuns().length, 12);
+    assert.equal(deployment.startedRuns().length, 12);
   });
 });
 
@@ -78,7 +83,7 @@
     return deployment.fleet.orders.filter(order => order.to === STANDBY).length;
   }
 
-  async function inATurn(): Promise<{
+  async function deploymentInBurst(): Promise<{
     deployment: TestDeployment;
     daemon: TestDaemon;
   }> {
@@ -86,14 +91,15 @@
     deployment.linkFleet();
     deployment.addWorker('spare-0', STANDBY);
     const daemon = await deployment.startDaemon('one');
-    await turn(deployment, daemon, 4);
+    await submitBurst(deployment, daemon, 4);
     return {deployment, daemon};
   }
 
-  // Callers are refused while the jobs can't be written and come back all at once. Meanwhile nothing
-  // seemed to arrive, the VMs were given back one after the other, and the callers found none.
+  // Callers are refused while the jobs can't be written and come back all at once.
+  // Meanwhile nothing seemed to arrive, the VMs were released one after the other, and
+  // the callers found none.
   it('keeps its VMs while the jobs can’t be read', async () => {
-    const {deployment, daemon} = await inATurn();
+    const {deployment, daemon} = await deploymentInBurst();
     daemon.store.setFault(StoreFault.Refusing, LogStream.Submissions);
     await deployment.run(1_000);
     const before = released(deployment);
@@ -101,8 +107,8 @@
     assert.equal(released(deployment), before);
   });
 
-  it('gives its VMs back when its turn is over', async () => {
-    const {deployment} = await inATurn();
+  it('releases its VMs when its burst is over', async () => {
+    const {deployment} = await deploymentInBurst();
     await deployment.run(6_000);
     assert.ok(released(deployment) > 0);
   });
--- a/packages/coordinator/src/__tests__/random-faults.test.ts
+++ b/packages/coordinator/src/__tests__/random-faults.test.ts
@@ -8,46 +8,53 @@
 
 const SEEDS = Number(process.env.GENTIANDOOR_FAULT_SEEDS ?? 12);
 const FIRST_SEED = Number(process.env.GENTIANDOOR_FIRST_SEED ?? 1);
-/** 77076: an end as failed is read 14 s late from a worker whose lease has lapsed meanwhile; it does not count.
- * 504: a job has failed on the two workers with room, the others are full of tasks that last. */
+/**
+ * 77076: a failed end is read 14 s late from a worker whose lease has expired meanwhile;
+ * it does not count.
+ * 504: a job has failed on the two workers with capacity, the others are full of
+ * long-running tasks.
+ */
 const KEPT_SEEDS = [77_076, 504];
 
-// Daemons are killed and restarted, cut from the store or told nothing by it, workers are cut, crash,
-// take orders late or lose answers, in any order and overlapping. Callers must see each job run once,
-// never one that was refused, and all of them at their end when the faults are over.
+// Daemons are killed and restarted, partitioned from the store or get no response from
+// it; workers are unreachable, crash, carry out orders late or lose responses, in any
+// order and overlapping. Each job must run once, refused jobs must never run, and all
+// accepted jobs must have ended once the faults are over.
 describe('random faults', () => {
   const fresh = Array.from({length: SEEDS}, (_, index) => FIRST_SEED + index);
   for (const seed of new Set([...KEPT_SEEDS, ...fresh]))
-    it(`break no promise under seed ${seed}`, async () => {
+    it(`violate no guarantee with seed ${seed}`, async () => {
       const run = await playRandomFaults(seed);
-      assert.deepEqual(run.broken, []);
+      assert.deepEqual(run.violations, []);
       assert.ok(run.started > 0);
     });
 });
 
-// The same faults with many jobs of an organisation that may run a few tasks at a time. Its callers' jobs
-// must all come to their end, and never may more of their tasks be alive than its limit allows: not beside late
-// orders, silent workers or runs that an earlier coordinator ordered.
+// The same faults with many jobs of an organisation that may run a few tasks at a time.
+// All its jobs must come to their end, and never may more of its tasks be alive than its
+// limit allows: not beside late orders, silent workers or runs that an earlier
+// coordinator ordered.
 describe('random faults with a limit on an organisation', () => {
   const limits = [2, 3, 5];
   for (let index = 0; index < SEEDS; index++) {
     const seed = FIRST_SEED + index;
     const limit = limits[seed % limits.length];
-    it(`break no promise under seed ${seed}, limit ${limit}`, async () => {
+    it(`violate no guarantee with seed ${seed}, limit ${limit}`, async () => {
       const run = await playLimitedFaults(seed, limit);
-      assert.deepEqual(run.broken, []);
+      assert.deepEqual(run.violations, []);
       assert.ok(run.started > 0);
     });
   }
 });
 
-// Guards against a task that crashes its workers and is started without end, beside any other fault.
+// Guards against a task that crashes its workers and is started without end, in
+// combination with any other fault.
 describe('random faults with tasks that crash their workers', () => {
   for (let index = 0; index < SEEDS; index++) {
     const seed = FIRST_SEED + index;
-    it(`break no promise under seed ${seed}`, async () => {
+    it(`violate no guarantee with seed ${seed}`, async () => {
       const run = await playCrashingFaults(seed);
-      assert.deepEqual(run.broken, []);
+      assert.deepEqual(run.violations, []);
       assert.ok(run.started > 0);
     });
   }
--- a/packages/coordinator/src/__tests__/random-faults.ts
+++ b/packages/coordinator/src/__tests__/random-faults.ts
@@ -24,17 +24,20 @@
 const FAULT_ROUNDS = 14;
 const CALM_MILLISECONDS = 40_000;
 const SUBMIT_BOUND_MILLISECONDS = 3_000;
-/** Of the queue that all jobs go to. */
+/** Maximum attempts of the queue that all jobs go to. */
 const MAXIMUM_ATTEMPTS = 3;
 const CRASHING_JOBS_EVERY = 6;
 const CRASH_MILLISECONDS = 10;
-/** Workers that have crashed under a task, and starts that may follow. */
+/**
+ * Number of worker crashes after which a task counts as crashing, and of the starts that
+ * may follow.
+ */
 const CRASHES_COUNTED = 3;
-const MOST_STARTS_AFTER_CRASHES = 2;
+const MAXIMUM_STARTS_AFTER_CRASHES = 2;
 
-/** What a seeded run of faults broke; empty when every promise held. */
+/** Result of a seeded run of faults; `violations` is empty if every guarantee held. */
 export interface RandomRun {
-  readonly broken: readonly string[];
+  readonly violations: readonly string[];
   readonly started: number;
   readonly taken: number;
 }
@@ -42,18 +45,24 @@
 interface Submitted {
   readonly id: string;
   readonly answers: SubmitAnswer[];
-  /** A try that a killed daemon never answered is no refusal. */
+  /** Attempts to submit; one that a killed daemon never answered is not a refusal. */
   attempts: number;
   readonly tasks: number;
   longRunning: boolean;
 }
 
-/** Plays random faults on a deployment of stand-ins, then calm, and checks the promises. */
+/**
+ * Runs random faults on a simulated deployment, then a calm period, and checks the
+ * guarantees.
+ */
 export async function playRandomFaults(seed: number): Promise<RandomRun> {
   return new RandomFaults(seed).play();
 }
 
-/** The same with every other job of an organisation that may run so many tasks at a time. */
+/**
+ * Runs random faults with every other job owned by an organisation that may run at most
+ * `taskLimit` tasks at a time.
+ */
 export async function playLimitedFaults(
   seed: number,
   taskLimit: number,
@@ -61,7 +70,9 @@
   return new RandomFaults(seed, taskLimit).play();
 }
 
-/** The same with some jobs whose first task crashes each worker that starts it. */
+/**
+ * Runs random faults with some jobs whose first task crashes each worker that starts it.
+ */
 export async function playCrashingFaults(seed: number): Promise<RandomRun> {
   return new RandomFaults(seed, undefined, new SeededRandom(seed)).play();
 }
@@ -81,7 +92,10 @@
   constructor(
     seed: number,
     private readonly taskLimit?: number,
-    /** Picks the jobs that crash workers, apart from `random`: the other faults stay those of the seed. */
+    /**
+     * Selects the jobs that crash workers. Separate from `random`, so that the other
+     * faults stay those of the seed.
+     */
     private readonly crashes?: SeededRandom,
   ) {
     this.random = new SeededRandom(seed);
@@ -109,7 +123,7 @@
     }
     this.heal();
     await this.deployment.run(CALM_MILLISECONDS);
-    return this.judge();
+    return this.checkGuarantees();
   }
 
   private startDaemon(index: number): void {
@@ -143,11 +157,11 @@
         longRunning,
       };
       this.submitted.push(submitted);
-      // Tasks that last would hold the limit for good.
+      // Long-running tasks would use up the limit permanently.
       if (this.taskLimit !== undefined && !longRunning && index % 2 === 0)
         this.owned.add(id);
       this.submit(submitted, this.pickDaemon());
-      // Callers ask again elsewhere when they hear nothing for certain.
+      // Callers that got no certain response submit again elsewhere.
       if (this.random.nextInteger(3) === 0)
         this.submit(submitted, this.pickDaemon());
     }
@@ -171,8 +185,8 @@
     const organisation = this.owned.has(submitted.id)
       ? ORGANISATION
       : undefined;
-    // A daemon that is killed never answers.
-    void daemon.desk
+    // A killed daemon never responds.
+    void daemon.jobIntake
       .submit(
         {...job(submitted.id, steps), organisation},
         SUBMIT_BOUND_MILLISECONDS,
@@ -239,17 +253,17 @@
     return items[this.random.nextInteger(items.length)];
   }
 
-  private judge(): RandomRun {
-    const runs = this.deployment.begunRuns();
+  private checkGuarantees(): RandomRun {
+    const runs = this.deployment.startedRuns();
     const taken = this.submitted.filter(one =>
       one.answers.includes(SubmitAnswer.Taken),
     );
     return {
-      broken: [
+      violations: [
         ...overlappingRuns(runs),
         ...this.runsAfterDone(runs),
         ...this.tooManyAttempts(runs),
-        ...this.refusedAndRun(runs),
+        ...this.refusedButStarted(runs),
         ...this.overLimit(runs),
         ...this.tooManyCrashes(runs),
         ...taken.flatMap(one => this.unfinished(one, runs)),
@@ -268,9 +282,10 @@
   }
 
   /**
-   * Whether the end of `one` counts when `other` begins. An end that was acknowledged counts for
-   * good. One that was not is lost with its worker's incarnation, and by a lease that runs out behind a
-   * cut: nobody could have known of it, and the task must go on elsewhere.
+   * Returns whether the end of `one` counts when `other` begins. An acknowledged end
+   * counts permanently. Any other end is lost with its worker's incarnation, or when the
+   * lease expires behind a network partition: nobody could have known of it, and the task
+   * must continue elsewhere.
    */
   private isKnown(one: StartedRun, other: StartedRun): boolean {
     const acknowledged = one.acknowledgedAt ?? Infinity;
@@ -281,12 +296,18 @@
     return !lapses.some(at => at >= endedAt && at <= other.startedAt);
   }
 
-  /** An end that died with its worker says nothing. */
+  /**
+   * Returns whether the run's worker still exists: an end that was lost with its worker
+   * tells nothing.
+   */
   private outlived(run: StartedRun): boolean {
     return !(this.deployment.worker(run.worker)?.isDead ?? true);
   }
 
-  /** Runs that began after as many ends as failed that count as the queue allows. */
+  /**
+   * Describes runs that began after as many counted failures as the queue allows
+   * attempts.
+   */
   private tooManyAttempts(runs: readonly StartedRun[]): string[] {
     const knownFailures = new Map<StartedRun, number>();
     for (const [one, other] of pairsOfRuns(runs))
@@ -305,7 +326,7 @@
     );
     return crashing.flatMap(([task]) => {
       const starts = startsAfterCrashes(runs, task, CRASHES_COUNTED);
-      return starts > MOST_STARTS_AFTER_CRASHES
+      return starts > MAXIMUM_STARTS_AFTER_CRASHES
         ? [`${task}: ${starts} starts after ${CRASHES_COUNTED} crashes`]
         : [];
     });
@@ -320,7 +341,7 @@
       : [];
   }
 
-  private refusedAndRun(runs: readonly StartedRun[]): string[] {
+  private refusedButStarted(runs: readonly StartedRun[]): string[] {
     return this.submitted
       .filter(one => one.attempts === one.answers.length)
       .filter(one => one.answers.every(a => a === SubmitAnswer.Refused))
@@ -328,7 +349,7 @@
       .map(one => `${one.id}: refused and run`);
   }
 
-  /** So many crashes under one task are reason enough. */
+  /** Returns whether a task crashed often enough for its job to be given up. */
   private wasGivenUp(own: readonly StartedRun[]): boolean {
     const crashes = new Map<string, number>();
     for (const {task, end} of own)
--- a/packages/coordinator/src/__tests__/shrinking-capacity.test.ts
+++ b/packages/coordinator/src/__tests__/shrinking-capacity.test.ts
@@ -15,11 +15,14 @@
 const TIMEOUT = 3_000;
 const WORKERS = ['worker-0', 'worker-1'];
 const SHRUNK_MILLICORES = 2_000;
-const WHOLE_MILLICORES = 8_000;
-/** A room that has shrunk counts from then on: the beat that tells it, and the time to take note. */
-const TAKE_NOTE_MILLISECONDS = 4_500;
+const FULL_MILLICORES = 8_000;
+/**
+ * Time after which a reduced capacity must be respected: the delay of the entry that
+ * states it, and the time to react.
+ */
+const REACTION_MILLISECONDS = 4_500;
 
-/** An earlier coordinator ordered it, and its job is over. */
+/** A run that an earlier coordinator ordered and whose job is over. */
 const FORGOTTEN_RUN: StartRequest = {
   task: 'forgotten.0.0.0',
   run: 1,
@@ -30,8 +33,8 @@
   ticket: '',
 };
 
-/** Two workers that start whatever they are told to start. */
-async function begin(
+/** Creates two workers that start whatever they are ordered to start. */
+async function createDeployment(
   prepare: (deployment: TestDeployment) => void = () => undefined,
 ): Promise<{
   deployment: TestDeployment;
@@ -46,15 +49,18 @@
   return {deployment, daemon};
 }
 
-function startsOverRoom(deployment: TestDeployment, since: number): number[] {
+function startsOverCapacity(
+  deployment: TestDeployment,
+  since: number,
+): number[] {
   return WORKERS.flatMap(
     id => deployment.worker(id)?.startsOverCapacity ?? [],
   ).filter(at => at >= since);
 }
 
-/** Fills a worker. */
+/** Submits a job that fills a worker. */
 function submitFull(daemon: TestDaemon, id: string): void {
-  void daemon.desk.submit(job(id, [step({taskCount: 8})]), TIMEOUT);
+  void daemon.jobIntake.submit(job(id, [step({taskCount: 8})]), TIMEOUT);
 }
 
 /** Keeps both workers full of short tasks. */
@@ -67,38 +73,38 @@
   for (let spent = 0; spent < milliseconds; spent += gap) {
     const id = `load-${deployment.clock.monotonicMilliseconds()}`;
     deployment.behaviours.set(id, behaviour({durationMilliseconds: 600}));
-    void daemon.desk.submit(job(id, [step({taskCount: 6})]), TIMEOUT);
+    void daemon.jobIntake.submit(job(id, [step({taskCount: 6})]), TIMEOUT);
     await deployment.run(gap);
   }
 }
 
-describe('the room of workers that do not guard it', () => {
-  // Guards against starts that are placed by the room of before.
-  it('is kept when it shrinks under load', async () => {
-    const {deployment, daemon} = await begin();
+describe('the capacity of workers that do not enforce it', () => {
+  // Guards against starts that are placed by the previous capacity.
+  it('is respected when it shrinks under load', async () => {
+    const {deployment, daemon} = await createDeployment();
     await submitLoad(deployment, daemon, 2_000);
     const shrunkAt = deployment.clock.monotonicMilliseconds();
     for (const id of WORKERS)
-      deployment.changeRoom(id, SHRUNK_MILLICORES, 1_500);
+      deployment.changeCapacity(id, SHRUNK_MILLICORES, 1_500);
     await submitLoad(deployment, daemon, 10_000);
-    const since = shrunkAt + TAKE_NOTE_MILLISECONDS;
-    assert.deepEqual(startsOverRoom(deployment, since), []);
+    const since = shrunkAt + REACTION_MILLISECONDS;
+    assert.deepEqual(startsOverCapacity(deployment, since), []);
   });
 
-  // Guards against a start that waits for the store while the room shrinks.
-  it('is kept by a start that was stored before it shrank', async () => {
-    const {deployment, daemon} = await begin();
+  // Guards against a start that waits for the store while the capacity shrinks.
+  it('is respected by a start that was stored before it shrank', async () => {
+    const {deployment, daemon} = await createDeployment();
     daemon.store.setFault(StoreFault.Refusing, LogStream.Jobs);
-    void daemon.desk.submit(job('a', [step({taskCount: 16})]), TIMEOUT);
+    void daemon.jobIntake.submit(job('a', [step({taskCount: 16})]), TIMEOUT);
     await deployment.run(300);
     const shrunkAt = deployment.clock.monotonicMilliseconds();
-    for (const id of WORKERS) deployment.changeRoom(id, SHRUNK_MILLICORES);
+    for (const id of WORKERS) deployment.changeCapacity(id, SHRUNK_MILLICORES);
     await deployment.run(6_000);
     daemon.store.setFault(undefined);
     await deployment.run(2_000);
-    assert.ok(deployment.begunRuns().length > 0);
-    const since = shrunkAt + TAKE_NOTE_MILLISECONDS;
-    assert.deepEqual(startsOverRoom(deployment, since), []);
+    assert.ok(deployment.startedRuns().length > 0);
+    const since = shrunkAt + REACTION_MILLISECONDS;
+    assert.deepEqual(startsOverCapacity(deployment, since), []);
     await deployment.run(20_000);
     assert.deepEqual(await deployment.answerOf(daemon, 'a'), {
       kind: 'state',
@@ -106,26 +112,26 @@
     });
   });
 
-  // Guards against a picture of the workers that the store no longer renews while starts go on.
-  it('is kept while the entries of workers can not be read', async () => {
-    const {deployment, daemon} = await begin();
+  // Guards against starts that rely on worker entries which the store no longer updates.
+  it('is respected while the entries of workers cannot be read', async () => {
+    const {deployment, daemon} = await createDeployment();
     await submitLoad(deployment, daemon, 2_000);
     daemon.store.setFault(StoreFault.Silent, LogStream.Workers);
     await submitLoad(deployment, daemon, 1_000);
     const shrunkAt = deployment.clock.monotonicMilliseconds();
-    for (const id of WORKERS) deployment.changeRoom(id, SHRUNK_MILLICORES);
+    for (const id of WORKERS) deployment.changeCapacity(id, SHRUNK_MILLICORES);
     await submitLoad(deployment, daemon, 8_000);
-    const since = shrunkAt + TAKE_NOTE_MILLISECONDS;
-    assert.deepEqual(startsOverRoom(deployment, since), []);
+    const since = shrunkAt + REACTION_MILLISECONDS;
+    assert.deepEqual(startsOverCapacity(deployment, since), []);
     daemon.store.setFault(undefined);
-    const before = deployment.begunRuns().length;
+    const before = deployment.startedRuns().length;
     await deployment.run(3_000);
-    assert.ok(deployment.begunRuns().length > before, 'starts go on');
+    assert.ok(deployment.startedRuns().length > before, 'starts continue');
   });
 
-  // Guards against room that is given away while a run nobody expects is being stopped on it.
-  it('counts a run that is being stopped until its end', async () => {
-    const {deployment, daemon} = await begin(prepared => {
+  // Guards against assigning capacity while an unexpected run is being stopped on it.
+  it('includes a run that is being stopped until its end', async () => {
+    const {deployment, daemon} = await createDeployment(prepared => {
       const worker = prepared.worker(WORKERS[0]);
       assert.ok(worker);
       worker.stopMilliseconds = 900;
@@ -133,18 +139,18 @@
     });
     for (const job of ['a', 'b']) submitFull(daemon, job);
     await deployment.run(3_000);
-    assert.deepEqual(startsOverRoom(deployment, 0), []);
+    assert.deepEqual(startsOverCapacity(deployment, 0), []);
   });
 
-  // Guards against work that waits although a worker has room for it again.
+  // Guards against work that waits although a worker has capacity for it again.
   it('is used again when it grows', async () => {
-    const {deployment, daemon} = await begin();
-    for (const id of WORKERS) deployment.changeRoom(id, 500);
+    const {deployment, daemon} = await createDeployment();
+    for (const id of WORKERS) deployment.changeCapacity(id, 500);
     await deployment.run(500);
-    void daemon.desk.submit(job('a', [step({taskCount: 4})]), TIMEOUT);
+    void daemon.jobIntake.submit(job('a', [step({taskCount: 4})]), TIMEOUT);
     await deployment.run(2_000);
-    assert.equal(deployment.begunRuns().length, 0);
-    for (const id of WORKERS) deployment.changeRoom(id, WHOLE_MILLICORES);
+    assert.equal(deployment.startedRuns().length, 0);
+    for (const id of WORKERS) deployment.changeCapacity(id, FULL_MILLICORES);
     await deployment.run(2_000);
     assert.deepEqual(await deployment.answerOf(daemon, 'a'), {
       kind: 'state',
@@ -153,40 +159,45 @@
   });
 });
 
-describe('the room of workers that guard it', () => {
-  // Guards against a task that is sent to the same shrunken worker again and again while others have room.
-  it('is looked for elsewhere once a worker has refused a start', async () => {
+describe('the capacity of workers that enforce it', () => {
+  // Guards against a task that is sent to the same shrunken worker repeatedly while
+  // others have capacity.
+  it('is sought elsewhere once a worker has refused a start', async () => {
     const deployment = new TestDeployment(2);
     const daemon = await deployment.startDaemon('one');
     deployment.behaviours.set(
       'before',
       behaviour({durationMilliseconds: 10_000}),
     );
-    void daemon.desk.submit(job('before', [step({taskCount: 2})]), TIMEOUT);
+    void daemon.jobIntake.submit(
+      job('before', [step({taskCount: 2})]),
+      TIMEOUT,
+    );
     await deployment.run(300);
-    const [{worker: shrunken}] = deployment.begunRuns();
-    deployment.changeRoom(shrunken, SHRUNK_MILLICORES, 1_500);
+    const [{worker: shrunken}] = deployment.startedRuns();
+    deployment.changeCapacity(shrunken, SHRUNK_MILLICORES, 1_500);
     const submittedAt = deployment.clock.monotonicMilliseconds();
-    void daemon.desk.submit(job('after', [step({taskCount: 4})]), TIMEOUT);
+    void daemon.jobIntake.submit(job('after', [step({taskCount: 4})]), TIMEOUT);
     await deployment.run(3_000);
     const started = deployment
-      .begunRuns()
+      .startedRuns()
       .filter(({task}) => task.startsWith('after.'));
     assert.equal(started.length, 4);
-    const last = Math.max(...started.map(({startedAt: begunAt}) => begunAt));
+    const last = Math.max(...started.map(({startedAt}) => startedAt));
     const waited = last - submittedAt;
     assert.ok(waited < 500, `${waited} ms`);
   });
 
-  // Guards against work that waits for good for a worker that refused it and has room again.
-  it('is tried again after a while, without news of the worker', async () => {
+  // Guards against work that waits forever for a worker that refused it and has capacity
+  // again.
+  it('is tried again after a while, without a new entry of the worker', async () => {
     const deployment = new TestDeployment(1);
     const daemon = await deployment.startDaemon('one');
-    deployment.changeRoom('worker-0', 500, 60_000);
-    void daemon.desk.submit(job('a'), TIMEOUT);
+    deployment.changeCapacity('worker-0', 500, 60_000);
+    void daemon.jobIntake.submit(job('a'), TIMEOUT);
     await deployment.run(300);
-    assert.equal(deployment.begunRuns().length, 0);
-    deployment.changeRoom('worker-0', WHOLE_MILLICORES, 60_000);
+    assert.equal(deployment.startedRuns().length, 0);
+    deployment.changeCapacity('worker-0', FULL_MILLICORES, 60_000);
     await deployment.run(3_000);
     assert.deepEqual(await deployment.answerOf(daemon, 'a'), {
       kind: 'state',
--- a/packages/coordinator/src/__tests__/stream-follower.test.ts
+++ b/packages/coordinator/src/__tests__/stream-follower.test.ts
@@ -10,9 +10,10 @@
 import {MemoryStore} from '../stand-ins/index.js';
 
 describe('StreamFollower', () => {
-  // An operator sends a change every 80 ms for seconds. Each read brings one and never comes back
-  // empty; the daemon, up to date all the while, took itself for cut off and said it was not ready.
-  it('counts as up to date while records never stop coming', async () => {
+  // An operator sends a change every 80 ms for seconds. Each read returns one and none
+  // ever returns empty; the daemon, up to date all the while, considered itself cut off
+  // and reported that it was not ready.
+  it('counts as up to date while records never stop arriving', async () => {
     const clock = new VirtualClock();
     const store = new MemoryStore(clock);
     const follower = new StreamFollower(
@@ -37,9 +38,10 @@
     assert.ok(worst < 500, `${worst}`);
   });
 
-  // Nothing is handed in for seconds. Each read waits at the store and comes back empty; counted from when
-  // it was asked, what is known seemed up to two waits old, and pools stood still for fear of being behind.
-  it('is no older than one wait while reads come back empty', async () => {
+  // Nothing is submitted for seconds. Each read waits at the store and returns empty;
+  // measured from its request, the data seemed up to two waits old, and pools were not
+  // resized for fear of outdated data.
+  it('is no older than one wait while reads return empty', async () => {
     const clock = new VirtualClock();
     const follower = new StreamFollower(
       new MemoryStore(clock).connect(),
@@ -61,9 +63,9 @@
     assert.ok(worst < 600, `${worst}`);
   });
 
-  // Versions of a large configuration come faster than the daemon's small link carries them. Read one
-  // after the other, the newest was in force many seconds after it was signed off, and callers of new
-  // queues heard that there was no such queue.
+  // Versions of a large configuration arrive faster than the daemon's slow link transfers
+  // them. Read one after the other, the newest took effect many seconds after it was
+  // signed off, and callers of new queues were told that there was no such queue.
   it('skips to the newest where only that counts and it has fallen behind', async () => {
     const clock = new VirtualClock();
     const store = new MemoryStore(clock);
--- a/packages/coordinator/src/__tests__/submission-log.test.ts
+++ b/packages/coordinator/src/__tests__/submission-log.test.ts
@@ -11,7 +11,7 @@
 import {MemoryStore, StoreFault} from '../stand-ins/index.js';
 
 const PATIENCE = 450;
-const BOUND = 2_750;
+const TIMEOUT = 2_750;
 const DAEMONS = 80;
 
 function record(id: string) {
@@ -19,10 +19,11 @@
 }
 
 describe('SubmissionLog', () => {
-  // The store is slowed 37 times: it answers after 150 ms and takes an append each 37 ms in a partition.
-  // Eighty daemons hand in a hundred jobs a second. All in one partition, most wait for longer than a
-  // caller is let wait, and are refused though the store is there.
-  it('takes what a hundred callers a second hand in while the store is slow', async () => {
+  // The store is slowed down 37 times: it responds after 150 ms and handles an append
+  // each 37 ms in a partition. Eighty daemons submit a hundred jobs a second. With a
+  // single partition, most wait for longer than a caller may wait, and are refused
+  // although the store is available.
+  it('accepts the submissions of a hundred callers a second while the store is slow', async () => {
     const clock = new VirtualClock();
     const store = new MemoryStore(clock);
     store.appendMilliseconds = 37;
@@ -34,7 +35,9 @@
     const kept: Array<Promise<BatchedAppendOutcome>> = [];
     for (let count = 0; count < 500; count++) {
       const id = `job-${count}`;
-      kept.push(logs[count % DAEMONS].append(id, record(id), PATIENCE, BOUND));
+      kept.push(
+        logs[count % DAEMONS].append(id, record(id), PATIENCE, TIMEOUT),
+      );
       await clock.advanceAsync(10);
     }
     await clock.advanceAsync(5_000);
@@ -45,14 +48,15 @@
     assert.ok(refused.length <= 5, `${refused.length} of 500 not taken`);
   });
 
-  // The same job is handed in at two daemons. In two partitions its cancellation could be read without it.
-  it('keeps all that is said of a job in one partition, wherever it is said', async () => {
+  // The same job is submitted to two daemons. In two partitions its cancellation could be
+  // read without it.
+  it('keeps all records of a job in one partition, whichever daemon appends them', async () => {
     const clock = new VirtualClock();
     const store = new MemoryStore(clock);
     const one = new SubmissionLog(store.connect(), clock);
     const other = new SubmissionLog(store.connect(), clock);
-    void one.append('a', record('a'), PATIENCE, BOUND);
-    void other.append('a', {key: 'c/a', value: undefined}, PATIENCE, BOUND);
+    void one.append('a', record('a'), PATIENCE, TIMEOUT);
+    void other.append('a', {key: 'c/a', value: undefined}, PATIENCE, TIMEOUT);
     await clock.advanceAsync(100);
     const partition = submissionPartition('a');
     const connection = store.connect();
@@ -72,17 +76,18 @@
     assert.ok(Math.min(...counts.values()) > 850);
   });
 
-  // Appends are reset one after the other. One record finds out whether the store is back; a record of
-  // each partition in doubt would leave as many callers without a certain answer.
-  it('sends one record at a time while appends fail, over all partitions', async () => {
+  // Appends are reset one after the other. One record probes whether the store is back; a
+  // record of each partition in doubt would leave as many callers without a certain
+  // response.
+  it('sends one record at a time across all partitions while appends fail', async () => {
     const clock = new VirtualClock();
     const connection = new MemoryStore(clock).connect();
     const log = new SubmissionLog(connection, clock);
     connection.setFault(StoreFault.Silent);
-    const first = log.append('first', record('first'), PATIENCE, BOUND);
+    const first = log.append('first', record('first'), PATIENCE, TIMEOUT);
     await clock.advanceAsync(1_600);
     const others = Array.from({length: 12}, (_, index) =>
-      log.append(`job-${index}`, record(`job-${index}`), PATIENCE, BOUND),
+      log.append(`job-${index}`, record(`job-${index}`), PATIENCE, TIMEOUT),
     );
     await clock.advanceAsync(3_000);
     assert.equal(await first, BatchedAppendOutcome.Unknown);
--- a/packages/coordinator/src/__tests__/vm-orders.test.ts
+++ b/packages/coordinator/src/__tests__/vm-orders.test.ts
@@ -10,7 +10,10 @@
 import {VmOrders} from '../vm-orders.js';
 import {EventCounts} from './deployment.js';
 
-/** What the last orders of other holders leave free to `two`, after it has read them. */
+/**
+ * Returns the orders of daemon `two` after it has loaded the last orders of other
+ * holders.
+ */
 async function readOrders(
   orders: ReadonlyArray<{vm: string; value: string}>,
 ): Promise<VmOrders> {
@@ -43,8 +46,8 @@
   return JSON.stringify({holder, term, at});
 }
 
-describe('the orders of the holder before', () => {
-  it('keep only VMs of its last orders waiting', async () => {
+describe('the orders of the previous holder', () => {
+  it('block only VMs of its last orders', async () => {
     const orders = await readOrders([
       {vm: 'late', value: order(3, 60_000)},
       {vm: 'early', value: order(3, 50_000)},
@@ -53,9 +56,10 @@
     assert.equal(orders.isFree('early'), true);
   });
 
-  // The holder was restarted between two orders, and its steady clock began anew. The later order seemed to
-  // lie a minute before the earlier one, and its VM got orders of two holders within a second.
-  it('are told apart by term, since a restart sets the steady clock back', async () => {
+  // The holder was restarted between two orders, and its monotonic clock began anew. The
+  // later order seemed to lie a minute before the earlier one, and its VM got orders of
+  // two holders within a second.
+  it('are distinguished by term, since a restart resets the monotonic clock', async () => {
     const orders = await readOrders([
       {vm: 'before', value: order(1, 60_000)},
       {vm: 'after', value: order(3, 2_000)},
@@ -63,7 +67,7 @@
     assert.equal(orders.isFree('after'), false);
   });
 
-  it('of this daemon itself, and ones that can’t be read, keep nothing waiting', async () => {
+  it('block nothing if they are of this daemon itself or can’t be read', async () => {
     const orders = await readOrders([
       {vm: 'own', value: order(2, 9_000, 'two')},
       {vm: 'torn', value: '{"holder": 7'},
--- a/packages/coordinator/src/placement-round.ts
+++ b/packages/coordinator/src/placement-round.ts
@@ -5,10 +5,10 @@
 } from '@gentiandoor/scheduling';
 import type {WorkerSession} from './worker-session.js';
 
-/** A task to place, as far as the round does not know it itself. */
+/** A task to place; the round adds the time. */
 export type TaskPlacementRequest = Omit<PlacementRequest, 'now'>;
 
-/** Room of a service's workers while one round of placement goes on. */
+/** Tracks the free capacity of a service's workers during one round of placement. */
 export class PlacementRound {
   private readonly sessions = new Map<string, WorkerSession>();
   private views: PlacementWorker[];
@@ -24,9 +24,12 @@
     this.committedViews = [...this.views];
   }
 
-  /** Takes room for a task; undefined where there is none. */
-  reserve(wish: TaskPlacementRequest): WorkerSession | undefined {
-    const request: PlacementRequest = {...wish, now: this.now};
+  /**
+   * Reserves capacity for a task; returns the chosen worker, or undefined if no worker
+   * fits.
+   */
+  reserve(task: TaskPlacementRequest): WorkerSession | undefined {
+    const request: PlacementRequest = {...task, now: this.now};
     const worker = this.choice.choose(request, this.views);
     if (!worker) return undefined;
     const index = this.views.indexOf(worker);
@@ -34,7 +37,7 @@
     return this.sessions.get(worker.id);
   }
 
-  /** Undoes what was taken since `keep`. */
+  /** Releases what was reserved since the last `commit`. */
   rollBack(): void {
     this.views = [...this.committedViews];
   }
--- a/packages/coordinator/src/placement-view.ts
+++ b/packages/coordinator/src/placement-view.ts
@@ -6,13 +6,13 @@
 import {aliveSince, type LiveRun} from './live-run.js';
 import type {Resources, WorkerEntry} from './worker-gateway.js';
 
-/** What a placement sees of a worker that carries `runs`. */
+/** Returns the view of a worker that placement decisions use, given the runs on it. */
 export function placementView(
   entry: WorkerEntry,
   runs: readonly LiveRun[],
-  trust: number,
+  reliability: number,
 ): PlacementWorker {
-  const {capacity: room} = entry;
+  const {capacity} = entry;
   const counts = new Map<string, number>();
   for (const {stepKey} of runs)
     counts.set(stepKey, (counts.get(stepKey) ?? 0) + 1);
@@ -25,16 +25,16 @@
     dataCentre: entry.dataCentre,
     labels: entry.labels,
     freeMillicores:
-      room.processorMillicores -
+      capacity.processorMillicores -
       sum(step => (step.bestEffort ? 0 : step.processorMillicores)),
-    freeMegabytes: room.memoryMegabytes - sum(step => step.memoryMegabytes),
-    freeAccelerators: room.accelerators - sum(step => step.accelerators),
-    totalMillicores: Math.max(1, room.processorMillicores),
+    freeMegabytes: capacity.memoryMegabytes - sum(step => step.memoryMegabytes),
+    freeAccelerators: capacity.accelerators - sum(step => step.accelerators),
+    totalMillicores: Math.max(1, capacity.processorMillicores),
     latencySensitiveTaskCount: steps.filter(step => step.targetMilliseconds > 0)
       .length,
     bestEffortTasks: steps.filter(step => step.bestEffort).length,
     tasks: runs.length,
-    reliability: trust,
+    reliability,
     taskCountOfStep: stepKey => counts.get(stepKey) ?? 0,
     isolatedJob: now =>
       isolated.find(run => mayCrashWorker(aliveSince(run), now))?.execution.job
@@ -47,20 +47,25 @@
   };
 }
 
-/** Millicores that runs on a worker with `room` take away, weighed by what the work is still worth. */
+/**
+ * Returns the millicores that runs take from a worker with `capacity`, weighted by what
+ * their results are still worth.
+ */
 export function weightedMillicores(
   runs: Iterable<LiveRun>,
-  room: Resources,
+  capacity: Resources,
 ): number {
   let sum = 0;
-  for (const {weight, executableTask: taskOfJob} of runs)
-    sum += weight * dominantResourceMillicores(taskOfJob.specification, room);
+  for (const {weight, executableTask} of runs)
+    sum +=
+      weight *
+      dominantResourceMillicores(executableTask.specification, capacity);
   return sum;
 }
 
-/** Whether a long-running task is among the runs. */
+/** Returns whether any of the runs belongs to a long-running task. */
 export function hasLongRunningTask(runs: Iterable<LiveRun>): boolean {
-  for (const {executableTask: taskOfJob} of runs)
-    if (taskOfJob.specification.longRunning) return true;
+  for (const {executableTask} of runs)
+    if (executableTask.specification.longRunning) return true;
   return false;
 }
--- a/packages/coordinator/src/pool-size-log.ts
+++ b/packages/coordinator/src/pool-size-log.ts
@@ -9,7 +9,7 @@
   readonly text: string;
 }
 
-/** Logs what the size of each pool is decided from, when it changes. */
+/** Logs the inputs of each pool's size decision when they change. */
 export class PoolSizeLog {
   private readonly last = new Map<string, LastLine>();
 
@@ -18,7 +18,10 @@
     private readonly logger: Logger,
   ) {}
 
-  /** `demandAgeMilliseconds`: how old the picture of the jobs is. */
+  /**
+   * Logs the pools whose inputs changed. `demandAgeMilliseconds` is the age of the data
+   * about jobs.
+   */
   note(pools: readonly PlannedPool[], demandAgeMilliseconds: number): void {
     for (const pool of pools)
       if (!pool.standby) this.noteOne(pool, demandAgeMilliseconds);
--- a/packages/coordinator/src/progress-writer.ts
+++ b/packages/coordinator/src/progress-writer.ts
@@ -11,13 +11,14 @@
 const RETRY_MILLISECONDS = 60;
 const MAXIMUM_BATCH_BYTES = 1_000_000;
 
-/** What waits for progress to be stored. */
+/** Called once the progress noted before it is stored. */
 export type StoredAction = () => void;
 
 /**
- * Stores the progress of jobs, one append at a time, under the coordinator's term. Starts wait for
- * it, so that the next coordinator knows each run that may be alive; so do the acknowledgements of
- * ends, which make a worker forget.
+ * Stores the progress of jobs, one append at a time, under the coordinator's term. Starts
+ * of runs wait for it, so that the next coordinator knows every run that may be alive.
+ * Acknowledgements of run ends wait too, because a worker forgets the ends that are
+ * acknowledged.
  */
 export class ProgressWriter {
   private dirty = new Set<JobExecution>();
@@ -31,11 +32,14 @@
     private readonly log: RecordLog,
     private readonly clock: Clock,
     private readonly term: number,
-    /** Called when a later term has written. */
+    /** Called when the store reports that a later term has written. */
     private readonly fenced: () => void,
   ) {}
 
-  /** Keeps every writer of an earlier term out; false when this one is out itself. */
+  /**
+   * Fences all writers of earlier terms. Resolves to false if this writer is fenced
+   * itself or was closed.
+   */
   async fenceEarlierTerms(): Promise<boolean> {
     while (!this.closed) {
       const result = await this.log.append(LogStream.Jobs, [], {
@@ -49,20 +53,20 @@
     return false;
   }
 
-  /** Stores what `execution` is like now, then calls `then`. */
+  /** Stores the current progress of `execution`, then calls `then`. */
   store(execution: JobExecution, then?: StoredAction): void {
     this.dirty.add(execution);
     if (then) this.actions.push(then);
     this.wake();
   }
 
-  /** Calls `then` once everything noted so far is stored. */
+  /** Calls `then` once all progress noted so far is stored. */
   afterStored(then: StoredAction): void {
     if (this.dirty.size === 0 && !this.running) then();
     else this.actions.push(then);
   }
 
-  /** Drops keys. */
+  /** Appends tombstones, which delete their keys from the store. */
   appendTombstones(records: readonly KeyedRecord[]): void {
     this.tombstones.push(...records);
     this.wake();
@@ -78,7 +82,7 @@
 
   private async run(): Promise<void> {
     this.running = true;
-    // What changes within the same turn goes into one append.
+    // Changes made in the same turn of the event loop go into one append.
     await new Promise<void>(resolve => {
       setImmediate(resolve);
     });
--- a/packages/coordinator/src/record-formats.ts
+++ b/packages/coordinator/src/record-formats.ts
@@ -2,11 +2,14 @@
 import type {OperatorRecord, WaveState} from './operator-records.js';
 import type {WorkerEntry} from './worker-gateway.js';
 
-/** Reads and writes the records that others define. */
+/** Reads and writes records whose formats are defined outside the coordinator. */
 export interface RecordFormats {
-  /** Undefined for a key of no interest; throws when the value can't be read. */
+  /**
+   * Parses an operator's record. Returns undefined for a key that is not used; throws if
+   * the value is unreadable.
+   */
   operatorRecord(record: KeyedRecord): OperatorRecord | undefined;
-  /** Throws when the entry is not one of a worker that can be used. */
+  /** Parses a worker's entry; throws if it does not describe a usable worker. */
   workerEntry(record: KeyedRecord): WorkerEntry;
   waveReport(wave: number, state: WaveState): KeyedRecord;
 }
--- a/packages/coordinator/src/record-log.ts
+++ b/packages/coordinator/src/record-log.ts
@@ -2,40 +2,40 @@
 
 /** Streams of the platform's store that the daemon reads or writes. */
 export enum LogStream {
-  /** What operators ask for; read only. */
+  /** Requests of operators; read only. */
   Operator = 'operator',
-  /** What workers say of themselves; read only. */
+  /** Entries that workers publish about themselves; read only. */
   Workers = 'workers',
-  /** What operators are told. */
+  /** Reports to operators. */
   Reports = 'reports',
-  /** Submissions and cancellations of jobs, over several partitions. */
+  /** Submissions and cancellations of jobs, spread over several partitions. */
   Submissions = 'submissions',
   /** Progress of jobs. */
   Jobs = 'jobs',
-  /** Who gives the orders. */
+  /** Terms of coordinators, which decide who may give orders. */
   Terms = 'terms',
-  /** What was done to machines. */
+  /** Last orders about VMs, progress of maintenance waves, and learned figures. */
   Fleet = 'fleet',
-  /** What each daemon says of itself at its start. */
+  /** Entries that daemons publish about themselves at startup. */
   Daemons = 'daemons',
 }
 
-/** What became of an append. */
+/** Outcome of an append. */
 export enum AppendOutcome {
   Appended = 'appended',
-  /** The store said that it did nothing; the same call may succeed later. */
+  /** The store reports that it did nothing; the same call may succeed later. */
   Refused = 'refused',
-  /** The stream did not end at the offset asked for. */
+  /** The stream did not end at the expected offset. */
   EndOffsetMismatch = 'moved',
   /** A writer with a higher term has written. */
   Fenced = 'fenced',
   /** The sequence number does not follow the last one. */
   OutOfSequence = 'out_of_sequence',
-  /** No answer: it may have been done, and may still be. */
+  /** No response: the append may have been applied, and may still be. */
   Unknown = 'unknown',
 }
 
-/** Answer to an append. */
+/** Result of an append. */
 export type AppendResult =
   | {
       readonly outcome: AppendOutcome.Appended;
@@ -55,11 +55,13 @@
 
 /** Conditions of an append. */
 export interface AppendConditions {
-  /** Of the stream; 0 where nothing is said. */
+  /** Partition of the stream; 0 by default. */
   readonly partition?: number;
   /** Append only if the partition ends here. */
   readonly expectedEndOffset?: number;
-  /** A repeat of an append with the same numbers is not done twice; a lower term is fenced. */
+  /**
+   * A repeated append with the same numbers is not applied twice; a lower term is fenced.
+   */
   readonly writer?: {
     readonly name: string;
     readonly term: number;
@@ -67,48 +69,54 @@
   };
 }
 
-/** A record with its place in the stream. */
+/** A record with its offset in the stream. */
 export interface LoggedRecord extends KeyedRecord {
   readonly offset: number;
 }
 
-/** What became of a read. */
+/** Outcome of a read. */
 export enum ReadOutcome {
   Read = 'read',
-  /** Records from the offset on are no longer kept. */
+  /** Records at the requested offset are no longer retained. */
   Gap = 'gap',
   Unavailable = 'unavailable',
 }
 
-/** Answer to a read. */
+/** Result of a read. */
 export type ReadResult =
   | {
       readonly outcome: ReadOutcome.Read;
       readonly records: readonly LoggedRecord[];
-      /** Offset behind the last record of the stream at the time of the answer. */
+      /** Offset after the last record of the stream at the time of the response. */
       readonly endOffset: number;
     }
   | {readonly outcome: ReadOutcome.Gap}
   | {readonly outcome: ReadOutcome.Unavailable; readonly reason: string};
 
-/** The newest record of each key. */
+/** Result of reading the newest record of each key. */
 export type NewestByKeyResult =
   | {
       readonly outcome: ReadOutcome.Read;
       readonly records: readonly LoggedRecord[];
-      /** Where reading goes on: at or before the end at the time of the first page. */
+      /**
+       * Offset at which reading continues: at or before the end of the stream at the time
+       * of the first page.
+       */
       readonly endOffset: number;
     }
   | {readonly outcome: ReadOutcome.Unavailable; readonly reason: string};
 
-/** The platform's store. Every call ends within a bounded time. */
+/** The platform's store. Every call completes within a bounded time. */
 export interface RecordLog {
   append(
     stream: LogStream,
     records: readonly KeyedRecord[],
     conditions?: AppendConditions,
   ): Promise<AppendResult>;
-  /** Waits up to `waitMilliseconds` for a record at `offset` of a partition. */
+  /**
+   * Reads the records from `offset` of a partition on; waits up to `waitMilliseconds` for
+   * one.
+   */
   read(
     stream: LogStream,
     offset: number,
--- a/packages/coordinator/src/run-log.ts
+++ b/packages/coordinator/src/run-log.ts
@@ -14,14 +14,14 @@
 import type {LiveRun} from './live-run.js';
 import type {OrderRefusal, RunName} from './worker-gateway.js';
 
-/** What a run log writes to. */
+/** Dependencies of a run log. */
 export interface RunLogParts {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
-/** How a job came to its end. */
+/** How a job ended. */
 export interface JobEnding {
   readonly job: string;
   readonly organisation: string | undefined;
@@ -30,11 +30,14 @@
   readonly objectiveMilliseconds: number;
 }
 
-/** Lines and figures about runs and jobs, one for each decision of the coordinator. */
+/**
+ * Writes log lines and metrics about runs and jobs, one for each decision of the
+ * coordinator.
+ */
 export class RunLog {
   constructor(private readonly parts: RunLogParts) {}
 
-  /** A run that is stored is about to be ordered. */
+  /** Logs that a run was stored and is about to be ordered. */
   ordered(run: LiveRun, worker: string, term: number): void {
     const waited = this.now() - run.plannedAt;
     this.parts.metrics.timing(MetricName.RunWaitDuration, waited);
@@ -58,7 +61,10 @@
     this.parts.metrics.increment(MetricName.RunEnds, {end});
   }
 
-  /** Its job fails: workers crash under the task. */
+  /**
+   * Logs that a task is given up, and its job fails, because workers crash while they run
+   * it.
+   */
   givenUp(
     {task, run}: RunName,
     worker: string,
--- a/packages/coordinator/src/run-orders.ts
+++ b/packages/coordinator/src/run-orders.ts
@@ -9,36 +9,42 @@
 } from './worker-gateway.js';
 import type {WorkerLiveness} from './worker-liveness.js';
 
-/** What orders about runs need of their session. */
+/** What run orders need from their session. */
 export interface RunOrderHost {
   readonly term: number;
   readonly entry: WorkerEntry;
-  /** How long any worker may take to answer a call that does not wait there. */
+  /** Timeout of a worker's response to a call that does not wait on the worker. */
   readonly responseTimeoutMilliseconds: number;
-  /** Whether the run may be alive here, as far as is known. */
+  /** Returns whether the run may be alive on this worker, as far as is known. */
   isExpected(run: LiveRun): boolean;
-  /** Whether the worker still has room for a run that was placed there. */
+  /** Returns whether the worker still has capacity for a run that was placed on it. */
   hasCapacityFor(run: LiveRun): boolean;
-  /** Waits while the term is being renewed; false when the session is over. */
+  /** Waits while the term is being renewed; resolves to false if the session is over. */
   waitUntilAllowed(): Promise<boolean>;
-  /** Asks for an answer beside the poll that waits. */
+  /** Polls the worker without waiting, in parallel to a pending long poll. */
   probe(): Promise<void>;
-  /** A call that does not wait there was answered; it was sent at `sentAt`. */
+  /**
+   * Records that a call, sent at `sentAt`, that does not wait on the worker got its
+   * response.
+   */
   noteResponseTime(sentAt: number): void;
   noteAnswer(clockMilliseconds: number): void;
-  /** Whether an answer was a refusal that concerns the whole session, which it then has dealt with. */
+  /**
+   * Returns whether a result was a refusal that concerns the whole session, and handles
+   * it if so.
+   */
   handledRefusal(result: OrderResult): boolean;
-  /** The order to start never went out. */
+  /** The start order was never sent. */
   runNeverStarted(run: LiveRun): void;
   startRefused(run: LiveRun, refusal: OrderRefusal): void;
-  /** The fate of a run can be read with the next poll. */
+  /** The outcome of a run can be read with the next poll. */
   outcomeReadable(): void;
 }
 
 const RETRY_MILLISECONDS = 200;
 const MAXIMUM_START_ATTEMPTS = 3;
 
-/** Orders to start and stop runs on one worker, each until its fate is known. */
+/** Sends orders to start and stop runs on one worker, each until its outcome is known. */
 export class RunOrders {
   constructor(
     private readonly host: RunOrderHost,
@@ -47,7 +53,10 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Sends the order to start. */
+  /**
+   * Orders the worker to start a run. After the last attempt without a response it stops
+   * the run.
+   */
   async start(run: LiveRun): Promise<void> {
     for (let attempt = 0; attempt < MAXIMUM_START_ATTEMPTS; attempt++) {
       if (!this.host.isExpected(run)) return;
@@ -64,11 +73,13 @@
       if (await this.sendStart(run, attempt > 0)) return;
       await sleep(this.clock, RETRY_MILLISECONDS);
     }
-    // Not answered, or without room by now: it may still be carried out. A stop that is answered bars it for good.
+    // The start got no response, or the worker has no capacity any more. An earlier
+    // attempt may still be carried out; a stop that gets a response rules that out for
+    // good.
     void this.stop(run);
   }
 
-  /** Asks the worker to stop a run. */
+  /** Orders the worker to stop a run, retrying until it responds. */
   async stop(run: LiveRun): Promise<void> {
     if (run.stopRequested) return;
     run.stopRequested = true;
@@ -87,12 +98,12 @@
     }
   }
 
-  /** True when nothing is to be sent any more. */
+  /** Sends one start order. Resolves to true if no further attempt is needed. */
   private async sendStart(run: LiveRun, retried: boolean): Promise<boolean> {
     const now = this.clock.monotonicMilliseconds();
     run.status = RunStatus.Ordered;
     run.orderedAt ??= now;
-    const result = await this.call(run, now);
+    const result = await this.requestStart(run, now);
     if (result.outcome !== OrderOutcome.Unknown)
       this.host.noteResponseTime(now);
     if (!this.host.isExpected(run)) return true;
@@ -106,14 +117,15 @@
       this.host.outcomeReadable();
       return true;
     }
-    // A refusal of a second try says nothing of the first, which may still be carried out.
+    // A refused retry says nothing about the first attempt, which may still be carried
+    // out.
     if (retried) void this.stop(run);
     else this.host.startRefused(run, result.refusal);
     return true;
   }
 
-  private async call(run: LiveRun, now: number): Promise<OrderResult> {
-    const doubt = this.clock.schedule(
+  private async requestStart(run: LiveRun, now: number): Promise<OrderResult> {
+    const probeTimer = this.clock.schedule(
       this.host.responseTimeoutMilliseconds,
       () => void this.host.probe(),
     );
@@ -126,7 +138,7 @@
       checkpoint: run.executableTask.progress.checkpoint,
       ticket: run.ticket,
     });
-    doubt.cancel();
+    probeTimer.cancel();
     return result;
   }
 }
--- a/packages/coordinator/src/run-outcomes.ts
+++ b/packages/coordinator/src/run-outcomes.ts
@@ -18,7 +18,7 @@
 import type {WorkerSession} from './worker-session.js';
 import type {WorkerSuspicion} from './worker-suspicion.js';
 
-/** What run outcomes are built from. */
+/** Dependencies of run outcomes. */
 export interface OutcomeParts {
   readonly log: RunLog;
   readonly suspicion: WorkerSuspicion;
@@ -29,35 +29,38 @@
   readonly clock: Clock;
 }
 
-/** What run outcomes need of the coordinator. */
+/** What run outcomes need from the coordinator. */
 export interface OutcomeHost {
   queueOf(execution: JobExecution): Queue | undefined;
-  /** A job has come to its end. */
+  /** Called when a job has ended. */
   jobEnded(execution: JobExecution): void;
-  /** Stops what runs of a task that is done. */
+  /** Stops the remaining runs of a task that is done. */
   stopRuns(execution: JobExecution, task: ExecutableTask): void;
 }
 
-/** How a run ended, and where. */
+/** How a run ended, and on which worker. */
 interface RunEnding {
   readonly end: RunEnd;
   readonly checkpoint: string;
   readonly worker: string;
-  /** Since when the worker has not answered; undefined while it does. */
+  /** Time since which the worker has not responded; undefined while it responds. */
   readonly silentFrom?: number;
 }
 
 /** Delay before tasks are placed again after a worker refused one. */
 const REFUSAL_PAUSE_MILLISECONDS = 100;
 
-/** Attributes the outcome of each run to its task or its worker, and notes what follows for the job. */
+/**
+ * Attributes the outcome of each run to its task or its worker, and applies the
+ * consequences for the job.
+ */
 export class RunOutcomes {
   constructor(
     private readonly parts: OutcomeParts,
     private readonly host: OutcomeHost,
   ) {}
 
-  /** A run has ended on a worker, or with it. */
+  /** Handles a run that ended on a worker, or together with the worker. */
   ended(
     session: WorkerSession,
     run: LiveRun,
@@ -77,7 +80,7 @@
     dispatcher.schedulePlacement(session.entry.service);
   }
 
-  /** A run that was given up has ended after all. */
+  /** Handles the late end of a run that had been given up. */
   endedLate(
     execution: JobExecution,
     task: ExecutableTask,
@@ -97,13 +100,16 @@
     this.parts.dispatcher.schedulePlacement(execution.job.service);
   }
 
-  /** A run of an earlier coordinator is over on a worker that has no entry. */
+  /**
+   * Handles a run ordered by an earlier coordinator that is over on a worker without an
+   * entry.
+   */
   orphaned(worker: string, run: LiveRun, end: RunEnd): void {
     this.endRun(run, {end, checkpoint: '', worker});
     this.parts.dispatcher.schedulePlacement(run.execution.job.service);
   }
 
-  /** A worker did not take the order to start. */
+  /** Handles a start order that a worker refused. */
   refused(session: WorkerSession, run: LiveRun, refusal: OrderRefusal): void {
     const {log, suspicion, dispatcher, clock} = this.parts;
     log.refused(run, session.id, refusal);
@@ -115,7 +121,10 @@
       clock.schedule(CAPACITY_REFUSAL_MILLISECONDS, wake);
   }
 
-  /** A stall is attributed to the worker: tasks at fault end as failed. */
+  /**
+   * Handles a stalled run. A stall is attributed to the worker, since tasks at fault end
+   * as failed.
+   */
   stalled(session: WorkerSession, run: LiveRun): void {
     this.parts.log.stalled(run, session.id);
     this.parts.suspicion.suspect(session, 'run stalled');
@@ -123,21 +132,22 @@
     void session.stopRun(run);
   }
 
-  /** A run has lived for long. */
-  survived({execution, executableTask: taskOfJob}: LiveRun): void {
-    if (execution.clearCrashes(taskOfJob)) this.parts.writer.store(execution);
+  /** Handles a run that has been alive long enough to clear the crashes of its task. */
+  survived({execution, executableTask}: LiveRun): void {
+    if (execution.clearCrashes(executableTask))
+      this.parts.writer.store(execution);
   }
 
   private endRun(run: LiveRun, ending: RunEnding): void {
-    const {log, organisationLimits: rooms, writer} = this.parts;
+    const {log, organisationLimits, writer} = this.parts;
     const {execution} = run;
     const {end, worker} = ending;
-    rooms.releaseRun(run);
+    organisationLimits.releaseRun(run);
     const wasEnded = execution.ended;
     const effect = this.effectOf(run, ending);
     log.ended(run, worker, end, effect);
     if (effect === RunEndEffect.Stale) return;
-    if (effect === RunEndEffect.Retry) this.noteForNextTry(run, ending);
+    if (effect === RunEndEffect.Retry) this.noteForRetry(run, ending);
     if (effect === RunEndEffect.JobEnded && !wasEnded)
       this.finishJob(run, ending);
     if (run.executableTask.specification.gang && end === RunEnd.Done)
@@ -145,28 +155,28 @@
     writer.store(execution);
   }
 
-  private noteForNextTry(run: LiveRun, {end, worker}: RunEnding): void {
+  private noteForRetry(run: LiveRun, {end, worker}: RunEnding): void {
     const {dispatcher} = this.parts;
     if (end === RunEnd.Failed) dispatcher.noteFailure(run, worker);
     if (end === RunEnd.Crashed) dispatcher.noteCrash(run);
   }
 
   private finishJob(run: LiveRun, {end, worker}: RunEnding): void {
-    const {execution, executableTask: taskOfJob} = run;
+    const {execution, executableTask} = run;
     if (end === RunEnd.Crashed)
-      this.parts.log.givenUp(run, worker, taskOfJob.progress.crashes);
+      this.parts.log.givenUp(run, worker, executableTask.progress.crashes);
     this.host.jobEnded(execution);
   }
 
   private effectOf(run: LiveRun, ending: RunEnding): RunEndEffect {
-    const {execution, executableTask: taskOfJob} = run;
+    const {execution, executableTask} = run;
     if (ending.end === RunEnd.Crashed)
-      return execution.crashRun(taskOfJob, run.run, {
+      return execution.crashRun(executableTask, run.run, {
         isAtStart: endedAtStart(run, ending.silentFrom ?? this.now()),
         isIsolated: run.isIsolated,
       });
     return execution.endRun(
-      taskOfJob,
+      executableTask,
       run.run,
       ending.end,
       ending.checkpoint,
@@ -174,7 +184,7 @@
     );
   }
 
-  /** The other members are over with the one that is done. */
+  /** Drops the other members of a gang, which are over once one of them is done. */
   private dropGang(run: LiveRun): void {
     for (const member of this.parts.registry.dropRunsOfStep(run))
       this.parts.organisationLimits.releaseRun(member);
@@ -189,12 +199,13 @@
   }
 }
 
-/** A start without an answer may have met a worker that had crashed before. */
-function endedAtStart(
-  {startConfirmedAt: beganAt}: LiveRun,
-  endedAt: number,
-): boolean {
+/**
+ * Returns whether a run ended shortly after its start. A start without a response does
+ * not count: the worker may have crashed before the order arrived.
+ */
+function endedAtStart({startConfirmedAt}: LiveRun, endedAt: number): boolean {
   return (
-    beganAt !== undefined && endedAt - beganAt < CRASH_AT_START_MILLISECONDS
+    startConfirmedAt !== undefined &&
+    endedAt - startConfirmedAt < CRASH_AT_START_MILLISECONDS
   );
 }
--- a/packages/coordinator/src/service-demand.ts
+++ b/packages/coordinator/src/service-demand.ts
@@ -11,27 +11,28 @@
   type VmCapacity,
 } from '@gentiandoor/scheduling';
 
-/** Jobs over which the mean work of a queue is taken. */
+/** Number of jobs over which the mean work of a queue is averaged. */
 const MEAN_WORK_JOBS = 30;
-/** Demand is held at its peak this long, so that VMs do not leave in a short lull. */
+/** Demand is held at its peak this long, so that VMs do not leave during a short lull. */
 const PEAK_HOLD_MILLISECONDS = 1_500;
 
 /**
- * Share of the slowest sibling's excess that counts. Run times are seen with the delays of polls, more so
- * when the coordinator lags: counted whole, jobs that are late seem to be in time.
+ * Share of the slowest sibling's excess run time that counts. Run times are observed with
+ * polling delays, which grow when the coordinator lags: if the excess counted in full,
+ * late jobs would appear to be on time.
  */
 const SLOWEST_SHARE = 0.5;
 
-/** Runs over which the delay from placement to start is averaged. */
+/** Number of runs over which the delay from placement to start is averaged. */
 const START_DELAY_SAMPLES = 200;
 
-/** Work that arrives for a service. */
-interface ServiceRate {
-  readonly meter: ArrivalRateEstimator;
-  readonly hold: SlidingMaximum;
+/** Estimates of the work that arrives for a service, and of its recent peak. */
+interface ServiceArrivals {
+  readonly estimator: ArrivalRateEstimator;
+  readonly peak: SlidingMaximum;
 }
 
-/** What is learned of the work, by queue. */
+/** What was learned about the work, by queue. */
 export interface LearnedDemand {
   readonly startDelay: MeanSnapshot;
   readonly durations: ReadonlyArray<[string, DurationSnapshot]>;
@@ -39,40 +40,45 @@
   readonly work: ReadonlyArray<[string, MeanSnapshot]>;
 }
 
-/** What is learned of the work that comes for each service. */
+/** Learns how much work arrives for each service and how long it takes. */
 export class ServiceDemand {
   private readonly durations = new Map<string, DurationModel>();
-  private readonly spreads = new Map<string, StragglerModel>();
+  private readonly stragglers = new Map<string, StragglerModel>();
   private vmCapacity: VmCapacity | undefined;
-  private readonly rates = new Map<string, ServiceRate>();
-  /** Milliseconds for which a run takes room before it begins. */
+  private readonly arrivals = new Map<string, ServiceArrivals>();
+  /** Milliseconds for which a run occupies capacity before it begins. */
   private readonly startDelay = new RunningMean(START_DELAY_SAMPLES);
   private readonly meanWork = new Map<string, RunningMean>();
 
-  /** Notes the room of the workers: what a task takes away depends on it. */
-  noteVmCapacity(room: VmCapacity | undefined): void {
-    this.vmCapacity = room ?? this.vmCapacity;
+  /**
+   * Records the capacity of the workers, on which the share that a task takes depends.
+   */
+  noteVmCapacity(capacity: VmCapacity | undefined): void {
+    this.vmCapacity = capacity ?? this.vmCapacity;
   }
 
-  /** Notes a job that was handed in at `at`. */
+  /** Records a job that was submitted at `at`. */
   note(service: string, job: JobSubmission, at: number): void {
     const work = this.workOf(job);
-    const {meter} = this.rateOf(service);
-    meter.observe(this.meanWorkOf(job.queue).observe(work), at);
+    const {estimator} = this.arrivalsOf(service);
+    estimator.observe(this.meanWorkOf(job.queue).observe(work), at);
   }
 
-  /** Millicores that work which arrives keeps busy. */
+  /** Returns the millicores that arriving work keeps busy, held at their recent peak. */
   offeredLoadMillicores(service: string, now: number): number {
-    const {meter, hold} = this.rateOf(service);
-    return hold.observe(meter.offeredLoadMillicores(now), now);
+    const {estimator, peak} = this.arrivalsOf(service);
+    return peak.observe(estimator.offeredLoadMillicores(now), now);
   }
 
-  /** Millicores by which that lies off by chance. */
+  /** Returns the standard error of the offered load, in millicores. */
   standardErrorMillicores(service: string, now: number): number {
-    return this.rateOf(service).meter.standardErrorMillicores(now);
+    return this.arrivalsOf(service).estimator.standardErrorMillicores(now);
   }
 
-  /** Notes how long a task of `step` took that ended well; `stepKey` names its step of the occurrence. */
+  /**
+   * Records the duration of a task of `step` that succeeded; `stepKey` identifies its
+   * step of the occurrence.
+   */
   noteDuration(
     queue: string,
     step: StepSpecification,
@@ -80,22 +86,28 @@
     milliseconds: number,
   ): void {
     this.durationsOf(queue).observe(step.estimatedMilliseconds, milliseconds);
-    this.spreadOf(queue).observe(stepKey, step.taskCount, milliseconds);
+    this.stragglersOf(queue).observe(stepKey, step.taskCount, milliseconds);
   }
 
-  /** Notes how long a run took room before it began: its record was stored, its order sent. */
+  /**
+   * Records how long a run occupied capacity before it began, while its record was stored
+   * and its order was sent.
+   */
   noteStartDelay(milliseconds: number): void {
     this.startDelay.observe(milliseconds);
   }
 
-  /** Time to expect until all tasks of `step` have ended that start together, in milliseconds. */
+  /**
+   * Returns the expected milliseconds until all tasks of `step` have ended, if they start
+   * together.
+   */
   stepTime(queue: string, step: StepSpecification): number {
-    const slowest = this.spreadOf(queue).stragglerFactor(step.taskCount);
+    const slowest = this.stragglersOf(queue).stragglerFactor(step.taskCount);
     const factor = 1 + SLOWEST_SHARE * (slowest - 1);
     return factor * this.expectedTime(queue, step);
   }
 
-  /** Millicores times milliseconds to expect of a task of `step`. */
+  /** Returns the expected millicore-milliseconds of a task of `step`. */
   taskWork(queue: string, step: StepSpecification): number {
     const mean = this.durationsOf(queue).meanMilliseconds(
       step.estimatedMilliseconds,
@@ -104,21 +116,21 @@
     return dominantResourceMillicores(step, this.vmCapacity) * time;
   }
 
-  /** What was learned so far, for a successor. */
+  /** Returns what was learned so far, for the next coordinator. */
   snapshot(): LearnedDemand {
     return {
       startDelay: this.startDelay.snapshot,
       durations: snapshotsIn(this.durations),
-      spreads: snapshotsIn(this.spreads),
+      spreads: snapshotsIn(this.stragglers),
       work: snapshotsIn(this.meanWork),
     };
   }
 
-  /** Goes on from what another coordinator has learned. */
+  /** Continues from what another coordinator has learned. */
   restore({startDelay, durations, spreads, work}: LearnedDemand): void {
     this.startDelay.restore(startDelay);
     for (const [queue, one] of durations) this.durationsOf(queue).restore(one);
-    for (const [queue, one] of spreads) this.spreadOf(queue).restore(one);
+    for (const [queue, one] of spreads) this.stragglersOf(queue).restore(one);
     for (const [queue, one] of work) this.meanWorkOf(queue).restore(one);
   }
 
@@ -128,27 +140,27 @@
     return model;
   }
 
-  /** Run time to expect of a task of `step`, in milliseconds. */
+  /** Returns the expected run time of a task of `step`, in milliseconds. */
   expectedTime(queue: string, step: StepSpecification): number {
     return this.durationsOf(queue).medianMilliseconds(
       step.estimatedMilliseconds,
     );
   }
 
-  private spreadOf(queue: string): StragglerModel {
-    let spread = this.spreads.get(queue);
-    if (!spread) this.spreads.set(queue, (spread = new StragglerModel()));
+  private stragglersOf(queue: string): StragglerModel {
+    let spread = this.stragglers.get(queue);
+    if (!spread) this.stragglers.set(queue, (spread = new StragglerModel()));
     return spread;
   }
 
-  private rateOf(service: string): ServiceRate {
-    let rate = this.rates.get(service);
+  private arrivalsOf(service: string): ServiceArrivals {
+    let rate = this.arrivals.get(service);
     if (!rate) {
       rate = {
-        meter: new ArrivalRateEstimator(),
-        hold: new SlidingMaximum(PEAK_HOLD_MILLISECONDS),
+        estimator: new ArrivalRateEstimator(),
+        peak: new SlidingMaximum(PEAK_HOLD_MILLISECONDS),
       };
-      this.rates.set(service, rate);
+      this.arrivals.set(service, rate);
     }
     return rate;
   }
@@ -160,7 +172,10 @@
     return mean;
   }
 
-  /** Millicores times milliseconds of all tasks of a job that end by themselves. */
+  /**
+   * Returns the expected millicore-milliseconds of all tasks of a job that end by
+   * themselves.
+   */
   private workOf(job: JobSubmission): number {
     return job.steps
       .filter(step => !step.longRunning)
--- a/packages/coordinator/src/service-load.ts
+++ b/packages/coordinator/src/service-load.ts
@@ -7,18 +7,24 @@
 } from '@gentiandoor/scheduling';
 import {stepName} from './live-run.js';
 
-/** Waiting work of a service, for the size of its pool. */
+/** Waiting work of a service, used to decide the size of its pool. */
 export interface ServiceLoad {
-  /** Millicores that waiting tasks ask for, weighed by what they are still worth. */
+  /**
+   * Millicores that waiting tasks request, weighted by what their results are still
+   * worth.
+   */
   readonly waitingMillicores: number;
   readonly waitingTasks: number;
-  /** VMs that waiting tasks need since they may not share them. */
+  /** VMs that waiting tasks need because they may not share them. */
   readonly spreadVms: number;
-  /** Since when tasks have waited without a break; undefined while none does. */
+  /**
+   * Time since which tasks have been waiting without interruption; undefined if none
+   * waits.
+   */
   readonly waitingSince: number | undefined;
 }
 
-/** Load of a service for which nothing waits. */
+/** Load of a service without waiting tasks. */
 export const NO_LOAD: ServiceLoad = {
   waitingMillicores: 0,
   waitingTasks: 0,
@@ -26,7 +32,7 @@
   waitingSince: undefined,
 };
 
-/** Adds up what one round of placement leaves waiting. */
+/** Sums up the work that one round of placement leaves waiting. */
 export class WaitingLoadCounter {
   private millicores = 0;
   private tasks = 0;
@@ -34,7 +40,9 @@
 
   constructor(private readonly vmCapacity: VmCapacity | undefined) {}
 
-  /** Tasks of one step wait; `weight`: what VMs for them are worth, in [0, 1]. */
+  /**
+   * Counts waiting tasks of one step; `weight` is the worth of VMs for them, in [0, 1].
+   */
   note(
     execution: JobExecution,
     tasks: readonly ExecutableTask[],
@@ -47,7 +55,7 @@
     this.noteSpread(execution, tasks);
   }
 
-  /** The load at `now`, after a round that left `before`. */
+  /** Returns the load at `now`; `before` is the load after the previous round. */
   load(before: ServiceLoad, now: number): ServiceLoad {
     return {
       waitingMillicores: this.millicores,
--- a/packages/coordinator/src/session-host.ts
+++ b/packages/coordinator/src/session-host.ts
@@ -5,25 +5,37 @@
 import type {LivenessHost} from './worker-liveness.js';
 import type {WorkerSession} from './worker-session.js';
 
-/** What a session needs of the coordinator. */
+/** What a session needs from the coordinator. */
 export interface SessionHost extends LivenessHost {
   readonly term: number;
-  /** What is known of how workers fail. */
+  /** Reliability of workers, as learned from their failures. */
   readonly trust: WorkerReliability;
-  /** How long any worker may take to answer a call that does not wait there: where all are slow, this daemon is. */
+  /**
+   * Timeout of a worker's response to a call that does not wait on the worker. If all
+   * workers are slow, this daemon is the cause.
+   */
   readonly responseTimeoutMilliseconds: number;
-  /** How long such calls take on average: more than a few milliseconds are this daemon's own. */
+  /**
+   * Mean response time of such calls; anything beyond a few milliseconds is caused by
+   * this daemon.
+   */
   readonly meanResponseMilliseconds: number;
-  /** Such a call was answered after so long. */
+  /** Records the response time of such a call. */
   noteResponseTime(milliseconds: number): void;
   ordersAllowed(): boolean;
-  /** Whether work is ever placed on workers of a service: VMs of a standby pool are off. */
+  /**
+   * Returns whether work is ever placed on workers of a service. VMs of a standby pool
+   * are off.
+   */
   usesWorkersOf(service: string): boolean;
-  /** Whether workers of a service refuse what does not fit them. */
+  /** Returns whether workers of a service refuse tasks that exceed their capacity. */
   enforcesCapacity(service: string): boolean;
-  /** Whether the entries of workers were read so lately that their rooms can be relied on. */
+  /**
+   * Returns whether the entries of workers were read recently enough to rely on their
+   * capacities.
+   */
   areCapacitiesFresh(): boolean;
-  /** A worker has seen a higher fencing token. */
+  /** Called when a worker has seen a higher fencing token. */
   fenced(): void;
   runEnded(
     session: WorkerSession,
@@ -31,23 +43,23 @@
     end: RunEnd,
     checkpoint: string,
   ): void;
-  /** A run has lived for long. */
+  /** Called when a run has been alive long enough to clear the crashes of its task. */
   runSurvived(run: LiveRun): void;
-  /** A run that was given up has ended after all. */
+  /** Called when a run that had been given up has ended after all. */
   lateRunEnded(ended: EndedRun): void;
   startRefused(
     session: WorkerSession,
     run: LiveRun,
     refusal: OrderRefusal,
   ): void;
-  /** The worker does not answer: others near it may not either. */
+  /** Called when the worker stops responding: workers near it may be unreachable too. */
   sessionSilent(session: WorkerSession): void;
-  /** A run shows no progress any more. */
+  /** Called when a run no longer makes progress. */
   runStalled(session: WorkerSession, run: LiveRun): void;
-  /** Calls `then` when all ends read so far are stored. */
+  /** Calls `then` once all ends read so far are stored. */
   afterStored(then: () => void): void;
-  /** The worker can take starts again, or no longer. */
+  /** Called when the worker can accept starts again, or no longer can. */
   sessionChanged(session: WorkerSession): void;
-  /** The incarnation of the worker is over. */
+  /** Called when the incarnation of the worker is over. */
   sessionEnded(session: WorkerSession): void;
 }
--- a/packages/coordinator/src/session-runs.ts
+++ b/packages/coordinator/src/session-runs.ts
@@ -7,18 +7,21 @@
 } from './placement-view.js';
 import type {ListedRun, Resources, WorkerEntry} from './worker-gateway.js';
 
-/** A worker that refused a run for want of room counts as full for so long, or until its entry or runs change. */
+/**
+ * A worker that refused a run for lack of capacity counts as full for this long, or until
+ * its entry or runs change.
+ */
 export const CAPACITY_REFUSAL_MILLISECONDS = 1_000;
 
 /** Runs that may be alive on one worker. */
 export class SessionRuns {
   private readonly byTask = new Map<string, LiveRun>();
-  /** What a placement sees of the worker, until its runs or its entry change. */
+  /** Cached placement view of the worker, until its runs or its entry change. */
   private view: PlacementWorker | undefined;
-  /** Until when the worker counts as full; undefined where it does not. */
+  /** Time until which the worker counts as full; undefined if it does not. */
   private fullUntil: number | undefined;
 
-  /** By task. */
+  /** The runs by task. */
   get all(): ReadonlyMap<string, LiveRun> {
     return this.byTask;
   }
@@ -27,7 +30,7 @@
     return this.byTask.size;
   }
 
-  /** Whether a long-running task is among them. */
+  /** Whether any of the runs belongs to a long-running task. */
   get hasLongRunningTask(): boolean {
     return hasLongRunningTask(this.byTask.values());
   }
@@ -46,36 +49,48 @@
     this.invalidateView();
   }
 
-  /** The worker's entry has changed. */
+  /** Called when the worker's entry has changed. */
   entryChanged(): void {
     this.invalidateView();
   }
 
-  /** Millicores taken away from other work, weighed by what the work is still worth. */
-  weightedMillicores(room: Resources): number {
-    return weightedMillicores(this.byTask.values(), room);
+  /**
+   * Returns the millicores that the runs take from other work, weighted by what their
+   * results are still worth.
+   */
+  weightedMillicores(capacity: Resources): number {
+    return weightedMillicores(this.byTask.values(), capacity);
   }
 
-  /** The worker refused a run for want of room: it has less than its entry says. */
+  /**
+   * Records that the worker refused a run for lack of capacity: it has less than its
+   * entry says.
+   */
   noteCapacityRefusal(now: number): void {
     this.fullUntil = now + CAPACITY_REFUSAL_MILLISECONDS;
     this.view = undefined;
   }
 
-  /** What a placement sees of the worker; made anew only when something has changed, since each round looks at every worker. */
+  /**
+   * Returns the placement view of the worker. It is rebuilt only after a change, since
+   * each round looks at every worker.
+   */
   placementView(
     entry: WorkerEntry,
-    trust: number,
+    reliability: number,
     now: number,
   ): PlacementWorker {
     if (this.fullUntil !== undefined && now >= this.fullUntil)
       this.invalidateView();
-    if (this.view?.reliability !== trust)
-      this.view = this.newView(entry, trust);
+    if (this.view?.reliability !== reliability)
+      this.view = this.createView(entry, reliability);
     return this.view;
   }
 
-  /** Whether a run whose order was not sent yet fits beside those that may be on the worker. */
+  /**
+   * Returns whether a run whose order was not sent yet fits beside the runs that may be
+   * on the worker.
+   */
   hasCapacityFor(run: LiveRun, entry: WorkerEntry): boolean {
     const others = [...this.byTask.values()].filter(
       other => other !== run && other.status !== RunStatus.Planned,
@@ -84,12 +99,18 @@
     return fitsOnWorker(view, run.executableTask.specification);
   }
 
-  /** Nothing was seen of the runs for a while: they have not stood still. */
+  /**
+   * Restarts stall detection after a period in which the runs were not observed and thus
+   * did not stall.
+   */
   restartStallDetection(now: number): void {
     for (const run of this.byTask.values()) run.percentChangedAt = now;
   }
 
-  /** Settled runs that a poll asked for at `requestedAt` shows neither alive nor ended: they never ran, or are long over. */
+  /**
+   * Returns the settled runs that a poll sent at `requestedAt` lists neither as alive nor
+   * as ended: they never ran, or ended long ago.
+   */
   missingFrom(
     running: readonly ListedRun[],
     ended: ReadonlySet<string>,
@@ -110,8 +131,8 @@
     this.view = undefined;
   }
 
-  private newView(entry: WorkerEntry, trust: number): PlacementWorker {
-    const view = placementView(entry, [...this.byTask.values()], trust);
+  private createView(entry: WorkerEntry, reliability: number): PlacementWorker {
+    const view = placementView(entry, [...this.byTask.values()], reliability);
     if (this.fullUntil === undefined) return view;
     return {...view, freeMillicores: 0, freeMegabytes: 0, freeAccelerators: 0};
   }
--- a/packages/coordinator/src/stand-ins/memory-store.ts
+++ b/packages/coordinator/src/stand-ins/memory-store.ts
@@ -13,23 +13,23 @@
 import {sleep, type Clock} from '@gentiandoor/kernel';
 import {SimulatedLink} from './simulated-link.js';
 
-/** Faults of the store that a test switches on. */
+/** Faults of the store that a test can inject. */
 export enum StoreFault {
   /** Calls are refused and nothing is done. */
   Refusing = 'refusing',
-  /** Calls get no answer and nothing is done. */
+  /** Calls get no response and nothing is done. */
   Silent = 'silent',
-  /** Appends are done and get no answer. */
+  /** Appends are applied but get no response. */
   AnswersLost = 'answers_lost',
-  /** Appends get no answer and are done later. */
+  /** Appends get no response and are applied later. */
   DoneLate = 'done_late',
 }
 
 const ANSWER_MILLISECONDS = 4;
 const SILENCE_MILLISECONDS = 1_500;
-/** Heads of a call and of its answer. */
+/** Bytes of the headers of a call and of its response. */
 const CALL_BYTES = 350;
-/** How much later a late append is done. */
+/** Delay of a late append. */
 const LATE_MILLISECONDS = 3_000;
 
 interface Writer {
@@ -39,7 +39,9 @@
 }
 
 class Partition {
-  /** It takes one append after the other. */
+  /**
+   * Time until which earlier appends are handled: the partition handles one at a time.
+   */
   busyUntil = 0;
   readonly records: LoggedRecord[] = [];
   firstKept = 0;
@@ -50,31 +52,31 @@
 /** The platform's store in memory, shared by the daemons of a test. */
 export class MemoryStore {
   private readonly partitions = new Map<string, Partition>();
-  /** How long a partition takes for an append. */
+  /** How long a partition takes to handle an append. */
   appendMilliseconds = 0;
-  /** Calls made, by kind. */
+  /** Number of calls, by kind. */
   readonly calls = {append: 0, read: 0, newest: 0};
 
   constructor(readonly clock: Clock) {}
 
-  /** The store as one daemon reaches it, with faults of its own. */
+  /** Returns a connection of one daemon, with faults of its own. */
   connect(link = new SimulatedLink(this.clock)): StoreConnection {
     return new StoreConnection(this, link);
   }
 
-  /** Writes as an operator or a worker does. */
+  /** Writes a record as an operator or a worker would. */
   write(stream: LogStream, record: KeyedRecord, partition = 0): void {
     this.append(stream, [record], {partition});
   }
 
-  /** Forgets the history of a stream; the newest record of each key stays. */
+  /** Discards the history of a stream; the newest record of each key remains. */
   forgetHistory(stream: LogStream): void {
     for (const [key, partition] of this.partitions)
       if (key.startsWith(`${stream}/`))
         partition.firstKept = partition.records.length;
   }
 
-  /** All records that were ever appended to a stream. */
+  /** Returns all records that were ever appended to a stream. */
   history(stream: LogStream): readonly LoggedRecord[] {
     return this.partition(stream).records;
   }
@@ -86,8 +88,11 @@
     conditions: AppendConditions,
   ): AppendResult {
     const partition = this.partition(stream, conditions.partition);
-    const {expectedEndOffset: atOffset, writer} = conditions;
-    if (atOffset !== undefined && atOffset !== partition.records.length)
+    const {expectedEndOffset, writer} = conditions;
+    if (
+      expectedEndOffset !== undefined &&
+      expectedEndOffset !== partition.records.length
+    )
       return {
         outcome: AppendOutcome.EndOffsetMismatch,
         endOffset: partition.records.length,
@@ -96,12 +101,15 @@
     return this.appendAsWriter(partition, records, writer);
   }
 
-  /** @internal Milliseconds until the partition has taken an append that reaches it now. */
+  /**
+   * @internal Returns the milliseconds until the partition has handled an append that
+   * arrives now.
+   */
   appendDelayMilliseconds(stream: LogStream, index = 0): number {
     const partition = this.partition(stream, index);
     const now = this.clock.monotonicMilliseconds();
-    const begins = Math.max(now, partition.busyUntil);
-    partition.busyUntil = begins + this.appendMilliseconds;
+    const startsAt = Math.max(now, partition.busyUntil);
+    partition.busyUntil = startsAt + this.appendMilliseconds;
     return partition.busyUntil - now;
   }
 
@@ -203,7 +211,7 @@
   }
 }
 
-/** One daemon's way to the store. */
+/** The connection of one daemon to the store. */
 export class StoreConnection implements RecordLog {
   private fault: StoreFault | undefined;
   private faultyStream: LogStream | undefined;
@@ -214,18 +222,21 @@
     private readonly link: SimulatedLink,
   ) {}
 
-  /** The daemon is gone: no call of it is ever done or answered any more. */
+  /**
+   * Simulates the loss of the daemon: none of its calls is carried out or answered any
+   * more.
+   */
   kill(): void {
     this.killed = true;
   }
 
-  /** Reads that this daemon has asked for. */
+  /** Number of reads that this daemon has requested. */
   reads = 0;
 
-  /** How long the store takes to answer this daemon. */
+  /** Response time of the store for this daemon. */
   answerMilliseconds = ANSWER_MILLISECONDS;
 
-  /** Switches a fault on, or all off; `only`: for one stream. */
+  /** Injects a fault, or clears all faults; `only` limits the fault to one stream. */
   setFault(fault: StoreFault | undefined, only?: LogStream): void {
     this.fault = fault;
     this.faultyStream = only;
@@ -270,11 +281,11 @@
     const failure = await this.reach(stream);
     if (failure) return failure;
     const first = this.store.read(stream, offset, partition);
-    const hasNone =
+    const isEmpty =
       first.outcome === ReadOutcome.Read && first.records.length === 0;
-    if (!hasNone || waitMilliseconds === 0) return this.carried(first);
+    if (!isEmpty || waitMilliseconds === 0) return this.transfer(first);
     await this.store.nextAppend(stream, waitMilliseconds, partition);
-    return this.carried(this.store.read(stream, offset, partition));
+    return this.transfer(this.store.read(stream, offset, partition));
   }
 
   async newestByKey(
@@ -283,10 +294,10 @@
   ): Promise<NewestByKeyResult> {
     this.store.calls.newest++;
     const failure = await this.reach(stream);
-    return failure ?? this.carried(this.store.newest(stream, partition));
+    return failure ?? this.transfer(this.store.newest(stream, partition));
   }
 
-  private async carried<Result extends ReadResult | NewestByKeyResult>(
+  private async transfer<Result extends ReadResult | NewestByKeyResult>(
     result: Result,
   ): Promise<Result> {
     const records = 'records' in result ? result.records : [];
@@ -295,8 +306,8 @@
   }
 
   private faultOf(stream: LogStream): StoreFault | undefined {
-    const spared = this.faultyStream && this.faultyStream !== stream;
-    return spared ? undefined : this.fault;
+    const isUnaffected = this.faultyStream && this.faultyStream !== stream;
+    return isUnaffected ? undefined : this.fault;
   }
 
   private async reach(stream: LogStream): Promise<
--- a/packages/coordinator/src/stand-ins/simulated-fleet.ts
+++ b/packages/coordinator/src/stand-ins/simulated-fleet.ts
@@ -18,11 +18,11 @@
 
 const ANSWER_MILLISECONDS = 3;
 
-/** VMs of a test, with the orders that were carried out. */
+/** Simulates the VMs of a test, and records the orders that were carried out. */
 export class SimulatedFleet implements VmGateway {
   readonly vms = new Map<string, ListedVm>();
   readonly orders: FleetOrder[] = [];
-  /** Called when a VM leaves its worker; returns what the new incarnation is called. */
+  /** Called when a VM leaves its worker; returns the id of the new incarnation. */
   onOrder: (order: FleetOrder) => string = () => '';
 
   constructor(
@@ -77,8 +77,10 @@
       state: isMove ? VmState.Moving : VmState.Maintenance,
       workerId: '',
     });
-    const takes = isMove ? this.moveMilliseconds : this.maintenanceMilliseconds;
-    this.clock.schedule(takes, () => {
+    const durationMilliseconds = isMove
+      ? this.moveMilliseconds
+      : this.maintenanceMilliseconds;
+    this.clock.schedule(durationMilliseconds, () => {
       const now = this.vms.get(order.vm);
       if (now) this.vms.set(order.vm, {...now, state: VmState.Up, workerId});
     });
--- a/packages/coordinator/src/stand-ins/simulated-link.ts
+++ b/packages/coordinator/src/stand-ins/simulated-link.ts
@@ -1,25 +1,28 @@
 import {sleep, type Clock} from '@gentiandoor/kernel';
 
-/** The link of one daemon's VM: what goes over it waits for what went before. */
+/** Simulates the link of one daemon's VM: each transfer waits for the earlier ones. */
 export class SimulatedLink {
   private busyUntil = 0;
 
-  /** `bytesPerMillisecond`: bandwidth; 2 Mbit/s are 250. */
+  /** `bytesPerMillisecond` is the bandwidth; 2 Mbit/s are 250. */
   constructor(
     private readonly clock: Clock,
     private readonly bytesPerMillisecond = Infinity,
   ) {}
 
-  /** Resolves once `bytes` are carried. */
+  /** Resolves once `bytes` are transferred. */
   async carry(bytes: number): Promise<void> {
     await sleep(this.clock, this.reserve(bytes));
   }
 
-  /** Milliseconds until `bytes` are carried, which they are whether somebody waits or not. */
+  /**
+   * Returns the milliseconds until `bytes` are transferred, which they are whether or not
+   * a caller waits.
+   */
   reserve(bytes: number): number {
     const now = this.clock.monotonicMilliseconds();
-    const begins = Math.max(now, this.busyUntil);
-    this.busyUntil = begins + bytes / this.bytesPerMillisecond;
+    const startsAt = Math.max(now, this.busyUntil);
+    this.busyUntil = startsAt + bytes / this.bytesPerMillisecond;
     return this.busyUntil - now;
   }
 }
--- a/packages/coordinator/src/stand-ins/simulated-settings.ts
+++ b/packages/coordinator/src/stand-ins/simulated-settings.ts
@@ -1,6 +1,6 @@
 import type {EntrySettings} from '../index.js';
 
-/** Settings of a daemon on stand-ins, which listens nowhere. */
+/** Returns the settings of a daemon that uses stand-ins and listens on no address. */
 export function simulatedSettings(node: string): EntrySettings {
   return {
     node,
--- a/packages/coordinator/src/stand-ins/simulated-worker.ts
+++ b/packages/coordinator/src/stand-ins/simulated-worker.ts
@@ -21,16 +21,16 @@
   readonly durationMilliseconds: number | undefined;
   readonly end: RunEnd;
   readonly resources: Resources;
-  /** It stops making progress here and never ends by itself. */
+  /** Percentage at which the task stalls; it never ends by itself. */
   readonly stallsAtPercent?: number;
-  /** It crashes its worker so long after its start. */
+  /** Time after its start at which the task crashes its worker. */
   readonly crashesAfterMilliseconds?: number;
 }
 
-/** Tells how the task of a name behaves on a worker. */
+/** Returns the behaviour of a task, by name, on a worker. */
 export type BehaviourOf = (task: string, worker: string) => TaskBehaviour;
 
-/** A run that was begun, for what a test checks afterwards. */
+/** A run that a worker began, recorded for the checks of a test. */
 export interface StartedRun extends RunName {
   readonly worker: string;
   readonly startedAt: number;
@@ -51,15 +51,18 @@
   timer: Timer | undefined;
 }
 
-/** One incarnation of a worker: runs tasks under a lease and guards its room. */
+/**
+ * Simulates one incarnation of a worker, which runs tasks under a lease and enforces its
+ * capacity.
+ */
 export class SimulatedWorker {
   readonly startedRuns: StartedRun[] = [];
   state = WorkerState.Ready;
-  /** Runs that it was told to stop. */
+  /** Number of runs that it was ordered to stop. */
   stopsAsked = 0;
-  /** Whether it refuses what does not fit. */
+  /** Whether it refuses tasks that exceed its capacity. */
   enforcesCapacity = true;
-  /** When starts brought it over its room. */
+  /** Times at which a start exceeded its capacity. */
   readonly startsOverCapacity: number[] = [];
   /** Called when a task crashes the worker. */
   onTaskCrash: () => void = () => this.crash();
@@ -68,7 +71,7 @@
   private readonly alive = new Map<string, AliveRun>();
   private readonly lastRun = new Map<string, number>();
   private readonly waiting = new Set<() => void>();
-  /** When leases ran out. */
+  /** Times at which leases expired. */
   readonly lapses: number[] = [];
   private ended: EndedRun[] = [];
   private endNumber = 0;
@@ -83,7 +86,7 @@
     public capacity: Resources,
     private readonly clock: Clock,
     private readonly behaviourOf: BehaviourOf,
-    /** The worker's clock shows this much more than ours. */
+    /** How far the worker's clock is ahead of ours. */
     private readonly clockOffset = 1_000_000,
   ) {}
 
@@ -92,7 +95,7 @@
     return [...this.alive.values()];
   }
 
-  /** Ends that nobody has acknowledged. */
+  /** Number of ends that are not acknowledged. */
   get unacknowledged(): number {
     return this.ended.length;
   }
@@ -113,7 +116,7 @@
     };
   }
 
-  /** Ends this incarnation: everything on it is over and nobody is told. */
+  /** Ends this incarnation: all its runs are over and nobody is notified. */
   crash(): void {
     this.dead = true;
     this.leaseTimer?.cancel();
@@ -127,7 +130,7 @@
   }
 
   async poll(request: PollRequest): Promise<PollResult> {
-    if (!this.takeToken(request.fencingToken)) return refused('fence');
+    if (!this.acceptToken(request.fencingToken)) return refused('fence');
     this.acknowledge(request.acknowledgedEnd);
     if (request.leaseEndMilliseconds !== undefined)
       this.extendLease(request.leaseEndMilliseconds);
@@ -142,10 +145,10 @@
   }
 
   start(request: StartRequest): OrderResult {
-    // A late order finds nobody when the incarnation that it was meant for is over.
+    // A late order gets no response if the incarnation it was meant for is over.
     if (this.dead)
       return {outcome: OrderOutcome.Unknown, reason: 'no such incarnation'};
-    if (!this.takeToken(request.fencingToken)) return refused('fence');
+    if (!this.acceptToken(request.fencingToken)) return refused('fence');
     if (this.workerClock() >= request.leaseEndMilliseconds)
       return refused('late');
     const before = this.lastRun.get(request.task) ?? 0;
@@ -166,7 +169,7 @@
   }
 
   stop(run: RunName, fencingToken: number): OrderResult {
-    if (!this.takeToken(fencingToken)) return refused('fence');
+    if (!this.acceptToken(fencingToken)) return refused('fence');
     const alive = this.alive.get(run.task);
     this.noteLatestRun(run);
     if (alive && alive.run === run.run && !alive.stopping) {
@@ -181,7 +184,7 @@
   }
 
   pace(_run: RunName, _percent: number, fencingToken: number): OrderResult {
-    return this.takeToken(fencingToken) ? this.done() : refused('fence');
+    return this.acceptToken(fencingToken) ? this.done() : refused('fence');
   }
 
   private begin(request: StartRequest, behaviour: TaskBehaviour): void {
@@ -240,8 +243,8 @@
     this.lastRun.set(run.task, Math.max(before, run.run));
   }
 
-  private hasCapacityFor(room: Resources): boolean {
-    let millicores = room.processorMillicores;
+  private hasCapacityFor(required: Resources): boolean {
+    let millicores = required.processorMillicores;
     for (const run of this.alive.values())
       millicores += run.resources.processorMillicores;
     return millicores <= this.capacity.processorMillicores;
@@ -253,7 +256,7 @@
     this.leaseTimer?.cancel();
     this.leaseTimer = this.clock.schedule(
       Math.max(0, this.leaseEnd - this.workerClock()),
-      () => this.lapse(),
+      () => this.expireLease(),
     );
   }
 
@@ -269,12 +272,12 @@
     this.ended = this.ended.filter(end => end.number > endsStored);
   }
 
-  private lapse(): void {
+  private expireLease(): void {
     this.lapses.push(this.clock.monotonicMilliseconds());
     for (const run of [...this.alive.values()]) this.finish(run, RunEnd.Lapsed);
   }
 
-  private takeToken(token: number): boolean {
+  private acceptToken(token: number): boolean {
     if (token < this.token) return false;
     this.token = token;
     return true;
--- a/packages/coordinator/src/stand-ins/simulated-workers.ts
+++ b/packages/coordinator/src/stand-ins/simulated-workers.ts
@@ -13,24 +13,24 @@
 import {SimulatedLink} from './simulated-link.js';
 import type {SimulatedWorker} from './simulated-worker.js';
 
-/** Faults of the way to one worker that a test switches on. */
+/** Faults of the connection to one worker that a test can inject. */
 export enum WorkerFault {
-  /** Nothing comes through. */
+  /** No call reaches the worker. */
   Cut = 'cut',
-  /** Starts get no answer and are carried out later. */
+  /** Starts get no response and are carried out later. */
   StartsLate = 'starts_late',
-  /** Starts are carried out and their answers are lost. */
+  /** Starts are carried out and their responses are lost. */
   AnswersLost = 'answers_lost',
-  /** It says that it is not well. */
+  /** The worker reports that it is unhealthy. */
   Unhealthy = 'unhealthy',
 }
 
 const ANSWER_MILLISECONDS = 2;
 const SILENCE_MILLISECONDS = 800;
-/** What a call takes of a daemon's link, both ways, with the heads of its messages. */
+/** Bytes of a call on a daemon's link, in both directions, including message headers. */
 const POLL_BYTES = 600;
 const ORDER_BYTES = 1_100;
-/** How much later a late start is carried out. */
+/** Delay of a late start. */
 const LATE_MILLISECONDS = 2_500;
 
 /** All workers of a test. */
@@ -44,18 +44,18 @@
     return worker;
   }
 
-  /** The workers as one daemon reaches them, with faults of its own. */
+  /** Returns a connection of one daemon to the workers, with faults of its own. */
   connect(link = new SimulatedLink(this.clock)): WorkerConnection {
     return new WorkerConnection(this, link);
   }
 }
 
-/** One daemon's way to the workers. */
+/** The connection of one daemon to the workers. */
 export class WorkerConnection implements WorkerGateway {
   private readonly faults = new Map<string, WorkerFault>();
-  /** How long any worker takes to answer this daemon. */
+  /** Response time of all workers for this daemon. */
   answerMilliseconds = ANSWER_MILLISECONDS;
-  /** Polls made, by worker. */
+  /** Number of polls, by worker. */
   readonly polls = new Map<string, number>();
 
   constructor(
@@ -63,7 +63,7 @@
     private readonly link: SimulatedLink,
   ) {}
 
-  /** Switches a fault of the way to `workerId` on, or all off. */
+  /** Injects a fault of the connection to `workerId`, or clears it. */
   setFault(workerId: string, fault: WorkerFault | undefined): void {
     if (fault === undefined) this.faults.delete(workerId);
     else this.faults.set(workerId, fault);
@@ -71,10 +71,11 @@
 
   async poll(worker: WorkerAddress, request: PollRequest): Promise<PollResult> {
     this.polls.set(worker.id, (this.polls.get(worker.id) ?? 0) + 1);
-    const bound = request.timeoutMilliseconds ?? SILENCE_MILLISECONDS;
-    const target = await this.reach(worker, POLL_BYTES, bound);
+    const timeoutMilliseconds =
+      request.timeoutMilliseconds ?? SILENCE_MILLISECONDS;
+    const target = await this.reach(worker, POLL_BYTES, timeoutMilliseconds);
     const result = await target?.poll(request);
-    // A worker that crashed while the poll waited there answers nothing.
+    // A worker that crashed during a long poll does not respond.
     return result && !target?.isDead ? result : silent();
   }
 
@@ -121,20 +122,29 @@
 
   forget(): void {}
 
-  /** The worker that the call reaches; undefined, after `boundMilliseconds`, where it gets no answer in time. */
+  /**
+   * Returns the worker that the call reaches; resolves to undefined after
+   * `timeoutMilliseconds` if there is no response in time.
+   */
   private async reach(
     worker: WorkerAddress,
     bytes: number,
-    boundMilliseconds = SILENCE_MILLISECONDS,
+    timeoutMilliseconds = SILENCE_MILLISECONDS,
   ): Promise<SimulatedWorker | undefined> {
     const {clock} = this.workers;
-    const takes = this.link.reserve(bytes) + this.answerMilliseconds;
-    await sleep(clock, Math.min(takes, boundMilliseconds));
+    const responseMilliseconds =
+      this.link.reserve(bytes) + this.answerMilliseconds;
+    await sleep(clock, Math.min(responseMilliseconds, timeoutMilliseconds));
     const target = this.workers.byAddress.get(worker.address);
     const isCut = this.faults.get(worker.id) === WorkerFault.Cut;
-    if (target && !target.isDead && !isCut && takes <= boundMilliseconds)
+    if (
+      target &&
+      !target.isDead &&
+      !isCut &&
+      responseMilliseconds <= timeoutMilliseconds
+    )
       return target;
-    await sleep(clock, Math.max(0, boundMilliseconds - takes));
+    await sleep(clock, Math.max(0, timeoutMilliseconds - responseMilliseconds));
     return undefined;
   }
 
--- a/packages/coordinator/src/stand-ins/started-runs.ts
+++ b/packages/coordinator/src/stand-ins/started-runs.ts
@@ -1,7 +1,7 @@
 import {RunEnd} from '@gentiandoor/jobs';
 import type {StartedRun} from './simulated-worker.js';
 
-/** Pairs of runs of one task, the earlier first. */
+/** Returns all pairs of runs of one task, the earlier run first. */
 export function pairsOfRuns(
   runs: readonly StartedRun[],
 ): Array<[StartedRun, StartedRun]> {
@@ -18,7 +18,7 @@
   return pairs;
 }
 
-/** Runs of one task that were alive at the same time, in words. */
+/** Describes the runs of one task that were alive at the same time. */
 export function overlappingRuns(runs: readonly StartedRun[]): string[] {
   return pairsOfRuns(runs)
     .filter(([one, other]) => other.startedAt < (one.endedAt ?? Infinity))
@@ -28,14 +28,17 @@
     );
 }
 
-/** Most runs that were alive right after one of them began, of those that began at `from` or later. */
+/**
+ * Returns the maximum number of runs that were alive right after one of them began, of
+ * those that began at `from` or later.
+ */
 export function maximumConcurrentRuns(
   runs: readonly StartedRun[],
   from = 0,
 ): number {
   const counts = runs
     .filter(run => run.startedAt >= from)
-    .map(({startedAt: begunAt}) => aliveAt(runs, begunAt));
+    .map(({startedAt}) => aliveAt(runs, startedAt));
   return Math.max(0, ...counts);
 }
 
@@ -45,7 +48,10 @@
   ).length;
 }
 
-/** How often a task was started after `crashes` of its runs had ended with a crash of their worker. */
+/**
+ * Returns how often a task was started after `crashes` of its runs had ended with a crash
+ * of their worker.
+ */
 export function startsAfterCrashes(
   runs: readonly StartedRun[],
   task: string,
@@ -56,6 +62,6 @@
     .filter(run => run.end === RunEnd.Crashed)
     .map(run => run.endedAt ?? Infinity)
     .sort((left, right) => left - right);
-  const bound = crashedAt[crashes - 1] ?? Infinity;
-  return own.filter(run => run.startedAt >= bound).length;
+  const countedFrom = crashedAt[crashes - 1] ?? Infinity;
+  return own.filter(run => run.startedAt >= countedFrom).length;
 }
--- a/packages/coordinator/src/stream-follower.ts
+++ b/packages/coordinator/src/stream-follower.ts
@@ -2,25 +2,25 @@
 import type {KeyedRecord} from '@gentiandoor/jobs';
 import {ReadOutcome, type LogStream, type RecordLog} from './record-log.js';
 
-/** What is done with the records of a stream. */
+/** Receives the records of a stream. */
 export interface StreamSink {
-  /** Applies one record; throws when it can't be read. */
+  /** Applies one record; throws if it is unreadable. */
   apply(record: KeyedRecord): void;
-  /** Called after the newest records of all keys were applied. */
+  /** Called after the newest records of all keys were applied, with these keys. */
   loaded?(keys: ReadonlySet<string>): void;
 }
 
-/** How a stream is followed. */
+/** Options for following a stream. */
 export interface FollowOptions {
-  /** Only the newest record of each key counts, what lies between may be skipped. */
+  /** Only the newest record of each key matters; earlier ones may be skipped. */
   readonly skipsHistory?: boolean;
-  /** Of the stream; 0 where nothing is said. */
+  /** Partition of the stream; 0 by default. */
   readonly partition?: number;
 }
 
 /**
- * Reads a partition of a stream to its end, again and again. A read that meets a gap starts again from the newest
- * record of each key, which the store keeps for good.
+ * Reads a partition of a stream to its end, repeatedly. A read that meets a gap restarts
+ * from the newest record of each key, which the store retains permanently.
  */
 export class StreamFollower {
   private nextOffset: number | undefined;
@@ -38,19 +38,20 @@
     private readonly options: FollowOptions = {},
   ) {}
 
-  /** True once the stream was read to its end. */
+  /** Whether the stream has been read to its end. */
   get isLoaded(): boolean {
     return this.nextOffset !== undefined;
   }
 
-  /** Milliseconds since a read to the end began that succeeded. */
+  /** Milliseconds since the last successful read to the end began. */
   get ageMilliseconds(): number {
     return this.clock.monotonicMilliseconds() - this.refreshedAt;
   }
 
   /**
-   * Reads to the end with a read that begins after this call: callers that ask while one is under
-   * way share the next one, since the one under way may have missed what they wait for.
+   * Reads to the end with a read that begins after this call. Callers that arrive while a
+   * read is in flight share the next one, since the one in flight may have missed the
+   * records they wait for.
    */
   refresh(): Promise<boolean> {
     if (!this.refreshing) {
@@ -66,11 +67,15 @@
     return this.queued;
   }
 
-  /** Waits for the next record and applies what came; false when the store did not answer. */
+  /**
+   * Waits for the next records and applies them; resolves to false if the store did not
+   * respond.
+   */
   async follow(waitMilliseconds: number): Promise<boolean> {
     if (this.nextOffset === undefined) return this.refresh();
-    // Versions of a large configuration can come faster than a small link carries them: read one
-    // after the other the newest would be in force many seconds after it was signed off.
+    // Versions of a large configuration can arrive faster than a slow link transfers
+    // them. Read one after the other, the newest would take effect many seconds after it
+    // was signed off.
     if (this.isBehind && this.options.skipsHistory) return this.load();
     const started = this.clock.monotonicMilliseconds();
     const result = await this.log.read(
@@ -86,9 +91,11 @@
     if (result.outcome === ReadOutcome.Gap) return this.load();
     this.applyFrom(result.records);
     this.isBehind = this.nextOffset < result.endOffset;
-    // Also when records came: where they never stop coming, a read without any would never be seen.
+    // Also when records arrived: if they never stop arriving, no read would ever return
+    // without any.
     if (this.nextOffset >= result.endOffset) {
-      // One that waited in vain tells of the time at which it was answered, not of that at which it was asked.
+      // A read that waited without receiving records reflects the time of its response,
+      // not that of its request.
       const waited = result.records.length === 0 ? waitMilliseconds : 0;
       const now = this.clock.monotonicMilliseconds();
       const asOf = Math.min(started + waited, now);
@@ -127,7 +134,8 @@
     if (result.outcome !== ReadOutcome.Read) return false;
     for (const record of result.records) this.applyOne(record);
     this.sink.loaded?.(new Set(result.records.map(record => record.key)));
-    // Pages are no snapshot: what was written since the first page is read again from the log.
+    // Pages are not a snapshot: records written since the first page are read again from
+    // the log.
     this.nextOffset = Math.max(this.nextOffset ?? 0, result.endOffset);
     this.refreshedAt = started;
     this.isBehind = false;
@@ -138,7 +146,7 @@
     records: readonly (KeyedRecord & {readonly offset: number})[],
   ): void {
     for (const record of records) {
-      // A long read and a refresh may bring the same records.
+      // A long poll and a refresh may return the same records.
       if (record.offset < (this.nextOffset ?? 0)) continue;
       this.applyOne(record);
       this.nextOffset = record.offset + 1;
--- a/packages/coordinator/src/submission-log.ts
+++ b/packages/coordinator/src/submission-log.ts
@@ -9,19 +9,23 @@
 import {LogStream, type RecordLog} from './record-log.js';
 
 /**
- * The store takes one append after the other in a partition. While it is slow, a single partition takes fewer
- * than a hundred daemons ask for: most submissions are refused, and the coordinator's progress waits behind the
- * others. The same on all daemons.
+ * The store handles one append at a time in a partition. While it is slow, a single
+ * partition handles fewer appends than a hundred daemons request: most submissions are
+ * refused, and the coordinator's progress waits behind the others. All daemons must use
+ * the same number.
  */
 export const SUBMISSION_PARTITIONS = 6;
 
-/** The partition in which a job's submission and cancellation lie. */
+/** Returns the partition that holds a job's submission and cancellation. */
 export function submissionPartition(jobId: string): number {
   const digest = createHash('sha1').update(jobId).digest();
   return digest.readUInt32BE() % SUBMISSION_PARTITIONS;
 }
 
-/** Appends submissions and cancellations of jobs, those of one job always to the same partition. */
+/**
+ * Appends submissions and cancellations of jobs; records of one job always go to the same
+ * partition.
+ */
 export class SubmissionLog {
   readonly health: AppendHealth;
   private readonly appenders: readonly BatchingAppender[];
@@ -41,7 +45,10 @@
     );
   }
 
-  /** Appends a record about `jobId`; the bounds are those of `GroupedAppender.keep`. */
+  /**
+   * Appends a record about `jobId`; the time limits are those of
+   * `BatchingAppender.append`.
+   */
   append(
     jobId: string,
     record: KeyedRecord,
--- a/packages/coordinator/src/task-failures.ts
+++ b/packages/coordinator/src/task-failures.ts
@@ -1,21 +1,24 @@
 import type {Clock} from '@gentiandoor/kernel';
 import {mustIsolate, type Avoidance} from '@gentiandoor/scheduling';
 
-/** A task that has failed avoids the workers concerned for this long. */
+/** A failed task avoids the workers concerned for this long. */
 export const AVOIDANCE_MILLISECONDS = 1_000;
 /** After this many stalls the task itself is assumed to be slow. */
 const MAXIMUM_STALLS = 2;
 
-/** Workers on which runs of a task have failed, and when the last one did. */
+/** Workers on which runs of a task failed, and the time of the last failure. */
 interface Failures {
   readonly workers: ReadonlySet<string>;
   readonly lastFailedAt: number;
 }
 
-/** Remembers where tasks have failed or crashed their workers, so that the next try goes elsewhere, or apart. */
+/**
+ * Remembers where tasks failed or crashed their workers, so that the next attempt runs on
+ * another worker, or isolated.
+ */
 export class TaskFailures {
   private readonly byTask = new Map<string, Failures>();
-  /** When a worker last crashed under a task. */
+  /** Time of the last worker crash while the task ran, by task. */
   private readonly crashedAt = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {}
@@ -39,25 +42,34 @@
         if (task.startsWith(prefix)) tasks.delete(task);
   }
 
-  /** Whether a task under which `crashes` workers, one at least, have crashed is kept apart if it starts now. */
+  /**
+   * Returns whether a task must be isolated if it starts now; `crashes` is the number of
+   * workers, at least one, that crashed while running it.
+   */
   mustIsolate(task: string, crashes: number): boolean {
-    // An earlier coordinator saw the crashes: the wait begins here.
+    // The crashes were seen by an earlier coordinator: the waiting time begins now.
     if (!this.crashedAt.has(task)) this.noteCrash(task);
     const now = this.clock.monotonicMilliseconds();
     return mustIsolate(crashes, now - (this.crashedAt.get(task) ?? now));
   }
 
-  /** A task that has stood still or failed on several workers is left to go on: it may be far longer than its estimate. */
+  /**
+   * Returns whether a stalled run of the task is to be stopped. A task that stalled or
+   * failed on several workers is left running: it may take far longer than its estimate.
+   */
   stopsOnStall(task: string): boolean {
     return (this.byTask.get(task)?.workers.size ?? 0) < MAXIMUM_STALLS;
   }
 
-  /** Where a task goes last, or not at all for a while. */
+  /**
+   * Returns the workers that a task is placed on last, or, for a while after a failure,
+   * not at all.
+   */
   avoidanceOf(task: string, now: number): Avoidance {
     const failures = this.byTask.get(task);
     if (!failures) return NO_AVOIDANCE;
-    const {workers, lastFailedAt: newestAt} = failures;
-    return {workers, isMandatory: now - newestAt < AVOIDANCE_MILLISECONDS};
+    const {workers, lastFailedAt} = failures;
+    return {workers, isMandatory: now - lastFailedAt < AVOIDANCE_MILLISECONDS};
   }
 }
 
--- a/packages/coordinator/src/task-groups.ts
+++ b/packages/coordinator/src/task-groups.ts
@@ -1,6 +1,9 @@
 import type {ExecutableTask} from '@gentiandoor/jobs';
 
-/** Members of a gang go together, all others alone. */
+/**
+ * Groups the tasks that start together: the members of a gang form one group, every other
+ * task its own.
+ */
 export function groupsOf(ready: readonly ExecutableTask[]): ExecutableTask[][] {
   const gangs = new Map<string, ExecutableTask[]>();
   const groups: ExecutableTask[][] = [];
@@ -21,7 +24,10 @@
   return groups.filter(isWholeGroup);
 }
 
-/** A gang waits until no run of any member is left: members of two runs never meet. */
+/**
+ * Returns whether a group is complete. A gang waits until no run of any member is left,
+ * so that members of different runs never meet.
+ */
 function isWholeGroup(tasks: readonly ExecutableTask[]): boolean {
   const {gang, taskCount} = tasks[0].specification;
   return !gang || tasks.length === taskCount;
--- a/packages/coordinator/src/unexpected-runs.ts
+++ b/packages/coordinator/src/unexpected-runs.ts
@@ -9,7 +9,10 @@
 /** Sends the order to stop a run. */
 export type StopOrder = (run: ListedRun) => Promise<OrderResult>;
 
-/** Runs on one worker that nobody expects there: earlier orders, which must not go on. */
+/**
+ * Stops runs on one worker that nobody expects there: they stem from earlier orders and
+ * must not continue.
+ */
 export class UnexpectedRuns {
   private readonly stopping = new Set<string>();
   private listed = 0;
@@ -19,17 +22,23 @@
     private readonly logger: Logger,
   ) {}
 
-  /** Whether the worker listed any when it was last asked: they take room until they end. */
+  /**
+   * Whether the worker listed any when it was last polled; they occupy capacity until
+   * they end.
+   */
   get areListed(): boolean {
     return this.listed > 0;
   }
 
-  /** The worker's runs are listed anew. */
+  /** Called before the runs of a new list are passed in. */
   beginList(): void {
     this.listed = 0;
   }
 
-  /** Stops a run that was listed; one whose order got no answer is stopped again when it is listed again. */
+  /**
+   * Stops a listed run. If the order got no response, it is sent again when the run is
+   * listed again.
+   */
   async stop(worker: string, listed: ListedRun): Promise<void> {
     this.listed++;
     const name = runName(listed);
--- a/packages/coordinator/src/vm-gateway.ts
+++ b/packages/coordinator/src/vm-gateway.ts
@@ -11,41 +11,50 @@
 /** A VM as the platform lists it. */
 export interface ListedVm {
   readonly name: string;
-  /** Service whose pool it is in. */
+  /** Service whose pool contains the VM. */
   readonly pool: string;
   readonly state: VmState;
   readonly dataCentre: string;
   readonly labels: readonly string[];
   readonly capacity: Resources;
-  /** The incarnation of the worker that runs on it; empty while none does. */
+  /** Incarnation of the worker that runs on the VM; empty if there is none. */
   readonly workerId: string;
 }
 
-/** What became of an order about a VM. */
+/** Outcome of an order about a VM. */
 export enum VmOrderOutcome {
-  /** It is done, now or before. */
+  /** The order is carried out, by this call or an earlier one. */
   Done = 'done',
-  /** A later holder has ordered; give no more orders about this VM under the same token. */
+  /**
+   * A later holder has given an order; no more orders about this VM may be sent with the
+   * same token.
+   */
   Fenced = 'fenced',
-  /** Not up, or leaving. */
+  /** The VM is not up, or is leaving. */
   Busy = 'busy',
-  /** It can never be done: no such VM, pool of other VMs, or not of that wave. */
+  /**
+   * The order can never be carried out: the VM does not exist, the pool is one of other
+   * VMs, or the VM is not part of the wave.
+   */
   Impossible = 'impossible',
-  /** Nothing was done; try later. */
+  /** Nothing was done; the order may be sent again later. */
   Refused = 'refused',
-  /** No answer: it may have been done. */
+  /** No response: the order may have been carried out. */
   Unknown = 'unknown',
 }
 
-/** Who gives an order about a VM. */
+/** The daemon that gives an order about a VM. */
 export interface OrderHolder {
   readonly name: string;
   readonly fencingToken: number;
 }
 
-/** The platform's list of VMs and the orders about them. Each call ends within a bounded time. */
+/**
+ * Lists the platform's VMs and sends orders about them. Each call completes within a
+ * bounded time.
+ */
 export interface VmGateway {
-  /** All VMs; undefined when the list could not be read whole. */
+  /** Returns all VMs; undefined if the list could not be read completely. */
   list(): Promise<readonly ListedVm[] | undefined>;
   move(vm: string, pool: string, holder: OrderHolder): Promise<VmOrderOutcome>;
   maintain(
--- a/packages/coordinator/src/vm-orders.ts
+++ b/packages/coordinator/src/vm-orders.ts
@@ -18,7 +18,7 @@
 } from './record-log.js';
 import type {WorkerSession} from './worker-session.js';
 
-/** What orders about VMs are given through. */
+/** Dependencies of VM orders. */
 export interface VmOrderParts {
   readonly settings: EntrySettings;
   readonly log: RecordLog;
@@ -31,16 +31,16 @@
 /** An order about a VM. */
 export interface VmOrder {
   readonly kind: 'move' | 'maintain';
-  /** Pool, or number of the wave. */
+  /** Name of the pool, or number of the wave. */
   readonly to: string;
 }
 
-/** An order with what it is about. */
+/** An order with its VM and the session of the VM's worker. */
 export interface VmOrderRequest {
   readonly vm: ListedVm;
   readonly order: VmOrder;
   readonly session: WorkerSession | undefined;
-  /** Called once its fate is known. */
+  /** Called once the outcome of the order is known. */
   readonly onOutcome: (outcome: VmOrderOutcome) => void;
 }
 
@@ -50,31 +50,36 @@
 const LIST_LAG_MILLISECONDS = 300;
 const RETRY_MILLISECONDS = 100;
 
-/** Begins the key of the record of a VM's last order. */
+/** Key prefix of the record of a VM's last order. */
 const ORDER_KEY_PREFIX = 'order/';
 
-/** Whether a record of the fleet is that of a VM's last order. */
+/**
+ * Returns whether a key of the fleet stream belongs to the record of a VM's last order.
+ */
 export function isVmOrderKey(key: string): boolean {
   return key.startsWith(ORDER_KEY_PREFIX);
 }
 
-/** The last order about a VM, as the store keeps it. */
+/** The last order about a VM, as stored. */
 interface StoredOrder {
   readonly holder: string;
-  /** Of the holder. A daemon that is restarted begins a new one. */
+  /** Term of the holder. A restarted daemon begins a new one. */
   readonly term: number;
-  /** Steady time at its holder: only the distance between two orders of one term says something. */
+  /**
+   * Monotonic time of the holder: only the difference between two orders of one term is
+   * meaningful.
+   */
   readonly at: number;
 }
 
 /**
- * Orders about VMs that are not over. The last ones are stored before they are sent: two holders
- * must not order about one VM in quick turns, and only VMs of the last orders have to wait for
- * that when the coordinator changes.
+ * Tracks orders about VMs that are in progress. The last order about each VM is stored
+ * before it is sent: two holders must not give orders about one VM in quick succession,
+ * and when the coordinator changes, only VMs with recent orders have to wait.
  */
 export class VmOrders {
   private readonly open = new Map<string, VmOrder>();
-  /** When the fate of an open order was known. */
+  /** Time at which the outcome of an order in progress became known. */
   private readonly settledAt = new Map<string, number>();
   private readonly fencedVms = new Set<string>();
   private readonly blockedUntil = new Map<string, number>();
@@ -90,7 +95,7 @@
     this.closed = true;
   }
 
-  /** Learns which VMs the holder before has ordered about. */
+  /** Loads which VMs the previous holder has given orders about. */
   async load(): Promise<void> {
     while (!this.closed) {
       const result = await this.parts.log.newestByKey(LogStream.Fleet);
@@ -104,7 +109,7 @@
     }
   }
 
-  /** Whether an order about the VM may be given now. */
+  /** Returns whether an order about the VM may be given now. */
   isFree(vm: string): boolean {
     if (this.open.has(vm) || this.fencedVms.has(vm)) return false;
     const until = this.blockedUntil.get(vm);
@@ -113,19 +118,20 @@
     );
   }
 
-  /** The order about a VM that is not over. */
+  /** Returns the order about a VM that is in progress, if any. */
   openOrder(vm: string): VmOrder | undefined {
     return this.open.get(vm);
   }
 
-  /** Orders that are not over. */
+  /** Returns all orders in progress. */
   all(): Iterable<[string, VmOrder]> {
     return this.open;
   }
 
   /**
-   * The VMs were listed, as they were at `listedFrom` or later. An order is over once a list shows what
-   * it did: planned with by an older one, a VM that has just moved would be moved again.
+   * Handles a list of the VMs that reflects their state at `listedFrom` or later. An
+   * order remains in progress until a list shows its effect: with an older list, a VM
+   * that has just moved would be moved again.
    */
   noteListed(listedFrom: number): void {
     for (const [vm, settledAt] of this.settledAt) {
@@ -135,7 +141,7 @@
     }
   }
 
-  /** Stores the orders, then gives them. */
+  /** Stores the orders, then sends them. */
   async issue(requests: readonly VmOrderRequest[]): Promise<void> {
     if (requests.length === 0) return;
     for (const {vm, order, session} of requests) {
@@ -146,23 +152,28 @@
     for (const request of requests) void this.issueOne(request);
   }
 
-  /** One record for each VM: one of all late orders grows with the fleet and goes out with each order. */
+  /**
+   * Blocks VMs about which an earlier holder may have given an order recently. Each VM
+   * has its own record: a single record of all recent orders would grow with the fleet
+   * and be written with each order.
+   */
   private blockPredecessorOrders(records: readonly KeyedRecord[]): void {
     const {clock, settings} = this.parts;
     const now = clock.monotonicMilliseconds();
     const orders = records.flatMap(record => {
       const order = this.readOrder(record);
       const isOther = order && order.holder !== settings.node;
-      return isOther ? [{vm: vmIn(record.key), ...order}] : [];
+      return isOther ? [{vm: vmOfKey(record.key), ...order}] : [];
     });
     const newest = new Map<number, number>();
     for (const {term, at} of orders)
       newest.set(term, Math.max(at, newest.get(term) ?? at));
     for (const {vm, term, at} of orders) {
-      // A term's newest order may have been given just now, an older one was given that much before.
-      const before = (newest.get(term) ?? at) - at;
-      const left = settings.limits.holderChange - before;
-      if (left > 0) this.blockedUntil.set(vm, now + left);
+      // A term's newest order may have been given just now; an older one was given
+      // earlier by the difference of their times.
+      const ageMilliseconds = (newest.get(term) ?? at) - at;
+      const remaining = settings.limits.holderChange - ageMilliseconds;
+      if (remaining > 0) this.blockedUntil.set(vm, now + remaining);
     }
   }
 
@@ -170,9 +181,12 @@
     try {
       const order = JSON.parse(String(record.value)) as Partial<StoredOrder>;
       const {holder, term, at} = order;
-      if (typeof holder !== 'string') throw new TypeError('no holder');
-      if (typeof term !== 'number') throw new TypeError('no term');
-      if (typeof at !== 'number') throw new TypeError('no time');
+      if (typeof holder !== 'string')
+        throw new TypeError('holder is missing or not a string');
+      if (typeof term !== 'number')
+        throw new TypeError('term is missing or not a number');
+      if (typeof at !== 'number')
+        throw new TypeError('at is missing or not a number');
       return {holder, term, at};
     } catch (error) {
       this.parts.logger.warn(LogEvent.RecordUnreadable, {
@@ -218,11 +232,11 @@
   }
 
   private send(vm: string, order: VmOrder): Promise<VmOrderOutcome> {
-    const {vmGateway: machines, settings} = this.parts;
+    const {vmGateway, settings} = this.parts;
     const holder = {name: settings.node, fencingToken: this.term};
     return order.kind === 'move'
-      ? machines.move(vm, order.to, holder)
-      : machines.maintain(vm, Number(order.to), holder);
+      ? vmGateway.move(vm, order.to, holder)
+      : vmGateway.maintain(vm, Number(order.to), holder);
   }
 
   private settle(request: VmOrderRequest, outcome: VmOrderOutcome): void {
@@ -246,7 +260,7 @@
   }
 }
 
-/** How an order that was carried out ends the VM's worker. */
+/** How an order that was carried out ends the incarnation of the VM's worker. */
 const INCARNATION_END_BY_ORDER: Readonly<
   Record<VmOrder['kind'], IncarnationEnd>
 > = {
@@ -254,6 +268,6 @@
   maintain: IncarnationEnd.Maintained,
 };
 
-function vmIn(key: string): string {
+function vmOfKey(key: string): string {
   return key.slice(ORDER_KEY_PREFIX.length);
 }
--- a/packages/coordinator/src/waiting-jobs.ts
+++ b/packages/coordinator/src/waiting-jobs.ts
@@ -14,9 +14,12 @@
 import type {Queue} from './operator-records.js';
 import type {ServiceDemand} from './service-demand.js';
 
-/** A job is of no use to its caller after this multiple of its objective. */
+/** A job is worthless to its caller after this multiple of its objective. */
 const LATE_FACTOR = 3;
-/** Worth of VMs that go on with a job: a late answer is worth little to its caller, one that nobody waits for nothing. */
+/**
+ * Worth of VMs that continue a job: a late result is worth little to its caller, and one
+ * that nobody waits for is worth nothing.
+ */
 const WEIGHTS: Readonly<Record<DeadlineFeasibility, number>> = {
   [DeadlineFeasibility.InTime]: 1,
   [DeadlineFeasibility.AboutToExpire]: 0.3,
@@ -24,28 +27,34 @@
   [DeadlineFeasibility.Infeasible]: 0,
 };
 
-/** A job that waits for room. */
+/** A job that waits for capacity. */
 export interface PlacementCandidate extends WaitingWork {
   readonly execution: JobExecution;
-  /** Undefined for a job of a public queue. */
+  /** Organisation of the job; undefined for a job of a public queue. */
   readonly organisation: string | undefined;
   readonly ready: readonly ExecutableTask[];
-  /** What VMs that run it are worth, in [0, 1]. */
+  /** Worth of VMs that run the job, in [0, 1]. */
   readonly weight: number;
 }
 
 /** Jobs of a service that have ready tasks. */
 export interface ReadyJobs {
   readonly candidates: readonly PlacementCandidate[];
-  /** Wall-clock time at which the next of the others is due; infinite for none. */
+  /**
+   * Wall-clock time at which the next of the other jobs is due; infinite if there is
+   * none.
+   */
   readonly nextDue: number;
 }
 
-/** The jobs that are not over, by the service that runs them, and what each can still reach. */
+/**
+ * Tracks the unfinished jobs by the service that runs them, and whether each can still
+ * meet its objective.
+ */
 export class WaitingJobs {
   private readonly active = new Map<string, Set<JobExecution>>();
   private readonly firstSeen = new Map<JobExecution, number>();
-  private readonly rescues = new PriorityBoostBudget();
+  private readonly priorityBoosts = new PriorityBoostBudget();
 
   constructor(
     private readonly queueOf: (execution: JobExecution) => Queue | undefined,
@@ -60,15 +69,18 @@
     return this.addToService(execution);
   }
 
-  /** Takes a job out that has come to its end. */
+  /** Removes a job that has ended. */
   remove(execution: JobExecution): void {
     for (const jobs of this.active.values()) jobs.delete(execution);
     this.firstSeen.delete(execution);
-    this.rescues.recordServed();
-    this.rescues.forget(execution.job.id);
+    this.priorityBoosts.recordServed();
+    this.priorityBoosts.forget(execution.job.id);
   }
 
-  /** After a new configuration queues may have other services; returns all that have jobs. */
+  /**
+   * Regroups the jobs after a configuration change, which may assign queues to other
+   * services; returns all services that have jobs.
+   */
   regroup(): Iterable<string> {
     const all = [...this.active.values()].flatMap(jobs => [...jobs]);
     this.active.clear();
@@ -80,20 +92,27 @@
     return this.queueOf(execution)?.service ?? execution.job.service;
   }
 
-  /** How long a job has been known. */
+  /** Returns for how long a job has been known, in milliseconds. */
   ageOf(execution: JobExecution): number {
     const now = this.clock.monotonicMilliseconds();
     return now - (this.firstSeen.get(execution) ?? now);
   }
 
-  /** Time from its submission within which a job's caller expects it to be done, as far as its run times are known. */
+  /**
+   * Returns the milliseconds from its submission within which a job's caller expects it
+   * to be done, as far as its run times are known.
+   */
   objectiveOf(execution: JobExecution): number {
     const queue = this.queueOf(execution);
-    const chain = execution.criticalPathMilliseconds(this.stepTimes(execution));
-    return (queue?.stretch ?? 1) * chain + (queue?.latencyMilliseconds ?? 0);
+    const criticalPath = execution.criticalPathMilliseconds(
+      this.stepTimes(execution),
+    );
+    return (
+      (queue?.stretch ?? 1) * criticalPath + (queue?.latencyMilliseconds ?? 0)
+    );
   }
 
-  /** Jobs with tasks that may start now. */
+  /** Returns jobs with tasks that may start now. */
   readyFor(service: string, now: number): ReadyJobs {
     const candidates: PlacementCandidate[] = [];
     const wall = this.clock.wallMilliseconds();
@@ -130,7 +149,7 @@
       dueWall > 0
         ? now - (wall - dueWall)
         : (this.firstSeen.get(execution) ?? now);
-    const remainingChain = execution.remainingCriticalPathMilliseconds(
+    const remainingCriticalPath = execution.remainingCriticalPathMilliseconds(
       occurrence,
       this.stepTimes(execution),
     );
@@ -139,15 +158,16 @@
       priority: this.queueOf(execution)?.priority ?? 0,
       dueAt: since + objective,
       expiresAt: since + LATE_FACTOR * objective,
-      remainingCriticalPathMilliseconds: remainingChain,
+      remainingCriticalPathMilliseconds: remainingCriticalPath,
     };
-    const chance = feasibilityOf(waiting, now);
+    const feasibility = feasibilityOf(waiting, now);
     const {longRunning} = ready[0].specification;
-    // A job that lasts is always older than its objective: its tasks are few, run for long, and are missed at once.
+    // A long-running job is always older than its objective. Its tasks are few and run
+    // for long, and their absence is noticed at once.
     const goesFirst =
       longRunning ||
-      (chance === DeadlineFeasibility.AboutToExpire &&
-        this.rescues.allows(execution.job.id));
+      (feasibility === DeadlineFeasibility.AboutToExpire &&
+        this.priorityBoosts.allows(execution.job.id));
     return {
       execution,
       organisation: execution.job.organisation,
@@ -157,12 +177,12 @@
         occurrence,
         step => this.demand.taskWork(execution.job.queue, step),
       ),
-      rank: rankOf(chance, goesFirst),
-      weight: longRunning ? 1 : WEIGHTS[chance],
+      rank: rankOf(feasibility, goesFirst),
+      weight: longRunning ? 1 : WEIGHTS[feasibility],
     };
   }
 
-  /** Run time to expect of each step of a job. */
+  /** Returns the expected run time of each step of a job. */
   private stepTimes(execution: JobExecution): StepEstimate {
     const {queue} = execution.job;
     return step => this.demand.stepTime(queue, step);
--- a/packages/coordinator/src/wave-progress.ts
+++ b/packages/coordinator/src/wave-progress.ts
@@ -9,7 +9,7 @@
   type RecordLog,
 } from './record-log.js';
 
-/** What the progress of waves is built from. */
+/** Dependencies of wave progress. */
 export interface WaveProgressParts {
   readonly log: RecordLog;
   readonly formats: RecordFormats;
@@ -18,16 +18,16 @@
 }
 
 interface StoredWave {
-  /** Wall-clock time at which a coordinator first saw it. */
+  /** Wall-clock time at which a coordinator first saw the wave. */
   readonly seenAt: number;
   readonly done: readonly string[];
 }
 
 const RETRY_MILLISECONDS = 200;
-/** The number of a wave; other keys of the stream are of other matters. */
+/** Matches the number of a wave; other keys of the stream belong to other records. */
 const WAVE_KEY = /^\d+$/;
 
-/** Which VMs of which waves have had their maintenance, kept in the store. */
+/** Tracks which VMs of which waves have had their maintenance, and stores it. */
 export class WaveProgress {
   private readonly done = new Map<number, Set<string>>();
   private readonly seenAt = new Map<number, number>();
@@ -41,7 +41,7 @@
     return this.loaded;
   }
 
-  /** Reads what was kept, once. */
+  /** Loads the stored progress once. */
   async load(): Promise<void> {
     if (this.loaded) return;
     const result = await this.parts.log.newestByKey(LogStream.Fleet);
@@ -68,7 +68,10 @@
     return completed;
   }
 
-  /** Time left of the wave, by the wall clock of the coordinator that first saw it. */
+  /**
+   * Returns the remaining time of the wave, by the wall clock of the coordinator that
+   * first saw it.
+   */
   leftMilliseconds(wave: MaintenanceWave): number {
     const now = this.parts.clock.wallMilliseconds();
     const seenAt = this.seenAt.get(wave.number) ?? now;
@@ -108,13 +111,16 @@
     }
   }
 
-  /** Keeps the newest progress; what is noted while one write is under way goes with the next. */
+  /**
+   * Stores the newest progress; changes made while a write is in flight go into the next
+   * one.
+   */
   private async save(number: number): Promise<void> {
     if (this.writing.has(number)) return;
     this.writing.add(number);
-    let kept = -1;
+    let storedCount = -1;
     const done = this.done.get(number) ?? new Set<string>();
-    while (kept < done.size) {
+    while (storedCount < done.size) {
       const size = done.size;
       const value: StoredWave = {
         seenAt: this.seenAt.get(number) ?? 0,
@@ -123,7 +129,7 @@
       const result = await this.parts.log.append(LogStream.Fleet, [
         {key: String(number), value: Buffer.from(JSON.stringify(value))},
       ]);
-      if (result.outcome === AppendOutcome.Appended) kept = size;
+      if (result.outcome === AppendOutcome.Appended) storedCount = size;
       else await sleep(this.parts.clock, RETRY_MILLISECONDS);
     }
     this.writing.delete(number);
--- a/packages/coordinator/src/worker-gateway.ts
+++ b/packages/coordinator/src/worker-gateway.ts
@@ -1,21 +1,21 @@
 import type {RunEnd} from '@gentiandoor/jobs';
 
-/** State that a worker gives itself. */
+/** State that a worker reports. */
 export enum WorkerState {
   Ready = 'ready',
   Draining = 'draining',
 }
 
-/** Room of a worker, or what a task takes of it. */
+/** Capacity of a worker, or the part of it that a task takes. */
 export interface Resources {
   readonly processorMillicores: number;
   readonly memoryMegabytes: number;
   readonly accelerators: number;
 }
 
-/** What a worker says of itself. */
+/** Entry that a worker publishes about itself. */
 export interface WorkerEntry {
-  /** Names one incarnation of the worker. */
+  /** Identifies one incarnation of the worker. */
   readonly id: string;
   readonly service: string;
   readonly address: string;
@@ -25,9 +25,9 @@
   readonly labels: readonly string[];
 }
 
-/** Names a run on a worker. */
+/** Identifies a run on a worker. */
 export interface RunName {
-  /** Name of the task among all jobs. */
+  /** Name of the task, unique among all jobs. */
   readonly task: string;
   readonly run: number;
 }
@@ -36,52 +36,57 @@
 export interface ListedRun extends RunName {
   readonly checkpoint: string;
   readonly percent: number;
-  /** Rough figure of the last half second: tail in milliseconds for a task that serves, millicores in use for another. */
+  /**
+   * Rough load of the last half second: tail latency in milliseconds for a task that
+   * serves, millicores in use for another.
+   */
   readonly load: number;
 }
 
 /** A run that a worker lists as ended. */
 export interface EndedRun extends RunName {
-  /** Rises by one with each end in one incarnation of the worker. */
+  /** Increases by one with each end in one incarnation of the worker. */
   readonly number: number;
   readonly end: RunEnd;
   readonly checkpoint: string;
 }
 
-/** Why a worker did not take an order. */
+/** Why a worker refused an order. */
 export enum OrderRefusal {
-  /** It has seen a higher fencing token. */
+  /** The worker has seen a higher fencing token. */
   Fenced = 'fenced',
-  /** It has seen this run or a later one of the task. */
+  /** The worker has seen this run or a later one of the task. */
   StaleRun = 'old_run',
-  /** The lease had already run out. */
+  /** The lease had already expired. */
   LeaseExpired = 'late',
   InsufficientCapacity = 'no_room',
-  /** The ticket of the advice is missing or too old. */
+  /** The ticket of the advice service is missing or too old. */
   NoTicket = 'no_ticket',
-  /** It says that it is not well; it has done nothing. */
+  /** The worker reports that it is unhealthy; it has done nothing. */
   Unhealthy = 'unhealthy',
-  /** It could not read the order. */
+  /** The worker could not parse the order. */
   Malformed = 'malformed',
-  /** Another incarnation of a worker answers at this address: the one meant is over. */
+  /**
+   * Another incarnation of a worker responds at this address: the addressed one is over.
+   */
   OtherIncarnation = 'other_incarnation',
 }
 
-/** What became of an order. */
+/** Outcome of an order. */
 export enum OrderOutcome {
   Done = 'done',
   Refused = 'refused',
-  /** No answer: it may have been done, and may still be. */
+  /** No response: the order may have been carried out, and may still be. */
   Unknown = 'unknown',
 }
 
-/** Answer to an order. */
+/** Response to an order. */
 export type OrderResult =
   | {readonly outcome: OrderOutcome.Done; readonly clockMilliseconds: number}
   | {readonly outcome: OrderOutcome.Refused; readonly refusal: OrderRefusal}
   | {readonly outcome: OrderOutcome.Unknown; readonly reason: string};
 
-/** Answer to a poll. */
+/** Response to a poll. */
 export type PollResult =
   | {
       readonly outcome: OrderOutcome.Done;
@@ -92,22 +97,22 @@
   | {readonly outcome: OrderOutcome.Refused; readonly refusal: OrderRefusal}
   | {readonly outcome: OrderOutcome.Unknown; readonly reason: string};
 
-/** A worker as the target of calls. */
+/** Identifies a worker as the target of calls. */
 export interface WorkerAddress {
   readonly id: string;
   readonly address: string;
 }
 
-/** A poll at a worker, which also renews its lease. */
+/** A poll of a worker, which also renews its lease. */
 export interface PollRequest {
   readonly fencingToken: number;
-  /** Ends up to this number are stored and may be forgotten. */
+  /** Ends up to this number are stored, so the worker may forget them. */
   readonly acknowledgedEnd: number;
-  /** End of the lease on the worker's clock; undefined leaves it. */
+  /** End of the lease on the worker's clock; undefined leaves the lease unchanged. */
   readonly leaseEndMilliseconds?: number;
-  /** The answer waits so long for an end. */
+  /** How long the response may wait for a run to end. */
   readonly waitMilliseconds: number;
-  /** Bound of the answer beyond that; the gateway's own where undefined. */
+  /** Timeout of the response beyond that wait; the gateway's default if undefined. */
   readonly timeoutMilliseconds?: number;
 }
 
@@ -117,11 +122,11 @@
   readonly leaseEndMilliseconds: number;
   readonly fencingToken: number;
   readonly checkpoint: string;
-  /** Ticket of the advice service; empty where the queue has none. */
+  /** Ticket of the advice service; empty if the queue has none. */
   readonly ticket: string;
 }
 
-/** Calls to workers. Each ends within a bounded time. */
+/** Calls workers. Each call completes within a bounded time. */
 export interface WorkerGateway {
   poll(worker: WorkerAddress, request: PollRequest): Promise<PollResult>;
   start(worker: WorkerAddress, request: StartRequest): Promise<OrderResult>;
@@ -130,7 +135,7 @@
     run: RunName,
     fencingToken: number,
   ): Promise<OrderResult>;
-  /** Lets a run work at `percent` of its speed. */
+  /** Limits a run to `percent` of its speed. */
   throttle(
     worker: WorkerAddress,
     run: RunName,
--- a/packages/coordinator/src/worker-liveness.ts
+++ b/packages/coordinator/src/worker-liveness.ts
@@ -1,20 +1,20 @@
 import {LogEvent, type Clock, type Logger} from '@gentiandoor/kernel';
 import {LeaseClock, worstCaseLeaseMilliseconds} from '@gentiandoor/scheduling';
 
-/** What is told of a worker's presence. */
+/** What worker liveness needs from the coordinator. */
 export interface LivenessHost {
-  /** Lease that polls and starts give, in milliseconds. */
+  /** Duration of the leases that polls and starts grant, in milliseconds. */
   readonly leaseMilliseconds: number;
   /** When this coordinator's term began. */
   readonly termStartedAt: number;
 }
 
-/** Workers that have answered this recently are not probed. */
+/** Workers that responded this recently are not probed. */
 const RECENT_ANSWER_MILLISECONDS = 100;
 /** Allowance for local processing delays. */
 const LEASE_SLACK_MILLISECONDS = 300;
 
-/** Whether a worker answers, and until when what runs on it may be alive. */
+/** Tracks whether a worker responds, and until when the runs on it may be alive. */
 export class WorkerLiveness {
   private readonly lease = new LeaseClock();
   private silentSince: number | undefined;
@@ -27,7 +27,7 @@
     private readonly logger: Logger,
   ) {}
 
-  /** Since when the worker does not answer; undefined while it does. */
+  /** Time since which the worker has not responded; undefined while it responds. */
   get silentFrom(): number | undefined {
     return this.silentSince;
   }
@@ -36,17 +36,20 @@
     return this.silentSince !== undefined;
   }
 
-  /** Whether it answered at `since` or later. */
+  /** Returns whether the worker responded at `since` or later. */
   hasAnsweredSince(since: number): boolean {
     return this.answeredAt >= since;
   }
 
-  /** Whether a probe would tell nothing new. */
+  /** Returns whether a probe would provide no new information. */
   isProbeRedundant(now: number): boolean {
     return this.isSilent || now - this.answeredAt < RECENT_ANSWER_MILLISECONDS;
   }
 
-  /** Notes an answer with what the worker's clock showed; true when it had been silent. */
+  /**
+   * Records a response with the time on the worker's clock; returns true if the worker
+   * had been silent.
+   */
   noteAnswer(clockMilliseconds: number): boolean {
     const now = this.clock.monotonicMilliseconds();
     this.lease.observe(clockMilliseconds, now);
@@ -60,7 +63,7 @@
     return true;
   }
 
-  /** Notes that a call got no answer; true when it is the first one. */
+  /** Records a call without a response; returns true if it is the first one. */
   noteSilence(runs: number): boolean {
     if (this.silentSince !== undefined) return false;
     this.silentSince = this.clock.monotonicMilliseconds();
@@ -68,32 +71,36 @@
     return true;
   }
 
-  /** End of a lease that an order of now gives, on the worker's clock. */
+  /** Grants a lease with an order sent now; returns its end on the worker's clock. */
   grantLease(now: number): number {
     const leaseEnd = this.lease.leaseEnd(now, this.host.leaseMilliseconds);
     this.lease.recordGrant(leaseEnd);
     return leaseEnd;
   }
 
-  /** The same for a poll; undefined where it must give none. */
+  /** Grants a lease with a poll; returns undefined if the poll must grant none. */
   leaseForPoll(now: number): number | undefined {
-    // A lease that goes on being offered to a silent worker would never be known to be over.
+    // If polls kept offering a lease to a silent worker, it could never be known to have
+    // expired.
     if (!this.lease.isKnown || this.isSilent) return undefined;
     return this.grantLease(now);
   }
 
-  /** The coordinator before may have given a lease as long as ours just before its term ended. */
+  /**
+   * Accounts for a lease, as long as ours, that the previous coordinator may have granted
+   * just before its term ended.
+   */
   notePredecessorLease(): void {
     this.grantLease(this.clock.monotonicMilliseconds());
   }
 
-  /** Whether nothing that was ever started on the worker can be alive. */
+  /** Returns whether no run that was ever started on the worker can be alive. */
   isLeaseOver(now: number): boolean {
     if (this.lease.isKnown) return this.lease.hasLapsed(now);
-    const bound =
+    const latestLeaseEnd =
       this.host.termStartedAt +
       worstCaseLeaseMilliseconds(this.host.leaseMilliseconds) +
       LEASE_SLACK_MILLISECONDS;
-    return now > bound;
+    return now > latestLeaseEnd;
   }
 }
