--- a/packages/coordinator/src/worker-registry.ts
+++ b/packages/coordinator/src/worker-registry.ts
@@ -13,10 +13,13 @@
 /** Batches changed entries into one read. */
 const READ_GAP_MILLISECONDS = 30;
 const RETRY_MILLISECONDS = 150;
-/** Entries older than this are not relied on for the room of workers that do not enforce it. */
+/**
+ * Entries older than this are not relied on for the capacity of workers that do not
+ * enforce it.
+ */
 const MAXIMUM_ENTRY_AGE_MILLISECONDS = 1_500;
 
-/** What a registry is built from. */
+/** Dependencies of a worker registry. */
 export interface WorkerRegistryParts {
   readonly log: RecordLog;
   readonly formats: RecordFormats;
@@ -25,12 +28,12 @@
   readonly logger: Logger;
 }
 
-/** Host of sessions that hears of new ones. */
+/** Host of sessions that is notified of new ones. */
 export interface WorkerRegistryHost extends SessionHost {
   sessionAdded(session: WorkerSession): void;
 }
 
-/** The sessions with all workers that the store lists. */
+/** Holds the sessions with all workers that the store lists. */
 export class WorkerRegistry implements StreamSink {
   private readonly sessions = new Map<string, WorkerSession>();
   private readonly follower: StreamFollower;
@@ -68,18 +71,18 @@
     );
   }
 
-  /** Whether what the entries say of the workers' rooms can be relied on. */
+  /** Whether the workers' capacities in the entries can be relied on. */
   get isFresh(): boolean {
     return this.follower.ageMilliseconds < MAXIMUM_ENTRY_AGE_MILLISECONDS;
   }
 
-  /** Reads all entries; returns once that has succeeded. */
+  /** Reads all entries, retrying until that succeeds or the registry is closed. */
   async load(): Promise<void> {
     while (!this.closed && !(await this.follower.refresh()))
       await sleep(this.parts.clock, RETRY_MILLISECONDS);
   }
 
-  /** Begins the sessions and follows the entries. */
+  /** Starts the sessions and follows the entries. */
   start(): void {
     this.started = true;
     for (const session of this.sessions.values()) session.start();
@@ -91,7 +94,10 @@
       this.sessions.delete(session.id);
   }
 
-  /** Members of a gang are over with one of them; returns those that were dropped. */
+  /**
+   * Drops the runs of a gang, which are over once one of them is; returns the dropped
+   * runs.
+   */
   dropRunsOfStep(ended: LiveRun): LiveRun[] {
     const dropped: LiveRun[] = [];
     for (const session of this.sessions.values())
--- a/packages/coordinator/src/worker-session.ts
+++ b/packages/coordinator/src/worker-session.ts
@@ -40,7 +40,7 @@
 const RETRY_MILLISECONDS = 200;
 /** Retry interval for an unresponsive worker without runs. */
 const IDLE_SILENCE_RETRY_MILLISECONDS = 1_000;
-/** Start timeout after which the worker is polled for the run's fate. */
+/** Start timeout after which the worker is polled for the outcome of the run. */
 const START_TIMEOUT_MILLISECONDS = 150;
 const PROBE_TIMEOUT_MILLISECONDS = 200;
 /** Upper limit of the start timeout while this daemon is overloaded. */
@@ -49,9 +49,12 @@
 const MAXIMUM_ENDS_LISTED = 500;
 
 /**
- * Bound of workers' answers that are given at once, shared by all sessions of a coordinator.
- * Load: a turn that fills the coordinator's own link or processor. With a fixed bound every worker
- * seems silent, is asked again over new connections, and what is asked fills the link for good.
+ * Returns the timeout for immediate responses of workers, shared by all sessions of a
+ * coordinator.
+ *
+ * Load: a burst of jobs that saturates the coordinator's own link or processor.
+ * Without it: with a fixed timeout every worker appears silent and is called again over
+ * new connections, and these calls saturate the link permanently.
  */
 export function newResponseTimeout(): AdaptiveTimeout {
   return new AdaptiveTimeout(
@@ -60,9 +63,9 @@
   );
 }
 
-/** Everything between the coordinator and one incarnation of a worker. */
+/** Handles all communication between the coordinator and one incarnation of a worker. */
 export class WorkerSession implements RunOrderHost {
-  private readonly live = new SessionRuns();
+  private readonly sessionRuns = new SessionRuns();
   private readonly liveness: WorkerLiveness;
   private readonly orders: RunOrders;
   private readonly throttle: BestEffortThrottle;
@@ -100,7 +103,7 @@
 
   /** Runs that may be alive on the worker, by task. */
   get runs(): ReadonlyMap<string, LiveRun> {
-    return this.live.all;
+    return this.sessionRuns.all;
   }
 
   get entry(): WorkerEntry {
@@ -119,7 +122,7 @@
     return this.host.responseTimeoutMilliseconds;
   }
 
-  /** Since when the worker does not answer; undefined while it does. */
+  /** Time since which the worker has not responded; undefined while it responds. */
   get silentFrom(): number | undefined {
     return this.liveness.silentFrom;
   }
@@ -147,24 +150,27 @@
     return this.host.enforcesCapacity(this.current.service);
   }
 
-  /** New, and not polled yet. */
+  /** Whether the worker is new and has not been polled yet. */
   get isStarting(): boolean {
     return !this.hasSeenToken && !this.liveness.isSilent;
   }
 
-  /** Why new starts are kept away; undefined where they are not. */
+  /** Why new starts are kept away; undefined if they are not. */
   get cordonReason(): string | undefined {
     return this.cordonedFor;
   }
 
-  /** Millicores taken away from other work, weighed by what the work is still worth. */
+  /**
+   * Millicores that the runs take from other work, weighted by what their results are
+   * still worth.
+   */
   get weightedMillicores(): number {
-    return this.live.weightedMillicores(this.current.capacity);
+    return this.sessionRuns.weightedMillicores(this.current.capacity);
   }
 
-  /** Whether a long-running task runs on it. */
+  /** Whether a long-running task runs on the worker. */
   get hasLongRunningTask(): boolean {
-    return this.live.hasLongRunningTask;
+    return this.sessionRuns.hasLongRunningTask;
   }
 
   /** Keeps new starts away while the VM is to be moved or maintained. */
@@ -183,49 +189,50 @@
     this.signal.notify();
   }
 
-  /** Takes the worker's newest entry; undefined when it has none any more. */
+  /** Updates the entry of the worker; undefined if it has none any more. */
   update(entry: WorkerEntry | undefined): void {
-    const tookStarts = this.acceptsStarts;
+    const acceptedStarts = this.acceptsStarts;
     const hasGrown =
       entry !== undefined && isLarger(entry.capacity, this.current.capacity);
     this.listed = entry !== undefined;
     if (entry) this.current = entry;
-    this.live.entryChanged();
-    if (hasGrown || tookStarts !== this.acceptsStarts)
+    this.sessionRuns.entryChanged();
+    if (hasGrown || acceptedStarts !== this.acceptsStarts)
       this.host.sessionChanged(this);
     this.signal.notify();
   }
 
-  /** What a placement sees of the worker. */
+  /** Returns the view of the worker that placement decisions use. */
   placementView(now: number): PlacementWorker {
-    const trust = this.host.trust.score(this.id, now);
-    return this.live.placementView(this.current, trust, now);
+    const reliability = this.host.trust.score(this.id, now);
+    return this.sessionRuns.placementView(this.current, reliability, now);
   }
 
-  /** Takes room for a run; the order follows with `order`. */
+  /** Reserves capacity for a run; `startRun` sends the order. */
   addRun(run: LiveRun): void {
-    this.live.add(run);
+    this.sessionRuns.add(run);
     this.signal.notify();
   }
 
-  /** Forgets a run of which it is known otherwise that it is over. */
+  /** Forgets a run that is known from elsewhere to be over. */
   forget(run: LiveRun): void {
-    this.live.remove(run);
+    this.sessionRuns.remove(run);
   }
 
-  /** Sends the order to start, until its fate is known. */
+  /** Orders the worker to start a run, until its outcome is known. */
   startRun(run: LiveRun): Promise<void> {
     return this.orders.start(run);
   }
 
-  /** Asks the worker to stop a run, until its fate is known. */
+  /** Orders the worker to stop a run, until its outcome is known. */
   stopRun(run: LiveRun): Promise<void> {
     return this.orders.stop(run);
   }
 
   /**
-   * Asks for an answer beside the poll that waits. Without it a worker behind a cut is given starts
-   * until that poll's bound, over two seconds, and each job with a task there waits for its lease.
+   * Polls the worker without waiting, in parallel to a pending long poll. Without it an
+   * unreachable worker is given starts until that poll times out, after more than two
+   * seconds, and each job with a task there waits for the lease to expire.
    */
   async probe(): Promise<void> {
     const now = this.clock.monotonicMilliseconds();
@@ -254,7 +261,7 @@
       this.noteSilence();
   }
 
-  /** All runs are over because the worker's incarnation is. */
+  /** Ends all runs because the worker's incarnation is over. */
   endIncarnation(end: IncarnationEnd): void {
     if (this.closed) return;
     const hasCrashed = isUnplanned(end) && !this.isDraining;
@@ -262,7 +269,7 @@
       worker: this.id,
       reason: end,
       hasCrashed,
-      runs: this.live.count,
+      runs: this.sessionRuns.count,
     });
     this.close();
     this.endAllRuns(hasCrashed ? RunEnd.Crashed : RunEnd.Lost);
@@ -270,17 +277,20 @@
     this.host.sessionEnded(this);
   }
 
-  /** Its room may have shrunk since the run was placed, and the worker may start it all the same. */
+  /**
+   * Returns whether the worker has capacity for the run. It may have shrunk since the run
+   * was placed, and the worker may start the run all the same.
+   */
   hasCapacityFor(run: LiveRun): boolean {
     if (this.enforcesCapacity) return true;
     return (
       this.host.areCapacitiesFresh() &&
-      this.live.hasCapacityFor(run, this.current)
+      this.sessionRuns.hasCapacityFor(run, this.current)
     );
   }
 
   isExpected(run: LiveRun): boolean {
-    return !this.closed && this.live.has(run);
+    return !this.closed && this.sessionRuns.has(run);
   }
 
   async waitUntilAllowed(): Promise<boolean> {
@@ -295,7 +305,7 @@
 
   noteAnswer(clockMilliseconds: number): void {
     if (!this.liveness.noteAnswer(clockMilliseconds)) return;
-    this.live.restartStallDetection(this.clock.monotonicMilliseconds());
+    this.sessionRuns.restartStallDetection(this.clock.monotonicMilliseconds());
     this.host.sessionChanged(this);
   }
 
@@ -322,7 +332,7 @@
   startRefused(run: LiveRun, refusal: OrderRefusal): void {
     this.forget(run);
     if (refusal === OrderRefusal.InsufficientCapacity)
-      this.live.noteCapacityRefusal(this.clock.monotonicMilliseconds());
+      this.sessionRuns.noteCapacityRefusal(this.clock.monotonicMilliseconds());
     this.host.startRefused(this, run, refusal);
   }
 
@@ -345,13 +355,13 @@
     }
   }
 
-  /** The worker has no entry any more and nothing on it is in doubt. */
+  /** Returns whether the worker has no entry any more and no run on it is in doubt. */
   private isFinished(): boolean {
-    return !this.listed && this.live.count === 0;
+    return !this.listed && this.sessionRuns.count === 0;
   }
 
   private needsPoll(): boolean {
-    const {count} = this.live;
+    const {count} = this.sessionRuns;
     if (count === 0 && !this.host.usesWorkersOf(this.current.service))
       return false;
     return (
@@ -363,19 +373,19 @@
   }
 
   private async poll(): Promise<void> {
-    if (this.hasSeenToken && this.live.count === 0)
+    if (this.hasSeenToken && this.sessionRuns.count === 0)
       await this.signal.wait(LAST_ACKNOWLEDGEMENT_MILLISECONDS);
     if (this.closed) return;
     const requestedAt = this.clock.monotonicMilliseconds();
-    const waits = this.live.count > 0 && this.hasSeenToken;
+    const isLongPoll = this.sessionRuns.count > 0 && this.hasSeenToken;
     const acknowledgedEnd = this.ends.stored;
     const waitMilliseconds =
-      waits && !this.liveness.isSilent ? this.pollWait(requestedAt) : 0;
+      isLongPoll && !this.liveness.isSilent ? this.pollWait(requestedAt) : 0;
     const result = await this.gateway.poll(this.current, {
       fencingToken: this.host.term,
-      acknowledgedEnd: acknowledgedEnd,
+      acknowledgedEnd,
       leaseEndMilliseconds:
-        this.live.count > 0
+        this.sessionRuns.count > 0
           ? this.liveness.leaseForPoll(requestedAt)
           : undefined,
       waitMilliseconds,
@@ -389,7 +399,10 @@
     await sleep(this.clock, this.pollDelayAfter(result.outcome));
   }
 
-  /** A run that should have ended is looked at soon again: its progress shows whether it stands still. */
+  /**
+   * Returns how long a poll may wait. An overdue run is checked again soon: its progress
+   * shows whether it has stalled.
+   */
   private pollWait(now: number): number {
     let wait = POLL_WAIT_MILLISECONDS;
     for (const run of this.runs.values())
@@ -399,10 +412,11 @@
   }
 
   private pollDelayAfter(outcome: OrderOutcome): number {
-    // A coordinator that lags reads more ends with each poll: polls cost it as much as starts.
+    // A lagging coordinator reads more ends with each poll, and polls cost it as much as
+    // starts.
     if (outcome === OrderOutcome.Done)
       return POLL_GAP_MILLISECONDS + this.host.meanResponseMilliseconds;
-    return this.live.count > 0
+    return this.sessionRuns.count > 0
       ? RETRY_MILLISECONDS
       : IDLE_SILENCE_RETRY_MILLISECONDS;
   }
@@ -412,22 +426,22 @@
     requestedAt: number,
   ): void {
     this.noteAnswer(result.clockMilliseconds);
-    const shown = this.hasSeenToken;
-    if (!shown) this.liveness.notePredecessorLease();
+    const hadSeenToken = this.hasSeenToken;
+    if (!hadSeenToken) this.liveness.notePredecessorLease();
     this.hasSeenToken = true;
     const ended = this.noteEnds(result.ended);
-    const hadStrays = this.unexpectedRuns.areListed;
+    const hadUnexpectedRuns = this.unexpectedRuns.areListed;
     this.unexpectedRuns.beginList();
     for (const listed of result.running) this.noteRunning(listed);
     if (result.ended.length < MAXIMUM_ENDS_LISTED)
-      for (const run of this.live.missingFrom(
+      for (const run of this.sessionRuns.missingFrom(
         result.running,
         ended,
         requestedAt,
       ))
         this.endRun(run, RunEnd.Lost, '');
     this.throttle.adjust(result.running, this.runs);
-    if (!shown || (hadStrays && !this.unexpectedRuns.areListed))
+    if (!hadSeenToken || (hadUnexpectedRuns && !this.unexpectedRuns.areListed))
       this.host.sessionChanged(this);
   }
 
@@ -468,12 +482,12 @@
 
   private noteSilence(): void {
     const now = this.clock.monotonicMilliseconds();
-    if (this.liveness.noteSilence(this.live.count))
+    if (this.liveness.noteSilence(this.sessionRuns.count))
       this.host.sessionSilent(this);
-    if (this.live.count === 0 || !this.liveness.isLeaseOver(now)) return;
+    if (this.sessionRuns.count === 0 || !this.liveness.isLeaseOver(now)) return;
     this.logger.warn(LogEvent.WorkerLeaseOver, {
       worker: this.id,
-      runs: this.live.count,
+      runs: this.sessionRuns.count,
       silentMilliseconds: now - (this.silentFrom ?? now),
     });
     this.endAllRuns(RunEnd.Lost);
@@ -489,10 +503,10 @@
   }
 }
 
-function isLarger(room: Resources, before: Resources): boolean {
+function isLarger(capacity: Resources, before: Resources): boolean {
   return (
-    room.processorMillicores > before.processorMillicores ||
-    room.memoryMegabytes > before.memoryMegabytes ||
-    room.accelerators > before.accelerators
+    capacity.processorMillicores > before.processorMillicores ||
+    capacity.memoryMegabytes > before.memoryMegabytes ||
+    capacity.accelerators > before.accelerators
   );
 }
--- a/packages/coordinator/src/worker-suspicion.ts
+++ b/packages/coordinator/src/worker-suspicion.ts
@@ -4,26 +4,26 @@
 import type {LiveRun} from './live-run.js';
 import type {WorkerSession} from './worker-session.js';
 
-/** Blames workers for what goes wrong on them, and logs those that become suspects. */
+/** Attributes failures to workers, and logs the workers that become suspect. */
 export class WorkerSuspicion {
   constructor(
-    private readonly trust: WorkerReliability,
+    private readonly reliability: WorkerReliability,
     private readonly clock: Clock,
     private readonly logger: Logger,
   ) {}
 
-  /** The end of a run speaks for its worker or against it. */
+  /** Records the end of a run as evidence for or against its worker. */
   noteEnd(session: WorkerSession, run: LiveRun, end: RunEnd): void {
     const {id} = run.execution.job;
-    if (end === RunEnd.Done) this.trust.recordSuccess(session.id);
+    if (end === RunEnd.Done) this.reliability.recordSuccess(session.id);
     if (end !== RunEnd.Failed) return;
-    if (this.trust.recordFailure(session.id, id, this.now()))
-      this.log(session, 'jobs that had failed nowhere else failed');
+    if (this.reliability.recordFailure(session.id, id, this.now()))
+      this.log(session, 'jobs failed that had failed on no other worker');
   }
 
-  /** The worker itself is to blame, whatever the job. */
+  /** Marks the worker as suspect, whatever the job. */
   suspect(session: WorkerSession, reason: string): void {
-    if (this.trust.markSuspect(session.id, this.now()))
+    if (this.reliability.markSuspect(session.id, this.now()))
       this.log(session, reason);
   }
 
