--- a/packages/shared-state/src/__tests__/bundle-fuzz.test.ts
+++ b/packages/shared-state/src/__tests__/bundle-fuzz.test.ts
@@ -32,7 +32,7 @@
   fc.string({maxLength: 6}),
 );
 const anyText = fc.array(word, {maxLength: 60}).map(words => words.join(''));
-/** A valid bundle with one stretch replaced. */
+/** A valid bundle with one part replaced by random text. */
 const mutatedText = fc
   .tuple(fc.nat({max: VALID.length}), fc.nat({max: 30}), anyText)
   .map(
@@ -51,7 +51,7 @@
 }
 
 describe('the bundle parser', () => {
-  it('reads any text or ends in a BundleError', () => {
+  it('parses any text or throws a BundleError', () => {
     fc.assert(
       fc.property(fc.oneof(anyText, mutatedText), text => {
         problemsOf(text);
@@ -60,7 +60,7 @@
     );
   });
 
-  it('refuses ranges that name more VMs than any fleet has', () => {
+  it('rejects ranges that expand to more VMs than the limit', () => {
     const many = Array.from({length: 50_000}, (_, at) => `v${at}-[1-100000]`);
     const text = `${VALID}[rack.many]\ndata_centre = a\nvms = ${many.join(',')}\n`;
     assert.match(problemsOf(text), /rack.many.vms: expected up to 100000 VM/);
@@ -68,28 +68,28 @@
     assert.equal(expandRange(`a-[${'0'.repeat(1e6)}-9]`).length, 1);
   });
 
-  // Spread into one call, the problems of 100,000 VMs overflow the stack: the admin port
-  // answered 500 and the author saw no reason.
-  it('lists problems of 100,000 VMs that are in no rack', () => {
+  // Passing the problems of 100,000 VMs as the arguments of one call overflows the stack. The
+  // admin port then responded with status 500 and the author saw no reason.
+  it('reports the problems of 100,000 VMs that are in no rack', () => {
     const pools = [1, 2].map(
       at => `[pool.p${at}]\nvms = v${at}-[000001-100000]\n`,
     );
     assert.match(problemsOf(VALID + pools.join('')), /is in no rack/);
   });
 
-  it('searches a text of malformed sections for its line once', () => {
+  it('searches for a line number only once in a text of malformed sections', () => {
     const text = '[pool.a]\nx\n'.repeat(20_000);
     assert.match(problemsOf(text), /^bundle:2: expected "key = value"/);
   });
 
   for (const text of ['[pool.__proto__]\n', '[pool.a]\n__proto__ = 1\n']) {
-    it(`refuses ${JSON.stringify(text)}`, () => {
+    it(`rejects ${JSON.stringify(text)}`, () => {
       assert.match(problemsOf(VALID + text), /expected a plain name/);
     });
   }
 });
 
-describe('a name of an inherited member', () => {
+describe('a name of an inherited object member', () => {
   const bundle = parseBundle(VALID);
   const records = [
     bundle.operators,
@@ -100,14 +100,14 @@
     bundle.callers,
   ];
 
-  it('finds nothing in a bundle that does not have it', () => {
+  it('is not found in a bundle that does not define it', () => {
     for (const record of records) {
       for (const name of [...INHERITED, '__proto__'])
         assert.equal(record[name], undefined, name);
     }
   });
 
-  it('is a name like any other where the bundle has it', () => {
+  it('is treated like any other name in a bundle that defines it', () => {
     const text = `${VALID}[team.constructor]\nweight = 3\n`;
     assert.equal(parseBundle(text).teams[INHERITED[0]].weight, 3);
     assert.match(
@@ -116,7 +116,7 @@
     );
   });
 
-  it('signs no bundle off, before or after the first one', () => {
+  it('is rejected as the signer of the first and of a later bundle', () => {
     for (const name of [...INHERITED, '__proto__']) {
       const first = emptyFleetState({});
       apply(first, proposalRecord(VALID));
@@ -133,8 +133,8 @@
   });
 });
 
-describe('the decoder of claims', () => {
-  it('reads any bytes or says that it cannot', () => {
+describe('the claim batch decoder', () => {
+  it('decodes any bytes or reports them as unreadable', () => {
     fc.assert(
       fc.property(fc.uint8Array({maxLength: 200}), bytes => {
         const batch = decodeClaimBatch(bytes);
--- a/packages/shared-state/src/__tests__/claim-table.test.ts
+++ b/packages/shared-state/src/__tests__/claim-table.test.ts
@@ -38,17 +38,17 @@
   return {key: keyOf(key), attempt, fingerprint: 'abcdefgh'};
 }
 
-describe('the fold of claims', () => {
-  it('gives a key to the first claim in log order', () => {
+describe('ClaimTable', () => {
+  it('assigns a key to the first claim in log order', () => {
     const table = new ClaimTable(10);
     table.apply(batchOf('a', 1, {claims: [claimOf('k', 1)]}));
-    const {appliedClaims: verdicts} = table.apply(
+    const {appliedClaims} = table.apply(
       batchOf('b', 1, {claims: [claimOf('k', 1)]}),
     );
-    assert.equal(verdicts[0].entry.holder, 'a');
+    assert.equal(appliedClaims[0].entry.holder, 'a');
   });
 
-  it('drops a batch that lands behind its successor', () => {
+  it('drops a batch that is appended after a later one of the same writer', () => {
     const table = new ClaimTable(10);
     const first = batchOf('a', 1, {claims: [claimOf('k', 1)]});
     table.apply(first);
@@ -57,7 +57,7 @@
     assert.equal(table.get(keyOf('k')), undefined);
   });
 
-  it('releases only what its holder holds and has not ended', () => {
+  it('releases a key only for its holder, its attempt and before an outcome is recorded', () => {
     const table = new ClaimTable(10);
     const held = {key: keyOf('k'), attempt: 1};
     table.apply(batchOf('a', 1, {claims: [claimOf('k', 1)]}));
@@ -70,7 +70,7 @@
     assert.equal(table.get(held.key)?.end, ClaimOutcome.Finished);
   });
 
-  it('forgets the oldest claims above its bound and says from where it knows', () => {
+  it('evicts the oldest claims above its limit and reports the first retained offset', () => {
     const table = new ClaimTable(2);
     ['k', 'l', 'm'].forEach((key, index) =>
       table.apply(batchOf('a', index + 1, {claims: [claimOf(key, index + 1)]})),
@@ -80,7 +80,7 @@
     assert.equal(table.retainedFromOffset, 1);
   });
 
-  it('follows a chain of heirs and ends a loop of them', () => {
+  it('follows a chain of hand-overs and stops in a loop', () => {
     const table = new ClaimTable(10);
     table.apply(batchOf('a', 1, {heir: 'b'}));
     table.apply(batchOf('b', 1, {heir: 'c'}));
@@ -90,8 +90,8 @@
   });
 });
 
-describe('the encoding of claims', () => {
-  it('gives back what was put in', () => {
+describe('the claim batch encoding', () => {
+  it('decodes an encoded batch to an equal batch', () => {
     const batch = batchOf('a', 7, {
       claims: [claimOf('k', 1)],
       releases: [{key: keyOf('l'), attempt: 2}],
@@ -101,7 +101,7 @@
     assert.deepEqual(decodeClaimBatch(encodeClaimBatch(batch)), batch);
   });
 
-  it('says what it cannot read, whatever comes', () => {
+  it('reports malformed payloads as unreadable', () => {
     const whole = encodeClaimBatch(
       batchOf('a', 1, {claims: [claimOf('k', 1)]}),
     );
--- a/packages/shared-state/src/__tests__/fold-bundles.test.ts
+++ b/packages/shared-state/src/__tests__/fold-bundles.test.ts
@@ -41,7 +41,7 @@
 
 describe('bundles in the fold', () => {
   describe('sign-offs', () => {
-    it('bring a bundle into force with the last one needed', () => {
+    it('bring a bundle into force with the last one that is required', () => {
       const state = stateWithFirst();
       proposeAndSignOff(state, {version: 2, base: 1, signOffs: 2});
       const text = bundleText({version: 3, base: 2, signOffs: 2});
@@ -72,17 +72,17 @@
         text => signOffRecord(text, 2, 'tui'),
       ],
       [
-        'with the key of another',
+        'with the key of another operator',
         RejectionReason.SignatureWrong,
         text => signOffRecord(text, 2, 'kerry', 'moana'),
       ],
       [
-        'of a name from the prototype of objects',
+        'of a name from the object prototype',
         RejectionReason.SignerUnknown,
         text => ({...signOffRecord(text, 2, 'kerry'), operator: 'constructor'}),
       ],
       [
-        'of another version of the digest',
+        'with another version than the proposal',
         RejectionReason.BundleDigestDiffers,
         text => signOffRecord(text, 3, 'kerry'),
       ],
@@ -98,7 +98,7 @@
       });
     }
 
-    it('of the first bundle are held against the settings', () => {
+    it('of the first bundle are verified against the trusted operators of the settings', () => {
       const state = emptyState();
       const text = bundleText({version: 1, base: 0, signOffs: 0});
       assert.equal(apply(state, proposalRecord(text)).rejection, undefined);
@@ -110,8 +110,8 @@
     });
   });
 
-  describe('racing operators', () => {
-    it('get one winner, and the other a conflict that says what to build on', () => {
+  describe('concurrent proposals', () => {
+    it('bring one bundle into force and reject the other with the version to base it on', () => {
       const state = stateWithFirst();
       const left = bundleText({version: 2, base: 1, slots: 4});
       const right = bundleText({version: 2, base: 1, slots: 6});
@@ -128,7 +128,7 @@
   });
 
   describe('an older version', () => {
-    it('never comes back; a rollback is a new version with the old content', () => {
+    it('never comes into force again; a rollback is a new version with the old content', () => {
       const state = stateWithFirst();
       const first = bundleText({version: 1, base: 0});
       proposeAndSignOff(state, {version: 2, base: 1, slots: 4});
@@ -146,7 +146,7 @@
   });
 
   describe('the history', () => {
-    it('keeps who brought what into force, without proposals that did not', () => {
+    it('records author and signers of bundles in force, without other proposals', () => {
       const state = stateWithFirst();
       apply(state, proposalRecord(bundleText({version: 2, base: 1, slots: 4})));
       const text = bundleText({version: 2, base: 1});
@@ -164,7 +164,7 @@
       assert.equal(past[1].offset, state.inForce?.offset);
     });
 
-    it('forgets the oldest versions', () => {
+    it('evicts the oldest versions', () => {
       const state = stateWithFirst();
       for (let base = 1; base < 60; base++)
         proposeAndSignOff(state, {version: base + 1, base});
@@ -173,14 +173,14 @@
       assert.equal(state.history.has('60'), true);
     });
 
-    it('is part of the hash and of snapshots', () => {
+    it('is part of the state hash and of snapshots', () => {
       const names = tablesOf(stateWithFirst()).map(([name]) => name);
       assert.ok(names.includes('history'));
     });
   });
 
   describe('a delta', () => {
-    it('makes the whole text of its digest and needs sign-offs as any bundle', () => {
+    it('produces the whole text and requires sign-offs like any bundle', () => {
       const state = stateWithFirst();
       const text = bundleText({version: 2, base: 1, slots: 3});
       const delta = deltaOf(state, text);
@@ -192,7 +192,7 @@
       assert.equal(state.inForce?.bundle.pools['counter-preview'].slots, 3);
     });
 
-    it('on another base than the one in force is a conflict', () => {
+    it('that is not based on the bundle in force is a conflict', () => {
       const state = stateWithFirst();
       const delta = deltaOf(state, bundleText({version: 2, base: 1, slots: 3}));
       proposeAndSignOff(state, {version: 2, base: 1, slots: 4});
@@ -202,7 +202,7 @@
       );
     });
 
-    it('that makes another text than its digest names is refused', () => {
+    it('that produces a text with a different digest is rejected', () => {
       const state = stateWithFirst();
       const text = bundleText({version: 2, base: 1, slots: 3});
       const delta = {...deltaOf(state, text), digest: sha256Hex('another')};
@@ -212,9 +212,9 @@
       );
     });
 
-    // A record of some kilobytes copies the base over and over. Without a bound every daemon
-    // would build gigabytes of text at the same offset and end, and again after its restart.
-    it('that grows without bound is refused', () => {
+    // A record of a few kilobytes copies the base repeatedly. Without a limit every daemon would
+    // build gigabytes of text at the same offset and crash, and crash again after its restart.
+    it('that expands beyond the limit is rejected', () => {
       const state = stateWithFirst();
       const count = state.inForce!.parsed.sections.length;
       const steps = Array.from({length: 20_000}, () => ({copy: 0, count}));
@@ -227,7 +227,7 @@
       assert.match(rejection?.detail ?? '', /too long/);
     });
 
-    it('that copies what its base does not have is refused', () => {
+    it('that copies sections that its base does not have is rejected', () => {
       const state = stateWithFirst();
       const text = bundleText({version: 2, base: 1});
       const steps = [{copy: 3, count: Number.MAX_SAFE_INTEGER}];
@@ -239,7 +239,7 @@
   });
 
   describe('parsing section by section', () => {
-    it('gives what parsing afresh gives, with and without a base', () => {
+    it('gives the same bundle with and without a base', () => {
       const base = parseSections(bundleText({version: 1, base: 0}));
       const text = bundleText({version: 2, base: 1, slots: 5});
       assert.deepEqual(
@@ -248,18 +248,18 @@
       );
     });
 
-    it('cuts a text into pieces that make the text again', () => {
+    it('splits a text into sections that join to the same text', () => {
       const text =
         '; a note\r\n[bundle]\r\nversion = 1\r\n\r\n[rack.a]\r\nvms = a';
-      const pieces = splitSections(text);
-      assert.equal(pieces.map(piece => piece.text).join(''), text);
+      const sections = splitSections(text);
+      assert.equal(sections.map(section => section.text).join(''), text);
       assert.deepEqual(
-        pieces.map(piece => piece.header),
+        sections.map(section => section.header),
         ['', 'bundle', 'rack.a'],
       );
     });
 
-    it('takes a pool named as a part of every object for what it is', () => {
+    it('accepts a pool with the name of an inherited object member', () => {
       const text = bundleText({version: 1, base: 0, pool: 'constructor'});
       assert.equal(parseBundle(text).pools['constructor'].slots, 8);
       assert.throws(
@@ -272,26 +272,26 @@
     });
 
     const wrong: ReadonlyArray<[string, string, RegExp]> = [
-      ['a doubled section', '[rack.hall-a-r1]\ndata_centre = b\n', /twice/],
+      ['a duplicate section', '[rack.hall-a-r1]\ndata_centre = b\n', /twice/],
       [
-        'a doubled key',
+        'a duplicate key',
         '[team.a]\nslots = 1\nslots = 2\n',
         /bundle:\d+: .*slots/,
       ],
       ['an unknown section', '[pol.a]\nvms = x\n', /\[pol\.a\] is no section/],
       [
-        'a wrong number',
+        'an invalid number',
         '[team.a]\nslots = many\n',
         /team\.a\.slots: expected/,
       ],
       [
-        'a header hidden by a lone return',
+        'a header hidden by a lone carriage return',
         '[team.a]\nslots = 1\r[team.b]\n',
         /end with a newline/,
       ],
     ];
     for (const [name, addition, message] of wrong) {
-      it(`names ${name}`, () => {
+      it(`reports ${name}`, () => {
         const text = bundleText({version: 1, base: 0}) + addition;
         assert.throws(() => parseBundle(text), message);
       });
--- a/packages/shared-state/src/__tests__/fold-harness.ts
+++ b/packages/shared-state/src/__tests__/fold-harness.ts
@@ -14,7 +14,7 @@
   type OperatorKeys,
 } from '../index.js';
 
-/** PKCS8 head of an Ed25519 private key; the 32 bytes of the key follow. */
+/** PKCS8 prefix of an Ed25519 private key; the 32 bytes of the key follow. */
 const PKCS8_PREFIX = Buffer.from('302e020100300506032b657004220420', 'hex');
 
 function keysFromSeed(seed: number): OperatorKeys {
@@ -27,14 +27,14 @@
   };
 }
 
-/** Operators of the tests by name. */
+/** Key pairs of the test operators by name. */
 export const OPERATORS: Readonly<Record<string, OperatorKeys>> = {
   moana: keysFromSeed(1),
   kerry: keysFromSeed(2),
   tui: keysFromSeed(3),
 };
 
-/** What a test's bundle says. */
+/** Options of a test bundle. */
 export interface BundleTextOptions {
   readonly version: number;
   readonly base: number;
@@ -45,7 +45,7 @@
   readonly pool?: string;
 }
 
-/** A bundle of one pool with four VMs. */
+/** Returns the text of a bundle with one pool of four VMs. */
 export function bundleText(choice: BundleTextOptions): string {
   const pool = choice.pool ?? 'counter-preview';
   const operators = Object.entries(OPERATORS).map(
@@ -72,16 +72,17 @@
 
 let records = 0;
 
-/** A head of a record that no other has. */
+/** Returns a record header with a unique id. */
 export function nextRecordHead(writer = 'moana') {
   return {id: `record-${++records}`, writer};
 }
 
+/** Creates a record that proposes a bundle. */
 export function proposalRecord(text: string): BundleProposed {
   return {...nextRecordHead(), kind: RecordKind.BundleProposed, text};
 }
 
-/** A sign-off; `key` is the operator's own unless another is named. */
+/** Creates a sign-off record, signed with the key of the operator `key`. */
 export function signOffRecord(
   text: string,
   version: number,
@@ -100,6 +101,7 @@
   };
 }
 
+/** Returns an empty state that trusts all test operators. */
 export function emptyState(): FleetState {
   return emptyFleetState(
     Object.fromEntries(
@@ -108,11 +110,15 @@
   );
 }
 
+/** Encodes a record and applies it to the state. */
 export function apply(state: FleetState, record: FleetRecord): FoldOutcome {
   return applyPayload(state, encodeRecord(record));
 }
 
-/** Proposes and signs off; the outcome of the sign-off. */
+/**
+ * Proposes and signs off a bundle; returns the outcome of the sign-off, or of a rejected
+ * proposal.
+ */
 export function proposeAndSignOff(
   state: FleetState,
   choice: BundleTextOptions,
--- a/packages/shared-state/src/__tests__/fold-total.test.ts
+++ b/packages/shared-state/src/__tests__/fold-total.test.ts
@@ -42,7 +42,7 @@
   return bundleText({version: number, base: number - 1});
 }
 
-/** Records that often take effect one on another. */
+/** Valid records that often affect each other. */
 const likelyRecord: fc.Arbitrary<FleetRecord> = fc.oneof(
   version.map(number => proposalRecord(textOf(number))),
   fc
@@ -87,15 +87,15 @@
 
 const likelyPayload = likelyRecord.map(encodeRecord);
 
-/** A record with one field replaced by anything: what a faulty writer sends. */
+/** A record with one field replaced by any value, as a faulty writer may send. */
 const mutatedPayload = fc
   .tuple(likelyRecord, fc.nat(), fc.anything())
-  .map(([record, place, value]) => {
+  .map(([record, index, value]) => {
     const names = Object.keys(record);
-    return packSafely([1, {...record, [names[place % names.length]]: value}]);
+    return packSafely([1, {...record, [names[index % names.length]]: value}]);
   });
 
-/** A record of any kind with fields that nobody checked. */
+/** A record of any kind with arbitrary fields. */
 const strangePayload = fc
   .tuple(
     fc.constantFrom(...Object.values(RecordKind)),
@@ -130,8 +130,8 @@
   return state;
 }
 
-describe('the fold under any records', () => {
-  it('never throws, and counts every record on', () => {
+describe('the fold with arbitrary records', () => {
+  it('never throws and advances the offset with each record', () => {
     fc.assert(
       fc.property(fc.array(anyPayload, {maxLength: 30}), payloads => {
         const state = emptyState();
@@ -145,7 +145,7 @@
     );
   });
 
-  it('gives equal states for equal records, hash and all', () => {
+  it('computes the same hash for the same records', () => {
     fc.assert(
       fc.property(fc.array(anyPayload, {maxLength: 30}), payloads => {
         assert.equal(
@@ -157,7 +157,7 @@
     );
   });
 
-  it('keeps the hash up as if it were computed afresh', () => {
+  it('keeps the incremental hashes equal to recomputed ones', () => {
     fc.assert(
       fc.property(fc.array(likelyPayload, {maxLength: 40}), payloads => {
         for (const [table, entries] of tablesOf(foldAll(payloads)))
@@ -171,31 +171,31 @@
     fc.assert(
       fc.property(fc.array(anyPayload, {maxLength: 40}), payloads => {
         const state = emptyState();
-        let floor = 0;
+        let highestVersion = 0;
         for (const payload of payloads) {
           applyPayload(state, payload);
           const inForce = state.inForce?.bundle.version ?? 0;
-          assert.ok(inForce >= floor);
-          floor = inForce;
+          assert.ok(inForce >= highestVersion);
+          highestVersion = inForce;
         }
       }),
       RUNS,
     );
   });
 
-  it('goes on from a snapshot at any offset as from the first record', async () => {
+  it('computes the same state from a snapshot at any offset as from the first record', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.array(likelyPayload, {maxLength: 30}),
         fc.nat({max: 30}),
         async (payloads, cut) => {
-          const rest = () => Promise.resolve();
+          const yieldToEventLoop = () => Promise.resolve();
           const before = foldAll(payloads.slice(0, cut));
-          const snapshot = await encodeSnapshot(before, rest);
+          const snapshot = await encodeSnapshot(before, yieldToEventLoop);
           const state = await decodeSnapshot(
             snapshot,
             before.trustedOperators,
-            rest,
+            yieldToEventLoop,
           );
           for (const payload of payloads.slice(cut))
             applyPayload(state, payload);
@@ -207,7 +207,7 @@
   });
 });
 
-describe('records of a format', () => {
+describe('a record format', () => {
   const raise: FleetRecord = {
     ...nextRecordHead(),
     kind: RecordKind.FormatRaised,
@@ -223,7 +223,7 @@
     readsFormat,
   });
 
-  it('come into use only when every member reads it', () => {
+  it('comes into use only once every member can read it', () => {
     const state = emptyState();
     apply(state, joined('entry-1', 2));
     apply(state, joined('entry-2', 1));
@@ -235,7 +235,7 @@
     assert.equal(state.formatInUse, 2);
   });
 
-  it('keep out a member that does not read them', () => {
+  it('in use keeps out a member that cannot read it', () => {
     const state = emptyState();
     apply(state, raise);
     const {rejection} = apply(state, joined('entry-1', 1));
@@ -243,10 +243,10 @@
     assert.equal(state.members.size, 0);
   });
 
-  // A new daemon writes a record that an old one cannot read, before the format is in use.
-  // The old one leaves it out with its id; the new one must leave both out as well, or the
-  // two states part at this offset and no caller sees why.
-  it('not in use leave the state as a reader that cannot read them leaves it', () => {
+  // A new daemon writes a record that an old one cannot read, before the format is in use. The
+  // old one skips the record and its id; the new one must skip both as well, or the two states
+  // diverge at this offset without any visible reason.
+  it('not in use has the same effect on the state as an unreadable record', () => {
     const record = joined('entry-1', 1);
     const early = packr.pack([2, record]);
     const unknown = packr.pack([1, {...nextRecordHead(), kind: 'pool.merged'}]);
@@ -258,13 +258,13 @@
     assert.equal(apply(left, record).rejection, undefined);
   });
 
-  it('are declared by every kind', () => {
+  it('is declared for every record kind', () => {
     for (const handler of Object.values(RECORD_HANDLERS))
       assert.ok(handler.sinceFormat >= 1);
   });
 });
 
-describe('a doubled record', () => {
+describe('a record that is appended twice', () => {
   it('takes effect once', () => {
     const state = emptyState();
     proposeAndSignOff(state, {version: 1, base: 0});
@@ -283,23 +283,23 @@
 });
 
 describe('a damaged snapshot', () => {
-  it('is refused, wherever a byte of it changed', async () => {
-    const rest = () => Promise.resolve();
+  it('is rejected regardless of which byte changed', async () => {
+    const yieldToEventLoop = () => Promise.resolve();
     const state = emptyState();
     proposeAndSignOff(state, {version: 1, base: 0});
-    const snapshot = await encodeSnapshot(state, rest);
-    for (let place = 0; place < snapshot.length; place += 7) {
+    const snapshot = await encodeSnapshot(state, yieldToEventLoop);
+    for (let index = 0; index < snapshot.length; index += 7) {
       const damaged = Uint8Array.from(snapshot);
-      damaged[place] ^= 0x55;
+      damaged[index] ^= 0x55;
       await assert.rejects(
-        decodeSnapshot(damaged, state.trustedOperators, rest),
+        decodeSnapshot(damaged, state.trustedOperators, yieldToEventLoop),
       );
     }
   });
 });
 
 describe('HashedTable', () => {
-  it('does not depend on the order of entries or of fields', () => {
+  it('has a hash that is independent of the order of entries and fields', () => {
     const left = new HashedTable<object>();
     const right = new HashedTable<object>();
     left.set('a', {x: 1, y: undefined}).set('b', {z: [2]});
--- a/packages/shared-state/src/__tests__/log-client.test.ts
+++ b/packages/shared-state/src/__tests__/log-client.test.ts
@@ -23,10 +23,10 @@
   type PlatformLog,
 } from '../index.js';
 
-/** A log whose answers the test gives. */
+/** A log whose responses are defined by the test. */
 class ScriptedLog implements PlatformLog {
   readonly appends: Array<readonly Uint8Array[]> = [];
-  /** What the next appends and reads do; the last one stays. */
+  /** Responses to the next appends and reads, until they are replaced. */
   onAppend: () => Promise<void> = async () => undefined;
   onRead: () => Promise<LogBatch> = () => new Promise(() => undefined);
 
@@ -71,21 +71,21 @@
   return new Uint8Array(bytes).fill(number);
 }
 
-describe('AppendBudget', () => {
-  it('gives a burst at once and then the budgeted pace', () => {
+describe('AppendRateLimiter', () => {
+  it('allows a burst at once and then the configured rate', () => {
     const clock = new VirtualClock();
-    const budget = new AppendRateLimiter(clock, 10, 2);
-    budget.consumeToken();
-    budget.consumeToken();
-    assert.equal(budget.millisecondsUntilToken(), 100);
+    const rateLimiter = new AppendRateLimiter(clock, 10, 2);
+    rateLimiter.consumeToken();
+    rateLimiter.consumeToken();
+    assert.equal(rateLimiter.millisecondsUntilToken(), 100);
     clock.advance(100);
-    assert.equal(budget.millisecondsUntilToken(), 0);
+    assert.equal(rateLimiter.millisecondsUntilToken(), 0);
   });
 });
 
 describe('LogAppender', () => {
   describe('under a burst of records', () => {
-    it('sends the first at once and the rest as one append', async () => {
+    it('sends the first record at once and the rest as one append', async () => {
       const {clock, platformLog, appender} = setUp();
       const first = appender.append(payload(0));
       await clock.advanceAsync(0);
@@ -100,7 +100,7 @@
       );
     });
 
-    it('keeps to its budget of appends, however many records there are', async () => {
+    it('does not exceed the rate limit, regardless of the number of records', async () => {
       const {clock, platformLog, appender} = setUp({
         appendsPerSecond: 5,
         burst: 5,
@@ -115,7 +115,7 @@
       await appender.stop();
     });
 
-    it('says when to come again once too much waits', async () => {
+    it('refuses records with a retry time once its queue is full', async () => {
       const {clock, platformLog, appender} = setUp({maximumQueuedRecords: 2});
       platformLog.onAppend = () => new Promise(() => undefined);
       void appender.append(payload(0));
@@ -130,7 +130,7 @@
       await clock.advanceAsync(1);
     });
 
-    it('bounds the bytes of one append', async () => {
+    it('limits the bytes of one append', async () => {
       const {clock, platformLog, appender} = setUp({maximumBatchBytes: 100});
       const sent = [60, 60, 30].map(bytes =>
         appender.append(payload(1, bytes)),
@@ -144,14 +144,14 @@
     });
   });
 
-  describe('with a log that refuses', () => {
-    it('keeps the records and sends them when it returns', async () => {
+  describe('with a log that refuses appends', () => {
+    it('keeps the records and sends them once the log accepts appends again', async () => {
       const {clock, platformLog, appender} = setUp();
       platformLog.onAppend = refuse;
       const record = appender.append(payload(1));
       await clock.advanceAsync(60_000);
-      const tried = platformLog.appends.length;
-      assert.ok(tried < 30, `${tried} appends in a minute`);
+      const appendCount = platformLog.appends.length;
+      assert.ok(appendCount < 30, `${appendCount} appends in a minute`);
       platformLog.onAppend = async () => undefined;
       await clock.advanceAsync(6000);
       await record;
@@ -165,15 +165,15 @@
       await clock.advanceAsync(1000);
       gaveUp.abort();
       await assert.rejects(record, AppendRefusedError);
-      const tried = platformLog.appends.length;
+      const appendCount = platformLog.appends.length;
       platformLog.onAppend = async () => undefined;
       await clock.advanceAsync(60_000);
-      assert.equal(platformLog.appends.length, tried);
+      assert.equal(platformLog.appends.length, appendCount);
     });
   });
 
   describe('with an append that hangs', () => {
-    it('lets later records overtake it', async () => {
+    it('sends later records without waiting for it', async () => {
       const {clock, platformLog, appender} = setUp();
       platformLog.onAppend = () => new Promise(() => undefined);
       void appender.append(payload(1));
@@ -188,74 +188,74 @@
 
 describe('RecordPublisher', () => {
   function publisherOf(
-    setting: ReturnType<typeof setUp>,
-    canRead: () => boolean = () => true,
+    fixture: ReturnType<typeof setUp>,
+    isStreamReadable: () => boolean = () => true,
   ) {
-    const {clock, appender} = setting;
-    return new RecordPublisher<string>(clock, appender, canRead);
+    const {clock, appender} = fixture;
+    return new RecordPublisher<string>(clock, appender, isStreamReadable);
   }
 
-  it('tells the fate only once the record was read', async () => {
-    const setting = setUp();
-    const publisher = publisherOf(setting);
-    let fate = 'open';
+  it('resolves only once the record was read', async () => {
+    const fixture = setUp();
+    const publisher = publisherOf(fixture);
+    let result = 'open';
     const published = publisher.publish('r1', payload(1)).then(outcome => {
-      fate = outcome;
+      result = outcome;
     });
-    await setting.clock.advanceAsync(500);
-    assert.equal(fate, 'open');
+    await fixture.clock.advanceAsync(500);
+    assert.equal(result, 'open');
     publisher.resolveOutcome('r1', 'in force');
     await published;
-    assert.equal(fate, 'in force');
+    assert.equal(result, 'in force');
   });
 
-  it('sends a record with a lost answer again only after a wait, and takes the first fate', async () => {
-    const setting = setUp();
-    const publisher = publisherOf(setting);
-    setting.platformLog.onAppend = lose;
+  it('appends a record again only after a delay if the response is lost, and resolves with the first outcome', async () => {
+    const fixture = setUp();
+    const publisher = publisherOf(fixture);
+    fixture.platformLog.onAppend = lose;
     const published = publisher.publish('r1', payload(1));
-    await setting.clock.advanceAsync(900);
-    assert.equal(setting.platformLog.appends.length, 1);
-    await setting.clock.advanceAsync(200);
-    assert.equal(setting.platformLog.appends.length, 2);
+    await fixture.clock.advanceAsync(900);
+    assert.equal(fixture.platformLog.appends.length, 1);
+    await fixture.clock.advanceAsync(200);
+    assert.equal(fixture.platformLog.appends.length, 2);
     publisher.resolveOutcome('r1', 'in force');
     assert.equal(await published, 'in force');
   });
 
-  it('says that the fate is unknown when the record is never read', async () => {
-    const setting = setUp();
-    const publisher = publisherOf(setting, () => false);
-    setting.platformLog.onAppend = lose;
+  it('reports an unknown outcome if the record is never read', async () => {
+    const fixture = setUp();
+    const publisher = publisherOf(fixture, () => false);
+    fixture.platformLog.onAppend = lose;
     const published = publisher.publish('r1', payload(1));
     const rejected = assert.rejects(published, {
       failure: PlatformLogFailure.NoResponse,
     });
-    await setting.clock.advanceAsync(20_000);
+    await fixture.clock.advanceAsync(20_000);
     await rejected;
-    assert.equal(setting.platformLog.appends.length, 1);
+    assert.equal(fixture.platformLog.appends.length, 1);
   });
 
-  it('says that nothing was appended when the log refused to the end', async () => {
-    const setting = setUp();
-    const publisher = publisherOf(setting);
-    setting.platformLog.onAppend = refuse;
+  it('reports a refusal if the log refuses all appends until the timeout', async () => {
+    const fixture = setUp();
+    const publisher = publisherOf(fixture);
+    fixture.platformLog.onAppend = refuse;
     const published = publisher.publish('r1', payload(1));
     const rejected = assert.rejects(published, {
       failure: PlatformLogFailure.Refused,
     });
-    await setting.clock.advanceAsync(20_000);
+    await fixture.clock.advanceAsync(20_000);
     await rejected;
-    await setting.clock.advanceAsync(20_000);
-    const tried = setting.platformLog.appends.length;
-    await setting.clock.advanceAsync(60_000);
-    assert.equal(setting.platformLog.appends.length, tried);
+    await fixture.clock.advanceAsync(20_000);
+    const appendCount = fixture.platformLog.appends.length;
+    await fixture.clock.advanceAsync(60_000);
+    assert.equal(fixture.platformLog.appends.length, appendCount);
   });
 });
 
 describe('LogReader', () => {
-  // 200 daemons lose the log at one moment and it returns after ten minutes. If their next
-  // reads fell together, the log would meet all of them in one instant and go down again.
-  it('spreads the return of many daemons over seconds', async () => {
+  // 200 daemons lose the log at the same moment and it recovers after a minute. If their next
+  // reads came at the same time, the log would be overloaded and fail again.
+  it('spreads the first reads of many daemons over several seconds after an outage', async () => {
     const clock = new VirtualClock();
     const reads: number[] = [];
     let isOut = true;
@@ -301,9 +301,9 @@
     stop.abort();
   });
 
-  // The log answers each long poll at once with nothing, as a read that lags behind does. The
-  // daemon must neither take its own event loop up with reads nor flood the log.
-  it('keeps a pace when reads bring nothing at once', async () => {
+  // The log responds to each long poll at once without records, as a lagging read does. The
+  // daemon must neither block its own event loop with reads nor flood the log.
+  it('limits the rate of reads that return at once without records', async () => {
     const {clock, platformLog, dependencies} = setUp();
     let reads = 0;
     platformLog.onRead = async () => {
@@ -327,9 +327,9 @@
     stop.abort();
   });
 
-  it('tries an open gap with growing pauses', async () => {
+  it('retries a gap that cannot be recovered with increasing delays', async () => {
     const {clock, platformLog, dependencies} = setUp();
-    let tries = 0;
+    let attempts = 0;
     platformLog.onRead = () => Promise.reject(new LogGapError(5));
     const stop = new AbortController();
     const reader = new LogReader(
@@ -339,7 +339,7 @@
         nextOffset: () => 0,
         applyBatch: async () => undefined,
         recoverFromGap: () => {
-          tries++;
+          attempts++;
           return Promise.reject(new Error('no snapshot'));
         },
       },
@@ -347,7 +347,7 @@
     );
     void reader.run(stop.signal);
     await clock.advanceAsync(60_000);
-    assert.ok(tries >= 10 && tries < 40, `${tries} tries`);
+    assert.ok(attempts >= 10 && attempts < 40, `${attempts} attempts`);
     stop.abort();
   });
 });
--- a/packages/shared-state/src/append-rate-limiter.ts
+++ b/packages/shared-state/src/append-rate-limiter.ts
@@ -3,9 +3,11 @@
 const MILLISECONDS_PER_SECOND = 1000;
 
 /**
- * Appends that one daemon may send to one stream: a token bucket. Answers bursts of records:
- * the platform takes some hundred appends a second from everyone, and one busy stream would
- * use up what the others need. The burst is what a quiet daemon may send at once.
+ * Limits the appends that one daemon sends to one stream with a token bucket.
+ *
+ * Load: bursts of records. The platform accepts a few hundred appends per second from all
+ * daemons together. Without it: one busy stream would use up the share of the others. The
+ * burst is the number of appends that an idle daemon may send at once.
  */
 export class AppendRateLimiter {
   private tokens: number;
@@ -20,7 +22,7 @@
     this.refilledAt = clock.monotonicMilliseconds();
   }
 
-  /** Milliseconds until an append may be sent; 0 for now. */
+  /** Returns the milliseconds until the next append may be sent; 0 if it may be sent now. */
   millisecondsUntilToken(): number {
     this.refill();
     if (this.tokens >= 1) return 0;
@@ -29,7 +31,7 @@
     );
   }
 
-  /** Uses one append. */
+  /** Takes one token for an append, even if none is available. */
   consumeToken(): void {
     this.refill();
     this.tokens -= 1;
@@ -37,10 +39,10 @@
 
   private refill(): void {
     const now = this.clock.monotonicMilliseconds();
-    const grown =
+    const addedTokens =
       ((now - this.refilledAt) * this.tokensPerSecond) /
       MILLISECONDS_PER_SECOND;
-    this.tokens = Math.min(this.burst, this.tokens + grown);
+    this.tokens = Math.min(this.burst, this.tokens + addedTokens);
     this.refilledAt = now;
   }
 }
--- a/packages/shared-state/src/budget-check.ts
+++ b/packages/shared-state/src/budget-check.ts
@@ -10,7 +10,7 @@
   type Rejection,
 } from './fleet-state.js';
 
-/** How a service stands against its budget. */
+/** Compares the current capacity of a service with its availability budget. */
 export interface ServiceBudgetStatus {
   readonly service: string;
   readonly pool: string;
@@ -18,19 +18,19 @@
   readonly needed: number;
   readonly owned: number;
   readonly available: number;
-  /** Out of service by plan. */
+  /** VMs that are out of service for planned work. */
   readonly planned: number;
   readonly leavingAtOnce: number;
   readonly survive: FailureDomain;
-  /** Available after the largest such failure. */
+  /** VMs left available after the largest failure of the kind `survive`. */
   readonly availableAfterLoss: number;
-  /** Not met now: all planned work stops. */
+  /** Whether the budget is not met now; this stops all planned work. */
   readonly broken: boolean;
-  /** Planned stops that it allows now. */
+  /** Further planned stops that the budget allows now. */
   readonly spare: number;
 }
 
-/** Standing of each service, in the bundle's order. */
+/** Returns the budget status of each service, in the order of the bundle. */
 export function serviceBudgetStatuses(
   state: FleetState,
 ): ServiceBudgetStatus[] {
@@ -40,7 +40,7 @@
   );
 }
 
-/** Standing of one service; undefined when the bundle has none of that name. */
+/** Returns the budget status of a service; undefined if the bundle has no such service. */
 export function serviceBudgetStatusOf(
   index: CapacityIndex,
   name: string,
@@ -71,19 +71,20 @@
 }
 
 /**
- * Whether a VM may leave service by plan at this offset. Checked in the fold, so that two
- * planners or operators that each saw room for one cannot take two: the second record meets
- * the counters that the first one changed. A VM that is already unavailable costs nothing.
- * `relieves` names a pool that the VM moves to: a broken budget there does not stop the move.
+ * Returns why a VM may not be taken out of service for planned work at this offset; undefined
+ * if it may. The check runs in the fold: two planners or operators that each saw room for one
+ * more VM cannot take two, because the second record is checked against the counters that the
+ * first one changed. A VM that is already unavailable is always allowed. `relievedPool` is the
+ * pool that the VM moves to: a broken budget of that pool does not stop the move.
  */
 export function checkPlannedStop(
   state: FleetState,
   vm: string,
-  relieves?: string,
+  relievedPool?: string,
 ): Rejection | undefined {
   const index = capacityIndexOf(state);
   if (!index.isAvailable(vm)) return undefined;
-  const broken = checkBrokenBudgets(index, relieves);
+  const broken = checkBrokenBudgets(index, relievedPool);
   if (broken) return broken;
   const pool = state.vms.get(vm)?.pool ?? '';
   for (const name of index.services(pool)) {
@@ -95,20 +96,20 @@
 
 function checkBrokenBudgets(
   index: CapacityIndex,
-  relieves: string | undefined,
+  relievedPool: string | undefined,
 ): Rejection | undefined {
   if (index.brokenServices.size === 0) return undefined;
   for (const name of index.brokenServices) {
-    const standing = serviceBudgetStatusOf(index, name);
-    if (!standing) continue;
-    if (relieves === standing.pool) return undefined;
+    const status = serviceBudgetStatusOf(index, name);
+    if (!status) continue;
+    if (relievedPool === status.pool) return undefined;
   }
   const [first] = index.brokenServices;
-  const standing = serviceBudgetStatusOf(index, first);
+  const status = serviceBudgetStatusOf(index, first);
   const others = index.brokenServices.size - 1;
   return {
     reason: RejectionReason.BudgetBroken,
-    detail: `planned work is stopped: service ${first} has ${standing?.available} of ${standing?.needed} VMs available in pool ${standing?.pool}${others > 0 ? ` and ${others} more services are short` : ''}; return drained VMs of that pool or repair those that are down`,
+    detail: `planned work is stopped: service ${first} has ${status?.available} of ${status?.needed} VMs available in pool ${status?.pool}${others > 0 ? ` and ${others} more services are short` : ''}; return drained VMs of that pool or repair those that are down`,
   };
 }
 
@@ -124,7 +125,7 @@
   if (pool.planned + 1 > leavingAtOnce) {
     return {
       reason: RejectionReason.LeavingLimit,
-      detail: `service ${name} lets ${leavingAtOnce} VMs leave at one time and ${pool.planned} of pool ${service.pool} are out by plan; wait for one to return`,
+      detail: `service ${name} allows planned work on ${leavingAtOnce} VMs at one time, and ${pool.planned} VMs of pool ${service.pool} are already out of service for it; wait for one to return`,
     };
   }
   const lost = largestFailureDomainLoss(pool, survive, index.locationOf(vm));
--- a/packages/shared-state/src/bundle-parser.ts
+++ b/packages/shared-state/src/bundle-parser.ts
@@ -21,13 +21,13 @@
 export {expandRange} from './bundle-sections.js';
 
 /**
- * Line ends that some readers see and others do not: a reviewer would sign off one text and
- * the fold would read another.
+ * Line endings that only some programs treat as such: a reviewer could see and sign off a
+ * different text than the fold parses.
  */
 const AMBIGUOUS_LINE_END = /\r(?!\n)|\u2028|\u2029/;
-/** Problems listed of one bundle; more do not help its author. */
+/** Maximum problems reported for one bundle; a longer list does not help its author. */
 const MAXIMUM_REPORTED_PROBLEMS = 50;
-/** Sections read in one slice: under a millisecond of the event loop. */
+/** Sections parsed per slice; a slice blocks the event loop for less than a millisecond. */
 const SECTIONS_PER_SLICE = 50;
 const SINGLE_SECTION_KINDS: ReadonlySet<string> = new Set(
   Object.values(SingleSectionKind),
@@ -36,34 +36,34 @@
   Object.values(NamedSectionKind),
 );
 
-/** Reads a bundle from INI text; throws `BundleError` listing the problems found. */
+/** Parses a bundle from INI text; throws a `BundleError` that lists the problems found. */
 export function parseBundle(text: string): Bundle {
   return parseSections(text).bundle;
 }
 
 /**
- * Reads a bundle section by section. Sections that stand in `base` with the same text are
- * taken over: a change costs what it changes, not 31,000 VMs.
+ * Parses a bundle section by section. Sections whose text is the same in `base` are reused, so
+ * the cost of a change depends on its size and not on the 31,000 VMs of the bundle.
  */
 export function parseSections(text: string, base?: ParsedBundle): ParsedBundle {
-  const reader = new IncrementalBundleParser(text, base);
-  while (!reader.parseNextSlice()) continue;
-  return reader.finish();
+  const parser = new IncrementalBundleParser(text, base);
+  while (!parser.parseNextSlice()) continue;
+  return parser.finish();
 }
 
-/** As `parseSections`, giving way to the event loop after each slice by `rest`. */
+/** Like `parseSections`, but calls `yieldToEventLoop` after each slice. */
 export async function parseSectionsInSlices(
   text: string,
-  rest: () => Promise<void>,
+  yieldToEventLoop: () => Promise<void>,
   base?: ParsedBundle,
 ): Promise<ParsedBundle> {
-  const reader = new IncrementalBundleParser(text, base);
-  while (!reader.parseNextSlice()) await rest();
-  await rest();
-  return reader.finish();
+  const parser = new IncrementalBundleParser(text, base);
+  while (!parser.parseNextSlice()) await yieldToEventLoop();
+  await yieldToEventLoop();
+  return parser.finish();
 }
 
-/** Reads one text, a slice of sections at a time. */
+/** Parses one text, a slice of sections at a time. */
 class IncrementalBundleParser {
   private readonly textSections: readonly TextSection[];
   private readonly reusableSections: ReadonlyMap<string, ParsedSection>;
@@ -83,36 +83,36 @@
     );
   }
 
-  /** Reads the next slice; true when all is read. */
+  /** Parses the next slice; returns true once the whole text is parsed. */
   parseNextSlice(): boolean {
     const from = this.sections.length;
     const slice = this.textSections.slice(from, from + SECTIONS_PER_SLICE);
-    for (const piece of slice) {
+    for (const section of slice) {
       this.sections.push(
-        this.reusableSections.get(piece.text) ?? this.read(piece),
+        this.reusableSections.get(section.text) ?? this.read(section),
       );
     }
     return this.sections.length === this.textSections.length;
   }
 
-  /** Joins the sections and checks them against each other. */
+  /** Builds the bundle from its sections and validates it as a whole. */
   finish(): ParsedBundle {
     this.checkDuplicateSections();
     this.failOnProblems();
     const bundle = buildBundle(this.sections, this.base);
-    // Not spread into one call: a problem for each of 100,000 VMs would overflow the stack.
+    // Not push(...problems): one problem for each of 100,000 VMs would overflow the stack.
     for (const problem of validateBundle(bundle, this.base?.bundle))
       this.problems.push(problem);
     this.failOnProblems();
     return {bundle, sections: this.sections};
   }
 
-  private read(piece: TextSection): ParsedSection {
-    const {header, text} = piece;
+  private read(section: TextSection): ParsedSection {
+    const {header, text} = section;
     const dot = header.indexOf('.');
     const kind = dot < 0 ? header : header.slice(0, dot);
     const name = dot < 0 ? '' : header.slice(dot + 1);
-    const values = this.readKeys(piece);
+    const values = this.readKeys(section);
     if (header === '')
       return {header, text, kind: undefined, name, value: values};
     if (dot < 0 && SINGLE_SECTION_KINDS.has(kind)) {
@@ -142,15 +142,16 @@
     return {header, text, kind: named, name, value};
   }
 
-  private readKeys(piece: TextSection): Record<string, unknown> {
+  private readKeys(section: TextSection): Record<string, unknown> {
     try {
-      rejectDuplicates(piece.text, 'bundle');
+      rejectDuplicates(section.text, 'bundle');
     } catch {
       this.reportDuplicateKey();
       return {};
     }
-    if (piece.header === '') return this.rejectKeysOutsideSections(piece.text);
-    return parse(piece.text.slice(piece.text.indexOf(']') + 1));
+    if (section.header === '')
+      return this.rejectKeysOutsideSections(section.text);
+    return parse(section.text.slice(section.text.indexOf(']') + 1));
   }
 
   private rejectKeysOutsideSections(text: string): Record<string, unknown> {
@@ -162,8 +163,9 @@
   }
 
   /**
-   * Once a bundle, with the line number counted from the start of the whole text: a text of
-   * bad sections only, each searched for from the start, would hold the event loop for minutes.
+   * Reports only the first duplicate or malformed key of a bundle, because the search for its
+   * line number starts at the beginning of the text. Repeating the search for each section of
+   * a text with only malformed sections would block the event loop for minutes.
    */
   private reportDuplicateKey(): void {
     if (this.hasReportedDuplicate) return;
@@ -212,7 +214,7 @@
   sections: readonly ParsedSection[],
   base: ParsedBundle | undefined,
 ): Bundle {
-  const head = singleSectionValue<BundleHeader>(
+  const header = singleSectionValue<BundleHeader>(
     sections,
     SingleSectionKind.Bundle,
   );
@@ -220,28 +222,40 @@
     sections,
     SingleSectionKind.Weights,
   );
-  const before = base?.bundle;
+  const previous = base?.bundle;
   return {
-    ...(head as BundleHeader),
+    ...(header as BundleHeader),
     weights:
       weights ?? SINGLE_SECTION_SCHEMAS[SingleSectionKind.Weights].parse({}),
     operators: namedSectionEntries(
       sections,
       NamedSectionKind.Operator,
-      before?.operators,
+      previous?.operators,
+    ),
+    racks: namedSectionEntries(
+      sections,
+      NamedSectionKind.Rack,
+      previous?.racks,
+    ),
+    pools: namedSectionEntries(
+      sections,
+      NamedSectionKind.Pool,
+      previous?.pools,
     ),
-    racks: namedSectionEntries(sections, NamedSectionKind.Rack, before?.racks),
-    pools: namedSectionEntries(sections, NamedSectionKind.Pool, before?.pools),
     services: namedSectionEntries(
       sections,
       NamedSectionKind.Service,
-      before?.services,
+      previous?.services,
+    ),
+    teams: namedSectionEntries(
+      sections,
+      NamedSectionKind.Team,
+      previous?.teams,
     ),
-    teams: namedSectionEntries(sections, NamedSectionKind.Team, before?.teams),
     callers: namedSectionEntries(
       sections,
       NamedSectionKind.Caller,
-      before?.callers,
+      previous?.callers,
     ),
   };
 }
@@ -255,19 +269,20 @@
 }
 
 /**
- * The sections of one kind by name; the object of `before` itself when none changed, so that
- * what was derived from it stays valid. Without a prototype: a pool may be named `constructor`.
+ * Returns the sections of one kind by name. Returns the object `previous` itself if no section
+ * changed, so that caches derived from it stay valid. The object has no prototype, because a
+ * pool may be named `constructor`.
  */
 function namedSectionEntries<Value>(
   sections: readonly ParsedSection[],
   kind: NamedSectionKind,
-  before: Readonly<Record<string, Value>> | undefined,
+  previous: Readonly<Record<string, Value>> | undefined,
 ): Readonly<Record<string, Value>> {
-  const found = Object.create(null) as Record<string, Value>;
+  const entries = Object.create(null) as Record<string, Value>;
   for (const section of sections) {
-    if (section.kind === kind) found[section.name] = section.value as Value;
+    if (section.kind === kind) entries[section.name] = section.value as Value;
   }
-  return before && sameEntries(before, found) ? before : found;
+  return previous && sameEntries(previous, entries) ? previous : entries;
 }
 
 function sameEntries<Value>(
--- a/packages/shared-state/src/bundle-records.ts
+++ b/packages/shared-state/src/bundle-records.ts
@@ -6,13 +6,16 @@
 } from './record-head.js';
 import {RecordKind} from './record-kind.js';
 
-/** Longest text of a bundle, in characters: 31,000 VMs named one by one take about 2 million. */
+/**
+ * Maximum length of a bundle's text; 31,000 VMs listed one by one take about 2 million
+ * characters.
+ */
 export const MAXIMUM_BUNDLE_CHARACTERS = 8_000_000;
 const MAXIMUM_DELTA_STEPS = 20_000;
 
 const digest = z.string().regex(/^[0-9a-f]{64}$/);
 
-/** Shape of a `BundleProposed` record. */
+/** Schema of a `BundleProposed` record. */
 export const bundleProposedSchema = z
   .object({
     ...recordHeadFields,
@@ -21,26 +24,26 @@
   })
   .readonly();
 
-/** Shape of one step that makes a bundle's text from its base. */
+/** Schema of one step that builds a bundle's text from its base. */
 export const deltaStepSchema = z.union([
   z.object({copy: nonNegativeInteger, count: nonNegativeInteger}).readonly(),
   z.object({text: z.string().max(MAXIMUM_BUNDLE_CHARACTERS)}).readonly(),
 ]);
 
-/** Shape of a `BundleChanged` record. */
+/** Schema of a `BundleChanged` record. */
 export const bundleChangedSchema = z
   .object({
     ...recordHeadFields,
     kind: z.literal(RecordKind.BundleChanged),
-    /** Digest of the text in force that the steps start from. */
+    /** Digest of the text in force that the steps are based on. */
     baseDigest: digest,
-    /** Digest of the whole text that they make. */
+    /** Digest of the whole text that the steps produce. */
     digest,
     steps: z.array(deltaStepSchema).max(MAXIMUM_DELTA_STEPS).readonly(),
   })
   .readonly();
 
-/** Shape of a `BundleSigned` record. */
+/** Schema of a `BundleSigned` record. */
 export const bundleSignedSchema = z
   .object({
     ...recordHeadFields,
@@ -48,19 +51,19 @@
     version: nonNegativeInteger,
     digest,
     operator: boundedText,
-    /** Ed25519 in base64. */
+    /** Ed25519 signature in base64. */
     signature: boundedText,
   })
   .readonly();
 
-/** A bundle's text, put up for sign-off. */
+/** Proposes the whole text of a bundle for sign-off. */
 export type BundleProposed = z.output<typeof bundleProposedSchema>;
 
-/** One step of a delta: copies sections of the base, or adds text. */
+/** One step of a delta: copies sections of the base or adds text. */
 export type DeltaStep = z.output<typeof deltaStepSchema>;
 
-/** A bundle put up for sign-off as its difference from the bundle in force. */
+/** Proposes a bundle for sign-off as a delta from the bundle in force. */
 export type BundleChanged = z.output<typeof bundleChangedSchema>;
 
-/** An operator's sign-off of one proposed bundle. */
+/** Records an operator's sign-off of a proposed bundle. */
 export type BundleSigned = z.output<typeof bundleSignedSchema>;
--- a/packages/shared-state/src/bundle-sections.ts
+++ b/packages/shared-state/src/bundle-sections.ts
@@ -15,11 +15,14 @@
 
 const MAXIMUM_MILLISECONDS = 86_400_000;
 const MAXIMUM_COUNT = 1_000_000;
-/** Names of sections and VMs. */
+/** Pattern for the names of sections and VMs. */
 export const NAME_PATTERN = /^[a-z0-9][a-z0-9_-]{0,62}$/;
-/** VMs of one list: three times the fleet to come; a few bytes of ranges cannot name more. */
+/**
+ * Maximum VMs in one list: three times the size of the planned fleet. Without this limit a
+ * range of a few bytes could name any number of VMs.
+ */
 const MAXIMUM_VMS_PER_LIST = 100_000;
-/** A range with its numbers; each name that it gives is shorter. */
+/** Maximum length of a range such as `a-[1-4]`; the names that it expands to are shorter. */
 const MAXIMUM_RANGE_CHARACTERS = 100;
 
 const yesNo = z
@@ -34,11 +37,11 @@
     });
     return [];
   }
-  const bad = expanded.find(name => !NAME_PATTERN.test(name));
-  if (bad !== undefined) {
+  const invalidName = expanded.find(name => !NAME_PATTERN.test(name));
+  if (invalidName !== undefined) {
     context.addIssue({
       code: 'custom',
-      message: `expected VM names, found "${bad.slice(0, MAXIMUM_RANGE_CHARACTERS)}"`,
+      message: `expected VM names, found "${invalidName.slice(0, MAXIMUM_RANGE_CHARACTERS)}"`,
     });
   }
   return expanded;
@@ -93,13 +96,13 @@
     .regex(/^[0-9a-f]{64}$/, {error: 'expected 64 hexadecimal digits'}),
 });
 
-/** Kinds of sections of a bundle that stand once. */
+/** Kinds of bundle sections that appear at most once. */
 export enum SingleSectionKind {
   Bundle = 'bundle',
   Weights = 'weights',
 }
 
-/** Kinds of sections of a bundle that carry a name, as in `[pool.counter-preview]`. */
+/** Kinds of bundle sections that have a name, as in `[pool.counter-preview]`. */
 export enum NamedSectionKind {
   Operator = 'operator',
   Rack = 'rack',
@@ -109,7 +112,7 @@
   Caller = 'caller',
 }
 
-/** The section `[bundle]`. */
+/** Values of the section `[bundle]`. */
 export interface BundleHeader {
   readonly version: number;
   readonly base: number;
@@ -117,7 +120,7 @@
   readonly signOffs: number;
 }
 
-/** Shapes of the sections that stand once. */
+/** Schemas of the sections that appear at most once. */
 export const SINGLE_SECTION_SCHEMAS = {
   [SingleSectionKind.Bundle]: bundleSection.transform((entry): BundleHeader => {
     const {sign_offs: signOffs, ...head} = entry;
@@ -128,7 +131,7 @@
   ),
 };
 
-/** Shapes of the sections that carry a name. */
+/** Schemas of the sections that have a name. */
 export const NAMED_SECTION_SCHEMAS = {
   [NamedSectionKind.Operator]: operatorSection.transform(
     (entry): OperatorEntry => ({
@@ -167,7 +170,7 @@
   })),
 };
 
-/** Expands `hall-a-r1-[1-4]` into four names; another name stands for itself. */
+/** Expands a range such as `hall-a-r1-[1-4]` to its names; returns other names as they are. */
 export function expandRange(name: string): string[] {
   if (name.length > MAXIMUM_RANGE_CHARACTERS) return [name];
   const range = /^(.*)\[(\d+)-(\d+)\](.*)$/.exec(name);
@@ -181,7 +184,10 @@
   });
 }
 
-/** All names of a list, or undefined when there are too many: at most one range beyond the bound is made. */
+/**
+ * Expands all names of a list; returns undefined, after at most one range too many, if the
+ * limit is exceeded.
+ */
 function expandRanges(names: readonly string[]): string[] | undefined {
   const expanded: string[] = [];
   for (const name of names) {
--- a/packages/shared-state/src/bundle-text.ts
+++ b/packages/shared-state/src/bundle-text.ts
@@ -3,14 +3,14 @@
 import {MAXIMUM_BUNDLE_CHARACTERS, type DeltaStep} from './bundle-records.js';
 import type {NamedSectionKind, SingleSectionKind} from './bundle-sections.js';
 
-/** A stretch of a bundle's text that starts with its `[header]`. */
+/** A part of a bundle's text that starts with a `[header]`. */
 export interface TextSection {
-  /** What stands in the header; empty for the lines before the first. */
+  /** Text between the brackets; empty for the lines before the first header. */
   readonly header: string;
   readonly text: string;
 }
 
-/** A section with what it says. */
+/** A section with its parsed value. */
 export interface ParsedSection extends TextSection {
   /** Undefined for the lines before the first header. */
   readonly kind: SingleSectionKind | NamedSectionKind | undefined;
@@ -18,7 +18,7 @@
   readonly value: unknown;
 }
 
-/** A bundle with the sections it was read from. */
+/** A bundle with the sections that it was parsed from. */
 export interface ParsedBundle {
   readonly bundle: Bundle;
   readonly sections: readonly ParsedSection[];
@@ -26,7 +26,7 @@
 
 const HEADER = /^[ \t]*\[([^\]\n]*)\][ \t]*\r?$/gm;
 
-/** Cuts a bundle's text at its headers; the pieces joined are the text again. */
+/** Splits a bundle's text at its headers; joining the sections gives the same text again. */
 export function splitSections(text: string): TextSection[] {
   const sections: TextSection[] = [];
   let header = '';
@@ -42,19 +42,22 @@
 }
 
 /**
- * Steps that make `text` from the sections of `base`: what did not change is copied by its
- * place, so that one changed pool of a bundle with 31,000 VMs is a record of some kilobytes.
+ * Returns the steps that build `text` from the sections of `base`. Unchanged sections are
+ * copied by index, so that changing one pool of a bundle with 31,000 VMs takes a record of a
+ * few kilobytes.
  */
 export function makeDelta(
   base: readonly TextSection[],
   text: string,
 ): DeltaStep[] {
-  const places = new Map(base.map((section, index) => [section.text, index]));
+  const indexByText = new Map(
+    base.map((section, index) => [section.text, index]),
+  );
   const steps: DeltaStep[] = [];
   for (const section of splitSections(text)) {
-    const place = places.get(section.text);
-    if (place === undefined) addText(steps, section.text);
-    else addCopy(steps, place);
+    const baseIndex = indexByText.get(section.text);
+    if (baseIndex === undefined) addText(steps, section.text);
+    else addCopy(steps, baseIndex);
   }
   return steps;
 }
@@ -66,14 +69,17 @@
   else steps.push({text});
 }
 
-function addCopy(steps: DeltaStep[], place: number): void {
+function addCopy(steps: DeltaStep[], baseIndex: number): void {
   const last = steps.at(-1);
-  if (last && 'copy' in last && last.copy + last.count === place)
+  if (last && 'copy' in last && last.copy + last.count === baseIndex)
     steps[steps.length - 1] = {copy: last.copy, count: last.count + 1};
-  else steps.push({copy: place, count: 1});
+  else steps.push({copy: baseIndex, count: 1});
 }
 
-/** The text that `steps` make from `base`; throws `BundleError` when they reach outside it. */
+/**
+ * Builds the text from `base` and `steps`; throws `BundleError` if a step copies a missing
+ * section.
+ */
 export function applyDelta(
   base: readonly TextSection[],
   steps: readonly DeltaStep[],
@@ -82,9 +88,10 @@
   let length = 0;
   const add = (text: string) => {
     length += text.length;
-    // Copies can be repeated: a record of some kilobytes could otherwise grow to gigabytes.
+    // Steps may copy a section repeatedly: without this limit a record of a few kilobytes
+    // could expand to gigabytes.
     if (length > MAXIMUM_BUNDLE_CHARACTERS)
-      throw new BundleError('the delta makes a text that is too long');
+      throw new BundleError('the text that the delta produces is too long');
     parts.push(text);
   };
   for (const step of steps) {
@@ -102,7 +109,7 @@
 ): void {
   if (from + count > base.length)
     throw new BundleError(
-      'the delta copies sections that its base does not have',
+      'the delta copies sections that do not exist in its base',
     );
   for (let index = from; index < from + count; index++) add(base[index].text);
 }
--- a/packages/shared-state/src/bundle-validation.ts
+++ b/packages/shared-state/src/bundle-validation.ts
@@ -1,8 +1,9 @@
 import {FailureDomain, type Bundle, type ServiceEntry} from './bundle.js';
 
 /**
- * Problems that make a bundle unacceptable; empty when there are none. What stands in `before`,
- * a bundle that has passed, is not checked again: a changed quota does not walk 31,000 VMs.
+ * Returns the problems of a bundle; empty if it is valid. Parts that are unchanged from
+ * `before`, a bundle that was already validated, are not checked again, so that changing a
+ * quota does not iterate over 31,000 VMs.
  */
 export function validateBundle(bundle: Bundle, before?: Bundle): string[] {
   const sameRacks = bundle.racks === before?.racks;
@@ -75,7 +76,8 @@
 ): string[] {
   const {vms} = bundle.pools[service.pool];
   const {survive} = service.budget;
-  // Once for a pool: thousands of services that each walked its VMs would hold the event loop.
+  // Computed once per pool: thousands of services that each iterated over the VMs of the pool
+  // would block the event loop.
   const key = `${survive} ${service.pool}`;
   const lost =
     losses.get(key) ?? largestFailureDomainSize(bundle, vms, survive);
@@ -114,8 +116,8 @@
 >();
 
 /**
- * Rack of each VM of the bundle. Kept for as long as the bundle is: 239 services that each
- * walked 31,000 VMs would hold the event loop for seconds.
+ * Returns the rack of each VM of the bundle. Cached for the lifetime of the bundle's racks: 239
+ * services that each iterated over 31,000 VMs would block the event loop for seconds.
  */
 export function rackByVm(bundle: Bundle): ReadonlyMap<string, string> {
   const known = racksByBundle.get(bundle.racks);
@@ -128,7 +130,7 @@
   return racks;
 }
 
-/** The most of `vms` that one failure of the given domain takes. */
+/** Returns the largest number of `vms` that a single failure of the given domain takes out. */
 export function largestFailureDomainSize(
   bundle: Bundle,
   vms: readonly string[],
--- a/packages/shared-state/src/bundle.ts
+++ b/packages/shared-state/src/bundle.ts
@@ -1,4 +1,4 @@
-/** Whether work of a service is short or long; long work leaves room for short. */
+/** Whether the requests of a service are short or long; long ones leave slots for short ones. */
 export enum WorkClass {
   Short = 'short',
   Long = 'long',
@@ -12,7 +12,7 @@
   DataCentre = 'data_centre',
 }
 
-/** Whether a non-idempotent request of a service needs an idempotency key. */
+/** Whether non-idempotent requests to a service need an idempotency key. */
 export enum KeyRule {
   Required = 'required',
   Optional = 'optional',
@@ -20,12 +20,12 @@
 
 /** An operator who may propose and sign off bundles. */
 export interface OperatorEntry {
-  /** Ed25519 public key: SPKI DER in base64. */
+  /** Ed25519 public key (SPKI DER, base64). */
   readonly publicKey: string;
   readonly revoked: boolean;
 }
 
-/** A rack and the VMs in it. */
+/** A rack with its data centre and VMs. */
 export interface RackEntry {
   readonly dataCentre: string;
   readonly vms: readonly string[];
@@ -33,73 +33,73 @@
 
 /** A pool of VMs of one shape. */
 export interface PoolEntry {
-  /** VMs that the pool shall have; moves bring the owned ones towards it. */
+  /** Desired VMs of the pool; moves change the owned VMs towards this list. */
   readonly vms: readonly string[];
-  /** Exchanges at one time on a VM. */
+  /** Maximum concurrent exchanges per VM. */
   readonly slots: number;
-  /** Connections at one time to a VM. */
+  /** Maximum concurrent connections per VM. */
   readonly connections: number;
   readonly processors: number;
   readonly memoryGigabytes: number;
   readonly accelerators: number;
 }
 
-/** What must stay available of a service. */
+/** Availability budget of a service. */
 export interface BudgetEntry {
   /** VMs that must stay available. */
   readonly availableVms: number;
-  /** The budget must hold after the loss of the largest such domain. */
+  /** Kind of failure domain: the budget must still be met after losing the largest one. */
   readonly survive: FailureDomain;
-  /** VMs that may be leaving by plan at one time. */
+  /** Maximum VMs out of service for planned work at one time. */
   readonly leavingAtOnce: number;
 }
 
-/** A service and how its requests are treated. */
+/** A service with the pool that runs it and the limits for its requests. */
 export interface ServiceEntry {
   readonly pool: string;
   readonly workClass: WorkClass;
-  /** Longest time from a request's head to the head of its answer. */
+  /** Maximum time from the head of a request to the head of its response. */
   readonly deadlineMilliseconds: number;
-  /** Longest wait for a slot. */
+  /** Maximum time that a request waits for a slot. */
   readonly waitMilliseconds: number;
-  /** Requests that may wait at one daemon. */
+  /** Maximum requests that wait at one daemon. */
   readonly queueLimit: number;
   readonly keyRule: KeyRule;
-  /** Whether only callers named in the bundle are served. */
+  /** Whether only callers listed in the bundle may use the service. */
   readonly callersOnly: boolean;
   readonly budget: BudgetEntry;
 }
 
-/** A team with its quota. */
+/** A team with its share and quota of slots. */
 export interface TeamEntry {
-  /** Share of a pool's slots relative to other teams. */
+  /** Share of a pool's slots, relative to the weights of other teams. */
   readonly weight: number;
-  /** Slots at one time over the whole deployment. */
+  /** Maximum slots in use at one time across the whole deployment. */
   readonly slots: number;
-  /** Whether its work is urgent and goes first. */
+  /** Whether the work of the team is urgent and runs before other work. */
   readonly urgent: boolean;
 }
 
-/** An authenticated caller. */
+/** A caller that authenticates with a key. */
 export interface CallerEntry {
   readonly team: string;
-  /** SHA-256 of the caller's key, in hexadecimal. */
+  /** SHA-256 digest of the caller's key, in hexadecimal. */
   readonly keyDigest: string;
 }
 
-/** How a deployment weighs its two costs. */
+/** Relative weights of the two costs of a plan: spare capacity and moves. */
 export interface CostWeights {
   readonly buffer: number;
   readonly move: number;
 }
 
-/** A version of the configuration, parsed. */
+/** One parsed version of the configuration. */
 export interface Bundle {
   readonly version: number;
-  /** Version that it was made from; 0 for the first. */
+  /** Version that this one is based on; 0 for the first bundle. */
   readonly base: number;
   readonly author: string;
-  /** Sign-offs needed, the author's not counted. */
+  /** Required sign-offs, not counting the author's. */
   readonly signOffs: number;
   readonly weights: CostWeights;
   readonly operators: Readonly<Record<string, OperatorEntry>>;
--- a/packages/shared-state/src/canonical-text.ts
+++ b/packages/shared-state/src/canonical-text.ts
@@ -1,6 +1,7 @@
 /**
- * Text of plain data that does not depend on the order of its fields or on fields set to
- * undefined, so that a state built record by record and one read from a snapshot agree.
+ * Serialises plain data independently of the order of its fields and of fields set to
+ * undefined, so that a state folded record by record and one restored from a snapshot have
+ * the same hash.
  */
 export function canonicalText(value: unknown): string {
   if (Array.isArray(value)) return `[${value.map(canonicalText).join(',')}]`;
--- a/packages/shared-state/src/capacity-index.ts
+++ b/packages/shared-state/src/capacity-index.ts
@@ -2,20 +2,20 @@
 import {PlannedWorkKind, isOutOfService} from './planning-state.js';
 import type {FleetState} from './fleet-state.js';
 
-/** Counts of one pool, kept as its VMs change. */
+/** Counters of one pool, updated whenever one of its VMs changes. */
 export interface PoolCapacity {
   /** VMs that the pool owns. */
   readonly vms: Set<string>;
   owned: number;
-  /** Owned, up and in service. */
+  /** VMs that are owned, up and in service. */
   available: number;
-  /** Out of service by plan. */
+  /** VMs that are out of service for planned work, repairs not counted. */
   planned: number;
   readonly availableByRack: Map<string, number>;
   readonly availableByDataCentre: Map<string, number>;
 }
 
-/** Where a VM stands. */
+/** Rack and data centre of a VM. */
 export interface VmLocation {
   readonly rack: string;
   readonly dataCentre: string;
@@ -24,13 +24,13 @@
 const UNKNOWN_LOCATION: VmLocation = {rack: '', dataCentre: ''};
 
 /**
- * Counters behind every budget check. Without them a check would walk a pool, and a
- * planning round over 31,000 VMs would walk the fleet for each candidate. Derived from
- * the folded state alone, so it is no part of the state's hash.
+ * Maintains the counters for the budget checks. Without them each check would iterate over a
+ * pool, and a planning round over 31,000 VMs would iterate over the fleet for each candidate.
+ * The counters are derived from the folded state alone, so they are not part of its hash.
  */
 export class CapacityIndex {
   readonly pools = new Map<string, PoolCapacity>();
-  /** Services whose `availableVms` is not met now. */
+  /** Services that have fewer available VMs than their budget requires. */
   readonly brokenServices = new Set<string>();
   private readonly locations = new Map<string, VmLocation>();
   private readonly dataCentreSizes = new Map<string, number>();
@@ -51,12 +51,12 @@
     return this.locations.get(vm) ?? UNKNOWN_LOCATION;
   }
 
-  /** VMs that the bundle places in a data centre. */
+  /** Returns the number of VMs that the bundle lists in a data centre. */
   dataCentreSize(name: string): number {
     return this.dataCentreSizes.get(name) ?? 0;
   }
 
-  /** Domains of a kind that the bundle has. */
+  /** Returns the number of failure domains of one kind in the bundle. */
   failureDomainCount(domain: FailureDomain): number {
     if (domain === FailureDomain.DataCentre) return this.dataCentreSizes.size;
     if (domain === FailureDomain.Rack)
@@ -79,7 +79,7 @@
     return fresh;
   }
 
-  /** Services that a pool carries. */
+  /** Returns the names of the services that a pool runs. */
   services(pool: string): readonly string[] {
     return this.serviceNamesByPool.get(pool) ?? [];
   }
@@ -88,13 +88,13 @@
     return this.bundle?.services[name];
   }
 
-  /** Whether the VM counts towards its pool's budgets. */
+  /** Whether the VM counts as available for the budgets of its pool. */
   isAvailable(vm: string): boolean {
     const {vms, conditions, work} = this.state;
     return vms.has(vm) && !conditions.has(vm) && !isOutOfService(work.get(vm));
   }
 
-  /** Runs `change` on one VM and keeps the counters right. */
+  /** Runs `change`, which changes the state of one VM, and updates the counters. */
   update(vm: string, change: () => void): void {
     const before = this.state.vms.get(vm)?.pool;
     this.countVm(vm, -1);
@@ -107,10 +107,10 @@
     this.indexedFingerprint = stateFingerprint(this.state);
   }
 
-  /** Whether the counters belong to what the state holds now. */
+  /** Whether the counters match the current state. */
   isCurrent(): boolean {
-    const seen = stateFingerprint(this.state);
-    return seen.every(
+    const currentFingerprint = stateFingerprint(this.state);
+    return currentFingerprint.every(
       (part, position) => part === this.indexedFingerprint[position],
     );
   }
@@ -118,8 +118,8 @@
   private indexBundle(): void {
     if (!this.bundle) return;
     for (const [rack, entry] of Object.entries(this.bundle.racks)) {
-      const place = {rack, dataCentre: entry.dataCentre};
-      for (const vm of entry.vms) this.locations.set(vm, place);
+      const location = {rack, dataCentre: entry.dataCentre};
+      for (const vm of entry.vms) this.locations.set(vm, location);
       addToCount(this.dataCentreSizes, entry.dataCentre, entry.vms.length);
     }
     for (const [name, service] of Object.entries(this.bundle.services)) {
@@ -129,21 +129,21 @@
     }
   }
 
-  private countVm(vm: string, by: number): void {
+  private countVm(vm: string, delta: number): void {
     const record = this.state.vms.get(vm);
     if (!record) return;
     const pool = this.pool(record.pool);
     const work = this.state.work.get(vm);
-    pool.owned += by;
-    if (by > 0) pool.vms.add(vm);
+    pool.owned += delta;
+    if (delta > 0) pool.vms.add(vm);
     else pool.vms.delete(vm);
     if (isOutOfService(work) && work?.kind !== PlannedWorkKind.Repair)
-      pool.planned += by;
+      pool.planned += delta;
     if (!this.isAvailable(vm)) return;
     const {rack, dataCentre} = this.locationOf(vm);
-    pool.available += by;
-    addToCount(pool.availableByRack, rack, by);
-    addToCount(pool.availableByDataCentre, dataCentre, by);
+    pool.available += delta;
+    addToCount(pool.availableByRack, rack, delta);
+    addToCount(pool.availableByDataCentre, dataCentre, delta);
   }
 
   private updateBrokenServices(pool: string): void {
@@ -156,44 +156,47 @@
   }
 }
 
-/** VMs that the largest failure of a domain takes, where `without` is already gone. */
+/** Returns how many VMs the largest failure of a domain takes out once `removedVm` is gone. */
 export function largestFailureDomainLoss(
   pool: PoolCapacity,
   domain: FailureDomain,
-  without?: VmLocation,
+  removedVm?: VmLocation,
 ): number {
   switch (domain) {
     case FailureDomain.None:
       return 0;
     case FailureDomain.Vm:
-      return pool.available - (without ? 1 : 0) > 0 ? 1 : 0;
+      return pool.available - (removedVm ? 1 : 0) > 0 ? 1 : 0;
     case FailureDomain.Rack:
-      return largest(pool.availableByRack, without?.rack);
+      return largest(pool.availableByRack, removedVm?.rack);
     case FailureDomain.DataCentre:
-      return largest(pool.availableByDataCentre, without?.dataCentre);
+      return largest(pool.availableByDataCentre, removedVm?.dataCentre);
   }
 }
 
-function largest(counts: ReadonlyMap<string, number>, less?: string): number {
-  let most = 0;
+function largest(
+  counts: ReadonlyMap<string, number>,
+  excludedName?: string,
+): number {
+  let maximum = 0;
   for (const [name, count] of counts)
-    most = Math.max(most, name === less ? count - 1 : count);
-  return most;
+    maximum = Math.max(maximum, name === excludedName ? count - 1 : count);
+  return maximum;
 }
 
 function addToCount(
   counts: Map<string, number>,
   name: string,
-  by: number,
+  delta: number,
 ): void {
-  const next = (counts.get(name) ?? 0) + by;
+  const next = (counts.get(name) ?? 0) + delta;
   if (next === 0) counts.delete(name);
   else counts.set(name, next);
 }
 
 /**
- * What the counters rest on: a bundle in force, or a snapshot read into the state, changes
- * it behind their back, and they are worked out anew.
+ * Identifies the state that the counters were computed from. A new bundle in force or a
+ * restored snapshot changes the state without `update`, and the counters are rebuilt then.
  */
 function stateFingerprint(state: FleetState): readonly unknown[] {
   const {vms, work, conditions, inForce} = state;
@@ -202,7 +205,7 @@
 
 const INDEXES = new WeakMap<FleetState, CapacityIndex>();
 
-/** The counters of a state. */
+/** Returns the cached counters of a state; rebuilds them if they are out of date. */
 export function capacityIndexOf(state: FleetState): CapacityIndex {
   const cached = INDEXES.get(state);
   if (cached?.isCurrent()) return cached;
--- a/packages/shared-state/src/claim-records.ts
+++ b/packages/shared-state/src/claim-records.ts
@@ -2,7 +2,7 @@
 import {Packr} from 'msgpackr';
 import type {KeyedRequest} from './idempotency.js';
 
-/** Version of the encoding of claim batches; a reader keeps out what is newer. */
+/** Version of the encoding of claim batches; readers reject other versions. */
 export const CLAIM_FORMAT = 1;
 
 const KEY_BYTES = 16;
@@ -11,61 +11,65 @@
 
 const packr = new Packr({useRecords: false});
 
-/** How a claimed request ended, as far as the log knows. */
+/** How a claimed request ended, as far as the log records it. */
 export enum ClaimOutcome {
   /** A target ran it. */
   Finished = 'finished',
-  /** It may have been run. */
+  /** The outcome is unknown: a target may have run it. */
   Lost = 'lost',
 }
 
-/** Names one try of one daemon to run a key; unique with the holder's incarnation. */
+/**
+ * Identifies one attempt of a daemon to run a key; unique together with the holder's
+ * incarnation.
+ */
 export interface ClaimReference {
-  /** Digest of caller, service and key, as `claimKey` gives it. */
+  /** Digest of caller, service and key, from `claimKeyDigest`. */
   readonly key: string;
-  /** Counts the tries of one incarnation. */
+  /** Number of the attempt, counted per incarnation. */
   readonly attempt: number;
 }
 
-/** The wish to run a key. */
+/** Requests the right to run a key. */
 export interface ClaimRequest extends ClaimReference {
-  /** Digest of the request, as `claimFingerprint` gives it. */
+  /** Digest of the request, from `claimFingerprintDigest`. */
   readonly fingerprint: string;
 }
 
-/** How a claimed request ended. */
+/** Reports how a claimed request ended. */
 export interface ClaimOutcomeReport extends ClaimReference {
   readonly end: ClaimOutcome;
 }
 
 /**
- * One payload of the claims stream: everything that had gathered at one daemon.
- * `sequence` rises with each batch that an incarnation sends, whatever became of the
- * one before: a batch that lands late or twice stands behind its successor and is dropped.
+ * One payload of the claims stream: everything that was queued at one daemon. `sequence`
+ * increases with each batch that an incarnation sends, whether or not the previous append
+ * succeeded. A batch that is appended late or twice follows one with a higher or equal
+ * sequence and is dropped.
  */
 export interface ClaimBatch {
-  /** Incarnation of the daemon that wrote it. */
+  /** Incarnation of the daemon that wrote the batch. */
   readonly holder: string;
   readonly sequence: number;
   readonly claims: readonly ClaimRequest[];
   readonly releases: readonly ClaimReference[];
   readonly outcomes: readonly ClaimOutcomeReport[];
-  /** Incarnation that took over the held answers; empty where none did. */
+  /** Incarnation that took over the held responses; empty if there is none. */
   readonly heir: string;
 }
 
-/** A payload that this version cannot read. */
+/** A payload that this version cannot decode. */
 export interface UnreadableClaimBatch {
   readonly unreadable: string;
 }
 
-/** The digest under which a key is claimed: 16 bytes, one character each. */
+/** Returns the digest that identifies a key in claims: 16 bytes, one character per byte. */
 export function claimKeyDigest(request: KeyedRequest): string {
   const {caller, service, key} = request;
   return digest(JSON.stringify([caller, service, key]), KEY_BYTES);
 }
 
-/** The digest by which a key's reuse for another request is seen: 8 bytes. */
+/** Returns the 8-byte digest that detects the reuse of a key for a different request. */
 export function claimFingerprintDigest(request: KeyedRequest): string {
   return digest(request.fingerprint, FINGERPRINT_BYTES);
 }
@@ -111,12 +115,13 @@
 }
 
 function readBatch(value: unknown): ClaimBatch {
-  if (!Array.isArray(value)) throw new Error('not a batch of claims');
+  if (!Array.isArray(value))
+    throw new Error('expected a batch of claims as an array');
   const fields = value as unknown[];
   if (fields[0] !== CLAIM_FORMAT)
-    throw new Error(`claim format ${String(fields[0])}`);
+    throw new Error(`unsupported claim format ${String(fields[0])}`);
   if (fields.length !== BATCH_FIELDS)
-    throw new Error(`${fields.length} fields in a batch of claims`);
+    throw new Error(`${fields.length} fields found in a batch of claims`);
   const [, holder, sequence, claims, releases, outcomes, heir] = fields;
   return {
     holder: requireString(holder),
--- a/packages/shared-state/src/claim-table.ts
+++ b/packages/shared-state/src/claim-table.ts
@@ -6,55 +6,56 @@
 } from './claim-records.js';
 
 /**
- * Writers whose sequence is remembered. A batch of a forgotten writer that lands late can
- * only block a key, never let one run, so the bound is one of memory, not of safety.
+ * Maximum writers whose last sequence is kept. A late batch of an evicted writer can only block
+ * a key and never allows a second run, so this limits memory and does not affect safety.
  */
 const MAXIMUM_REMEMBERED_WRITERS = 2000;
 
-/** Hand-overs remembered: as many as daemons that stopped within the claims' window. */
+/** Maximum hand-overs kept: one for each daemon that stopped within the window of kept claims. */
 const MAXIMUM_REMEMBERED_HANDOVERS = 2000;
 
-/** Bound on a chain of hand-overs; more is a loop made by a faulty writer. */
+/** Maximum length of a chain of hand-overs; a longer one is a loop caused by a faulty writer. */
 const MAXIMUM_HANDOVER_CHAIN = 64;
 
-/** A key that is taken. */
+/** The claim that holds a key. */
 export interface ClaimEntry {
   readonly key: string;
-  /** Incarnation that alone may run it. */
+  /** The only incarnation that may run the key. */
   readonly holder: string;
   readonly attempt: number;
   readonly fingerprint: string;
   /** Offset of the batch that claimed it. */
   readonly offset: number;
-  /** Undefined while nothing is known of its end. */
+  /** Outcome of the request; undefined until one is recorded. */
   readonly end?: ClaimOutcome;
 }
 
-/** What the fold made of one claim. */
+/** Result of applying one claim. */
 export interface AppliedClaim {
   readonly item: ClaimRequest;
-  /** Who holds the key after this batch. */
+  /** The claim that holds the key after this batch. */
   readonly entry: ClaimEntry;
 }
 
-/** What the fold made of one batch. */
+/** Result of applying one batch. */
 export interface AppliedClaimBatch {
   readonly offset: number;
   readonly holder: string;
-  /** True for a batch that landed late or twice; it had no effect. */
+  /** Whether the batch was appended late or twice and therefore had no effect. */
   readonly stale: boolean;
   readonly appliedClaims: readonly AppliedClaim[];
   readonly released: readonly ClaimReference[];
 }
 
 /**
- * Who may run which key, folded from the claims stream. The first claim of a key in log
- * order holds it. The oldest claims are forgotten, in log order, above `claimsKept`.
+ * Folds the claims stream into a table of which incarnation may run which key. The first claim
+ * of a key in log order holds it. Above `maximumClaims` the oldest claims in log order are
+ * evicted.
  */
 export class ClaimTable {
   /** Offset of the next batch to apply. */
   nextOffset = 0;
-  /** Claims made below this offset may be forgotten. */
+  /** Claims below this offset may have been evicted. */
   retainedFromOffset = 0;
   private readonly entries = new Map<string, ClaimEntry>();
   private readonly lastSequenceByHolder = new Map<string, number>();
@@ -62,33 +63,37 @@
 
   constructor(private readonly maximumClaims: number) {}
 
-  /** Claims held. */
+  /** Number of claims in the table. */
   get size(): number {
     return this.entries.size;
   }
 
+  /** Returns the claim that holds a key; undefined if there is none or it was evicted. */
   get(key: string): ClaimEntry | undefined {
     return this.entries.get(key);
   }
 
-  /** Who has the held answers of an incarnation now: itself, or the end of its chain of heirs. */
+  /**
+   * Returns the incarnation that now has the held responses of `holder`: itself or its last
+   * successor.
+   */
   answerHolderOf(holder: string): string {
-    let keeper = holder;
+    let current = holder;
     for (let step = 0; step < MAXIMUM_HANDOVER_CHAIN; step++) {
-      const heir = this.successorByHolder.get(keeper);
-      if (heir === undefined) return keeper;
-      keeper = heir;
+      const successor = this.successorByHolder.get(current);
+      if (successor === undefined) return current;
+      current = successor;
     }
-    return keeper;
+    return current;
   }
 
-  /** Goes on at `offset` after batches before it were lost to retention. */
+  /** Continues at `offset` after earlier batches were deleted by the log's retention. */
   skipToOffset(offset: number): void {
     this.nextOffset = Math.max(this.nextOffset, offset);
     this.retainedFromOffset = Math.max(this.retainedFromOffset, offset);
   }
 
-  /** Steps over a payload that this version cannot read. */
+  /** Skips a payload that this version cannot decode. */
   skipUnreadable(): void {
     this.nextOffset++;
   }
@@ -117,9 +122,9 @@
     return {offset, holder, stale: false, appliedClaims, released};
   }
 
-  // An append whose answer was lost may land after its writer has moved on, or twice: the
-  // symptom would be a released key claimed again by nobody. The writer counts every batch
-  // that it sends, so what lands behind a later one is told by its number alone.
+  // An append whose response was lost may take effect after its writer has sent later batches,
+  // or twice. Applying it would claim a released key again on behalf of nobody. The writer
+  // numbers every batch that it sends, so the sequence alone identifies a late or repeated one.
   private acceptSequence({holder, sequence}: ClaimBatch): boolean {
     const last = this.lastSequenceByHolder.get(holder);
     if (last !== undefined && sequence <= last) return false;
@@ -137,8 +142,8 @@
     item: ClaimRequest,
     offset: number,
   ): ClaimEntry {
-    const standing = this.entries.get(item.key);
-    if (standing) return standing;
+    const existing = this.entries.get(item.key);
+    if (existing) return existing;
     const {key, attempt, fingerprint} = item;
     const entry = {key, holder, attempt, fingerprint, offset};
     this.entries.set(key, entry);
@@ -158,7 +163,7 @@
     end: ClaimOutcome,
   ): void {
     const entry = this.findHeldEntry(holder, item);
-    // Setting a key anew keeps its place, so entries stay in the order of their claims.
+    // A Map keeps the position of an existing key, so the entries stay in the order of claims.
     if (entry) this.entries.set(item.key, {...entry, end});
   }
 
@@ -190,11 +195,11 @@
   map: Map<string, Value>,
   key: string,
   value: Value,
-  kept: number,
+  maximumSize: number,
 ): void {
   map.delete(key);
   map.set(key, value);
-  if (map.size <= kept) return;
+  if (map.size <= maximumSize) return;
   const [oldest] = map.keys();
   map.delete(oldest);
 }
--- a/packages/shared-state/src/drain-records.ts
+++ b/packages/shared-state/src/drain-records.ts
@@ -3,7 +3,7 @@
 import {boundedText} from './record-head.js';
 import {RecordKind} from './record-kind.js';
 
-/** Shape of a `DrainStarted` record. */
+/** Schema of a `DrainStarted` record. */
 export const drainStartedSchema = z
   .object({
     ...operatorOrPlannerHeadFields,
@@ -13,19 +13,19 @@
   })
   .readonly();
 
-/** Shape of a `DrainEnded` record. */
+/** Schema of a `DrainEnded` record. */
 export const drainEndedSchema = z
   .object({
     ...operatorOrPlannerHeadFields,
     kind: z.literal(RecordKind.DrainEnded),
     vm: boundedText,
-    /** Offset at which the drain began that shall end; any drain where it is missing. */
+    /** Offset that started the drain to end; if missing, any drain of the VM is ended. */
     startedAt: z.number().int().min(0).optional(),
   })
   .readonly();
 
-/** A VM takes no new work by an operator's or planner's decision. */
+/** An operator or the planner stops new work on a VM. */
 export type DrainStarted = z.output<typeof drainStartedSchema>;
 
-/** A drained VM takes work again. */
+/** A drained VM accepts work again. */
 export type DrainEnded = z.output<typeof drainEndedSchema>;
--- a/packages/shared-state/src/fleet-state.ts
+++ b/packages/shared-state/src/fleet-state.ts
@@ -4,7 +4,7 @@
 import {HashedTable} from './hashed-table.js';
 import {ParsedBundleCache} from './parsed-bundle-cache.js';
 
-/** Why a record had no effect. */
+/** Why the fold rejected a record. */
 export enum RejectionReason {
   Unreadable = 'unreadable',
   Duplicate = 'duplicate',
@@ -45,71 +45,74 @@
   JobImpossible = 'job_impossible',
 }
 
-/** A record that the fold did not accept. */
+/** Why a record had no effect, as a code and as text. */
 export interface Rejection {
   readonly reason: RejectionReason;
-  /** One sentence that operators can act on. */
+  /** Explanation for operators: what is wrong and what to do. */
   readonly detail: string;
 }
 
-/** A bundle waiting for sign-offs. */
+/** A proposed bundle that waits for sign-offs. */
 export interface ProposedBundle {
   readonly bundle: Bundle;
   readonly text: string;
   readonly digest: string;
-  /** Operators whose sign-off counts, in order. */
+  /** Operators whose sign-offs were accepted, in log order. */
   readonly signers: readonly string[];
-  /** The text section by section, so that a delta on it costs only what it changes. */
+  /** The parsed sections, so that the cost of a delta depends only on what it changes. */
   readonly parsed: ParsedBundle;
 }
 
-/** The bundle that all daemons follow. */
+/** The bundle in force at all daemons. */
 export interface BundleInForce {
   readonly bundle: Bundle;
   readonly text: string;
   readonly digest: string;
   /** Offset of the sign-off that brought it into force. */
   readonly offset: number;
-  /** The text section by section, so that a delta on it costs only what it changes. */
+  /** The parsed sections, so that the cost of a delta depends only on what it changes. */
   readonly parsed: ParsedBundle;
 }
 
-/** An entry daemon that may be routing. */
+/** An entry daemon that may be routing requests. */
 export interface Member {
   readonly name: string;
   readonly incarnation: string;
   readonly dataCentre: string;
   readonly peerAddress: string;
-  /** Highest record format that it reads. */
+  /** Highest record format that the daemon can read. */
   readonly readsFormat: number;
 }
 
-/** A VM as the log says. */
+/** Ownership of a VM according to the log. */
 export interface VmOwnership {
   readonly id: string;
   /** The one pool that owns it. */
   readonly pool: string;
-  /** Rises with every change of owner. */
+  /** Increases with each change of owner. */
   readonly epoch: number;
-  /** Why it takes no new work; undefined when it does. */
+  /** Why the VM accepts no new work; undefined if it does. */
   readonly drainReason?: string;
 }
 
-/** A snapshot that stands whole in the log. */
+/** Refers to a snapshot that is stored completely in the log. */
 export interface SnapshotReference {
-  /** Offset of the fleet stream that it was folded to. */
+  /** Offset of the fleet stream up to which the snapshot was folded. */
   readonly offset: number;
-  /** SHA-256 of it, in hexadecimal. */
+  /** SHA-256 of the snapshot, in hexadecimal. */
   readonly digest: string;
   readonly bytes: number;
-  /** Wall clock of its writer, in milliseconds since the Unix epoch: paces the next, no more. */
+  /**
+   * Wall-clock time of its writer in milliseconds since the Unix epoch; only used to time the
+   * next snapshot.
+   */
   readonly at: number;
 }
 
 /** Key of the newest entry of `FleetState.snapshots`. */
 export const NEWEST_SNAPSHOT_KEY = 'newest';
 
-/** A bundle that came into force, as the history keeps it. */
+/** History entry of a bundle that came into force. */
 export interface BundleHistoryEntry {
   readonly version: number;
   readonly author: string;
@@ -119,34 +122,38 @@
   readonly offset: number;
 }
 
-/** Operators trusted before the first bundle: name to Ed25519 public key. */
+/** Ed25519 public keys by name of the operators that are trusted before the first bundle. */
 export type TrustedOperators = Readonly<Record<string, string>>;
 
 /**
- * Everything agreed, as of one offset of the fleet stream. What is agreed stands in
- * `HashedTable`s of plain values: hash and snapshots take in each such field by itself.
+ * The state that all daemons agree on, as of one offset of the fleet stream. It is kept in
+ * `HashedTable`s of plain values; the hash and the snapshots include every such field
+ * automatically.
  */
 export interface FleetState extends PlanningState {
   /** Offset of the next record to apply. */
   nextOffset: number;
-  /** Records of a higher format have no effect yet; rises by a record when all members read it. */
+  /**
+   * Records of a higher format have no effect; a record raises it once all members can read
+   * that format.
+   */
   formatInUse: number;
   inForce: BundleInForce | undefined;
   readonly proposals: HashedTable<ProposedBundle>;
-  /** Bundles that came into force lately, by version, oldest first; the one in force included. */
+  /** Bundles that recently came into force, by version, oldest first; includes the one in force. */
   readonly history: HashedTable<BundleHistoryEntry>;
   readonly members: HashedTable<Member>;
   readonly vms: HashedTable<VmOwnership>;
-  /** The newest snapshot, under `NEWEST_SNAPSHOT`. */
+  /** The newest snapshot, under `NEWEST_SNAPSHOT_KEY`. */
   readonly snapshots: HashedTable<SnapshotReference>;
-  /** Ids of recent records with their offsets, oldest first. */
+  /** Offsets of recent records by record id, oldest first. */
   readonly recentIds: HashedTable<number>;
   readonly trustedOperators: TrustedOperators;
-  /** No part of what is agreed. */
+  /** A local cache; not part of the agreed state. */
   readonly parsedBundleCache: ParsedBundleCache;
 }
 
-/** The state before the first record. */
+/** Returns the state before the first record. */
 export function emptyFleetState(
   trustedOperators: TrustedOperators,
 ): FleetState {
--- a/packages/shared-state/src/fold-bundles.ts
+++ b/packages/shared-state/src/fold-bundles.ts
@@ -11,14 +11,14 @@
 import type {BundleChanged, BundleProposed, BundleSigned} from './records.js';
 import {sha256Hex, verifyBundle} from './signatures.js';
 
-/** Bundles kept in the history: several days of an ordinary deployment. */
+/** Maximum bundles in the history: several days for a typical deployment. */
 const MAXIMUM_HISTORY_ENTRIES = 50;
 
-/** Proposals kept at one time; the oldest goes first. */
+/** Maximum open proposals; the oldest is evicted first. */
 const MAXIMUM_PROPOSALS = 64;
 const MAXIMUM_DETAIL_CHARACTERS = 5000;
 
-/** Puts a bundle up for sign-off if it builds on the version in force. */
+/** Adds a proposal for sign-off if it is based on the version in force. */
 export function applyBundleProposed(
   state: FleetState,
   record: BundleProposed,
@@ -26,7 +26,7 @@
   return addProposal(state, record.text, sha256Hex(record.text));
 }
 
-/** Puts up for sign-off the bundle that a delta makes from the one in force. */
+/** Adds a proposal that a delta describes relative to the bundle in force. */
 export function applyBundleChanged(
   state: FleetState,
   record: BundleChanged,
@@ -47,7 +47,8 @@
   if (sha256Hex(text) !== record.digest) {
     return {
       reason: RejectionReason.BundleDigestDiffers,
-      detail: 'the delta does not make the text that its digest names',
+      detail:
+        'the digest of the text that the delta produces differs from the digest in the record',
     };
   }
   return addProposal(state, text, record.digest);
@@ -86,7 +87,7 @@
   };
 }
 
-/** Counts a sign-off; the last one needed brings the bundle into force. */
+/** Counts a sign-off; the last one that is required brings the bundle into force. */
 export function applyBundleSigned(
   state: FleetState,
   record: BundleSigned,
@@ -160,7 +161,7 @@
   ) {
     return {
       reason: RejectionReason.SignatureWrong,
-      detail: `the signature is not the key of ${record.operator} over this bundle`,
+      detail: `the signature was not made with the key of ${record.operator} for this bundle`,
     };
   }
   return undefined;
@@ -209,7 +210,10 @@
   history.delete(String(oldest));
 }
 
-/** A VM that no pool owns yet goes to the pool that names it; owned ones change by moves only. */
+/**
+ * Assigns VMs without an owner to the pool that lists them; the owner of others changes only by
+ * moves.
+ */
 function assignUnownedVms(state: FleetState, bundle: Bundle): void {
   for (const [pool, entry] of Object.entries(bundle.pools)) {
     for (const id of entry.vms) {
--- a/packages/shared-state/src/fold-drains.ts
+++ b/packages/shared-state/src/fold-drains.ts
@@ -18,7 +18,7 @@
 } from './planned-work.js';
 import type {DrainEnded, DrainStarted} from './records.js';
 
-/** Takes a VM out of routing, if its pool's budgets allow it. */
+/** Takes a VM out of routing if the budgets of its pool allow it. */
 export function applyDrainStarted(
   state: FleetState,
   record: DrainStarted,
@@ -38,7 +38,7 @@
   });
 }
 
-/** Puts a drained VM back into routing; operators so take back what was handed over, too. */
+/** Puts a drained VM back into routing; operators also use it to return VMs handed over to them. */
 export function applyDrainEnded(
   state: FleetState,
   record: DrainEnded,
@@ -54,7 +54,7 @@
   if (namesAnotherDrain(record, work)) {
     return {
       reason: RejectionReason.NotDraining,
-      detail: `the drain of VM ${record.vm} that was to end is over; look at it again`,
+      detail: `the drain of VM ${record.vm} that was to be ended is already over; check the VM again`,
     };
   }
   const wasHandedOver = state.handedOver.delete(record.vm);
@@ -68,8 +68,10 @@
 }
 
 /**
- * Two operators end one drain, or a late record comes in after the next drain began: without the
- * offset the second record would end a drain that nobody meant, and a VM under repair would get work.
+ * Whether the record refers to a different drain of the VM. Two operators may end the same
+ * drain, or a late record may arrive after the next drain started: without the offset, the
+ * second record would end a drain that it was not meant for, and a VM under repair would
+ * receive work.
  */
 function namesAnotherDrain(
   record: DrainEnded,
@@ -79,7 +81,7 @@
   return work?.startedAt !== record.startedAt;
 }
 
-/** Notes that a daemon has nothing left on VMs; what has ended meanwhile is passed over. */
+/** Records that a daemon has no exchange left on VMs; skips work that has ended meanwhile. */
 export function applyDrainAcknowledged(
   state: FleetState,
   record: DrainAcknowledged,
@@ -87,14 +89,14 @@
   if (!state.members.has(record.incarnation)) {
     return {
       reason: RejectionReason.MemberUnknown,
-      detail: `${record.incarnation} is no member; its acknowledgement is not needed`,
+      detail: `${record.incarnation} is not a member; its acknowledgement is not needed`,
     };
   }
   for (const {vm, startedAt} of record.acknowledgements) {
     const work = state.work.get(vm);
     if (!work || work.startedAt !== startedAt) continue;
     const awaiting = work.awaiting.filter(item => item !== record.incarnation);
-    // Set directly: who is awaited changes neither routing nor counters.
+    // Set directly, because `awaiting` affects neither routing nor the counters.
     state.work.set(vm, {...work, awaiting});
   }
   return undefined;
--- a/packages/shared-state/src/fold-jobs.ts
+++ b/packages/shared-state/src/fold-jobs.ts
@@ -18,13 +18,16 @@
 import {jobIndexOf} from './job-index.js';
 import {sha256Hex} from './signatures.js';
 
-/** Distinct VMs on which a job may fail before it is set aside: its fault, not theirs. */
+/**
+ * Distinct VMs on which a job fails before it is set aside: the cause is the job and not the
+ * VMs.
+ */
 export const FAILED_VMS_BEFORE_SET_ASIDE = 3;
 
-/** Ended jobs kept; the same key again is the same job for that long. */
+/** Maximum ended jobs kept; while kept, submitting the same key again refers to the same job. */
 export const MAXIMUM_ENDED_JOBS = 50_000;
 
-/** Takes a job in. The same key again changes nothing: the job stands as it is. */
+/** Adds a job to the queue; submitting the same job again has no effect. */
 export function applyJobSubmitted(
   state: FleetState,
   record: JobSubmitted,
@@ -51,7 +54,10 @@
   return undefined;
 }
 
-/** Cancels jobs; a queued one is not run, a placed one is stopped. One step for each key. */
+/**
+ * Cancels jobs: queued ones end without a run, placed ones are marked to be stopped. Constant
+ * time per key.
+ */
 export function applyJobsCancelled(
   state: FleetState,
   record: JobsCancelled,
@@ -71,11 +77,14 @@
   if (changed > 0) return undefined;
   return {
     reason: RejectionReason.JobUnknown,
-    detail: `none of ${record.keys.length} jobs is queued or running`,
+    detail: `none of ${record.keys.length} given jobs is queued or running`,
   };
 }
 
-/** Gives an attempt to a VM; quotas and slots are checked here, so that two planners cannot overdraw them. */
+/**
+ * Places an attempt on a VM. Checks quotas and slots here, so that two planners cannot exceed
+ * them.
+ */
 export function applyJobPlaced(
   state: FleetState,
   record: JobPlaced,
@@ -97,7 +106,7 @@
   return undefined;
 }
 
-/** Takes over how attempts ended; reports of earlier attempts are passed over. */
+/** Records how attempts ended; skips reports of earlier attempts. */
 export function applyJobsReported(
   state: FleetState,
   record: JobsReported,
@@ -114,7 +123,7 @@
   return undefined;
 }
 
-/** Sets a job aside that can never run. */
+/** Sets aside a job that can never run. */
 export function applyJobSetAside(
   state: FleetState,
   record: JobSetAside,
@@ -134,8 +143,9 @@
 }
 
 /**
- * What follows from the end of an attempt. A non-idempotent job whose attempt lapsed or was
- * stopped may have run: it is never queued again. Only "never started" frees it.
+ * Ends or requeues a job after an attempt. A non-idempotent job whose attempt lapsed or was
+ * stopped may have run, so it is never queued again. It is requeued only if the platform
+ * reports that the attempt never started.
  */
 function applyAttemptOutcome(
   state: FleetState,
@@ -186,7 +196,7 @@
 
 function endJob(state: FleetState, job: Job): void {
   const {endedJobs} = state;
-  // 50,000 payloads of ended jobs would take most of a node's memory.
+  // The payloads of 50,000 ended jobs would take most of the memory of a node.
   jobIndexOf(state).put({...job, payload: ''});
   endedJobs.set(job.key, state.nextOffset);
   if (endedJobs.size <= MAXIMUM_ENDED_JOBS) return;
--- a/packages/shared-state/src/fold-maintenance.ts
+++ b/packages/shared-state/src/fold-maintenance.ts
@@ -29,7 +29,7 @@
   startPlannedWork,
 } from './planned-work.js';
 
-/** Takes a VM out for its wave, or begins the repair of one that is down. */
+/** Takes a VM out of service for its wave, or starts the repair of a VM that is down. */
 export function applyMaintenanceStarted(
   state: FleetState,
   record: MaintenanceStarted,
@@ -64,7 +64,10 @@
   return undefined;
 }
 
-/** Notes that the platform is asked; a reboot before the drain is over would cut requests. */
+/**
+ * Records that the platform is asked for an action; a reboot before the drain is complete would
+ * abort requests.
+ */
 export function applyMaintenanceAsked(
   state: FleetState,
   record: MaintenanceAsked,
@@ -83,7 +86,7 @@
   return undefined;
 }
 
-/** The VM takes work again, on trial. */
+/** Puts the VM back into service on trial. */
 export function applyMaintenanceReturned(
   state: FleetState,
   record: MaintenanceReturned,
@@ -97,7 +100,7 @@
   return undefined;
 }
 
-/** Closes the maintenance and counts it in its wave. */
+/** Ends the maintenance or repair and counts its outcome in its wave. */
 export function applyMaintenanceEnded(
   state: FleetState,
   record: MaintenanceEnded,
@@ -142,7 +145,7 @@
   [MaintenanceOutcome.Abandoned]: WaveVmStep.Remaining,
 };
 
-/** Counts one VM of a wave; the VM's own entry is gone where the wave has ended. */
+/** Updates the counts of a wave and the step of one VM; an ended wave has no entries for VMs. */
 function updateWave(
   state: FleetState,
   id: string | undefined,
@@ -186,7 +189,7 @@
     return undefined;
   return {
     reason: RejectionReason.WaveState,
-    detail: `VM ${vm} is not among those left in wave ${id}`,
+    detail: `VM ${vm} is not among the remaining VMs of wave ${id}`,
   };
 }
 
@@ -224,9 +227,9 @@
   return checkDrained(state, work);
 }
 
-function workStateRejection(work: PlannedWork, what: string): Rejection {
+function workStateRejection(work: PlannedWork, problem: string): Rejection {
   return {
     reason: RejectionReason.WorkState,
-    detail: `the ${work.kind} of VM ${work.vm} ${what}`,
+    detail: `the ${work.kind} of VM ${work.vm} ${problem}`,
   };
 }
--- a/packages/shared-state/src/fold-members.ts
+++ b/packages/shared-state/src/fold-members.ts
@@ -8,7 +8,7 @@
 
 const FIRST_FORMAT = 1;
 
-/** Adds an incarnation; an earlier one of the same name is gone with it. */
+/** Adds an incarnation and removes earlier ones of the same name. */
 export function applyMemberJoined(
   state: FleetState,
   record: MemberJoined,
@@ -35,7 +35,7 @@
   return undefined;
 }
 
-/** Takes an incarnation out. */
+/** Removes an incarnation from the members. */
 export function applyMemberLeft(
   state: FleetState,
   record: MemberLeft,
@@ -43,13 +43,13 @@
   if (state.members.delete(record.incarnation)) return undefined;
   return {
     reason: RejectionReason.MemberUnknown,
-    detail: `${record.incarnation} is no member`,
+    detail: `${record.incarnation} is not a member`,
   };
 }
 
 /**
- * Brings a format into use once every member reads it. Without this rule a new daemon would
- * apply a record that an old one leaves out, and their states would part without a sign.
+ * Brings a record format into use once every member can read it. Without this rule a new daemon
+ * would apply a record that an old one skips, and their states would diverge silently.
  */
 export function applyFormatRaised(
   state: FleetState,
@@ -62,13 +62,13 @@
       detail: `format ${state.formatInUse} is in use`,
     };
   }
-  const behind = [...state.members.values()].find(
+  const outdatedMember = [...state.members.values()].find(
     member => member.readsFormat < format,
   );
-  if (behind) {
+  if (outdatedMember) {
     return {
       reason: RejectionReason.FormatNotReadByAll,
-      detail: `${behind.name} reads up to format ${behind.readsFormat}`,
+      detail: `${outdatedMember.name} reads up to format ${outdatedMember.readsFormat}`,
     };
   }
   state.formatInUse = format;
--- a/packages/shared-state/src/fold-moves.ts
+++ b/packages/shared-state/src/fold-moves.ts
@@ -25,7 +25,7 @@
   startPlannedWork,
 } from './planned-work.js';
 
-/** The owner releases a VM: it drains, and still belongs to its old pool. */
+/** Starts a move: the VM drains and still belongs to its old pool. */
 export function applyMoveStarted(
   state: FleetState,
   record: MoveStarted,
@@ -50,8 +50,8 @@
 }
 
 /**
- * Gives the VM to the new pool. Only once every daemon that could route to it under the old
- * owner has acknowledged or is gone: otherwise requests of two pools would meet on one VM.
+ * Assigns the VM to the new pool once every daemon that could route to it under the old owner
+ * has acknowledged the drain or is gone. Otherwise one VM would get requests of two pools.
  */
 export function applyMoveAssigned(
   state: FleetState,
@@ -77,7 +77,10 @@
   return undefined;
 }
 
-/** Ends a move before assignment. After it the move has ended, and the answer says where the VM is. */
+/**
+ * Aborts a move before the assignment. After it the abort is rejected, and the rejection names
+ * the VM's pool.
+ */
 export function applyMoveAborted(
   state: FleetState,
   record: MoveAborted,
@@ -125,7 +128,10 @@
   };
 }
 
-/** The pool may have gone with a bundle that came into force during the move. */
+/**
+ * Checks that the destination exists: a bundle that came into force during the move may have
+ * removed it.
+ */
 function checkDestinationPool(
   state: FleetState,
   work: PlannedWork,
@@ -157,6 +163,6 @@
 ): Rejection {
   return {
     reason: RejectionReason.EpochMoved,
-    detail: `VM ${vm} is in pool ${found?.pool ?? 'none'} with epoch ${found?.epoch ?? 0}, not ${expected}; look at it again before moving it`,
+    detail: `VM ${vm} is in pool ${found?.pool ?? 'none'} with epoch ${found?.epoch ?? 0}, not ${expected}; check the VM again before moving it`,
   };
 }
--- a/packages/shared-state/src/fold-planner.ts
+++ b/packages/shared-state/src/fold-planner.ts
@@ -13,8 +13,8 @@
 } from './fleet-state.js';
 
 /**
- * Gives the planner's role to one daemon. Two that try at once expect the same term: the
- * second in the log is rejected, so there is never more than one planner at an offset.
+ * Makes one daemon the planner. Two daemons that try at the same time expect the same term: the
+ * second one in the log is rejected, so there is never more than one planner at an offset.
  */
 export function applyPlannerTaken(
   state: FleetState,
@@ -25,13 +25,13 @@
   if (record.expectedTerm !== term) {
     return {
       reason: RejectionReason.StaleTerm,
-      detail: `term ${term} is held by ${holder}, not ${record.expectedTerm}; read on before trying again`,
+      detail: `term ${term} is held by ${holder}, not ${record.expectedTerm}; read the newer records before trying again`,
     };
   }
   if (!state.members.has(record.holder)) {
     return {
       reason: RejectionReason.MemberUnknown,
-      detail: `${record.holder} is no member and cannot plan`,
+      detail: `${record.holder} is not a member and cannot become the planner`,
     };
   }
   state.planner.set(PLANNER_KEY, {
@@ -42,7 +42,7 @@
   return undefined;
 }
 
-/** Shows that the planner lives. */
+/** Renews the planner's term. */
 export function applyPlannerRenewed(
   state: FleetState,
   record: PlannerRenewed,
@@ -51,7 +51,7 @@
   return fenceOrRenewPlanner(state, record, offset);
 }
 
-/** Takes over what the planner saw of VMs. */
+/** Records the VM conditions that the planner observed; skips unknown VMs. */
 export function applyVmReported(
   state: FleetState,
   record: VmReported,
@@ -72,8 +72,9 @@
 }
 
 /**
- * Fences a planner whose term is over: one that was paused and wakes writes with its old
- * term, and whatever it decided on is out of date. An operator's record carries no term.
+ * Rejects the records of a planner whose term is over: one that was paused writes with its old
+ * term after it resumes, and its decisions are based on outdated state. Records of the current
+ * planner renew its term. Records of operators have no term and always pass.
  */
 export function fenceOrRenewPlanner(
   state: FleetState,
--- a/packages/shared-state/src/fold-snapshots.ts
+++ b/packages/shared-state/src/fold-snapshots.ts
@@ -6,7 +6,7 @@
 } from './fleet-state.js';
 import type {SnapshotTaken} from './records.js';
 
-/** Notes the newest snapshot, so that one daemon's snapshot is everyone's. */
+/** Records the newest snapshot, so that all daemons can use the snapshot of one. */
 export function applySnapshotTaken(
   state: FleetState,
   record: SnapshotTaken,
--- a/packages/shared-state/src/fold-waves.ts
+++ b/packages/shared-state/src/fold-waves.ts
@@ -13,10 +13,10 @@
 } from './fleet-state.js';
 import {fenceOrRenewPlanner} from './fold-planner.js';
 
-/** Ended waves kept for operators to look at; the oldest goes first. */
+/** Maximum ended waves kept for operators to inspect; the oldest is evicted first. */
 const MAXIMUM_ENDED_WAVES = 32;
 
-/** Starts a wave over the VMs that its scope covers now. */
+/** Starts a wave for the VMs that its scope covers at this offset. */
 export function applyWaveStarted(
   state: FleetState,
   record: WaveStarted,
@@ -91,7 +91,7 @@
   return undefined;
 }
 
-/** Whether a wave takes no more VMs for good. */
+/** Whether a wave was aborted or finished and takes no more VMs. */
 export function isWaveEnded(wave: Wave): boolean {
   return wave.state === WaveState.Aborted || wave.state === WaveState.Finished;
 }
@@ -115,7 +115,7 @@
   }
 }
 
-/** Done when nothing is left but VMs that operators have, or that no pool owns any more. */
+/** Whether the remaining VMs were all handed over to operators or are no longer owned by a pool. */
 function canFinishWave(state: FleetState, wave: Wave): boolean {
   if (isWaveEnded(wave) || wave.active > 0) return false;
   if (wave.remaining === 0) return true;
@@ -126,7 +126,7 @@
   return true;
 }
 
-/** VMs that a scope covers now. */
+/** Returns the ids of the VMs that a scope covers now. */
 export function vmsInScope(state: FleetState, scope: WaveScope): string[] {
   const index = capacityIndexOf(state);
   const pools = scope.pools && new Set(scope.pools);
@@ -137,14 +137,17 @@
     if (pools && !pools.has(pool)) continue;
     if (dataCentres && !dataCentres.has(index.locationOf(id).dataCentre))
       continue;
-    const last = state.maintainedAt.get(id) ?? 0;
-    if (since !== undefined && last >= since) continue;
+    const maintainedAt = state.maintainedAt.get(id) ?? 0;
+    if (since !== undefined && maintainedAt >= since) continue;
     covered.push(id);
   }
   return covered;
 }
 
-/** One VM is in one wave: two operators with the same idea would reboot it twice. */
+/**
+ * Rejects VMs that are already in a wave; two operators with overlapping waves would reboot
+ * them twice.
+ */
 export function checkWaveOverlap(
   state: FleetState,
   covered: readonly string[],
@@ -154,7 +157,7 @@
   const other = state.waves.get(state.waveVms.get(shared[0])?.wave ?? '');
   return {
     reason: RejectionReason.WaveOverlap,
-    detail: `wave ${other?.id} of ${other?.startedBy} covers ${shared[0]} and maybe more of these VMs (${shared.length} are in waves); narrow the scope or abort that wave`,
+    detail: `wave ${other?.id} of ${other?.startedBy} covers ${shared[0]} and possibly more of these VMs (${shared.length} are already in waves); narrow the scope or abort that wave`,
   };
 }
 
@@ -171,9 +174,9 @@
   }
 }
 
-function waveStateRejection(wave: string, what: string): Rejection {
+function waveStateRejection(wave: string, problem: string): Rejection {
   return {
     reason: RejectionReason.WaveState,
-    detail: `wave ${wave} ${what}`,
+    detail: `wave ${wave} ${problem}`,
   };
 }
--- a/packages/shared-state/src/fold.ts
+++ b/packages/shared-state/src/fold.ts
@@ -8,10 +8,13 @@
 import {handlerOf} from './record-handlers.js';
 import type {FleetRecord} from './records.js';
 
-/** Ids kept to drop doubled appends; a lost answer is settled within far fewer records. */
+/**
+ * Ids kept to drop records that were appended twice. A writer whose append got no response
+ * repeats it within far fewer records.
+ */
 const MAXIMUM_REMEMBERED_IDS = 10_000;
 
-/** What the fold made of one payload. */
+/** Result of applying one payload. */
 export interface FoldOutcome {
   readonly offset: number;
   readonly record: FleetRecord | UnreadableRecord;
@@ -20,8 +23,8 @@
 }
 
 /**
- * Applies the payload at `state.nextOffset`. Depends on nothing but its arguments
- * and never throws, so that every daemon computes the same state.
+ * Applies the payload at `state.nextOffset`. Depends only on its arguments and never throws,
+ * so that every daemon computes the same state.
  */
 export function applyPayload(
   state: FleetState,
@@ -38,8 +41,8 @@
       decoded.unreadable,
     );
   const {record, format} = decoded;
-  // An older daemon cannot read this record and leaves its id out too: all must do alike,
-  // or daemons of two versions would fold two states.
+  // An older daemon cannot read this record and does not remember its id either. Newer daemons
+  // must do the same, or daemons of different versions would compute different states.
   if (format > state.formatInUse)
     return rejectedOutcome(
       offset,
@@ -52,7 +55,7 @@
       offset,
       record,
       RejectionReason.Duplicate,
-      `record ${record.id} stands before`,
+      `record ${record.id} is already in the log`,
     );
   rememberId(state, record.id, offset);
   return {offset, record, rejection: applyRecord(state, record, offset)};
@@ -74,7 +77,7 @@
   state.recentIds.delete(oldest);
 }
 
-/** The last guard of "no record can make the fold throw": a fault of a handler is a loud rejection. */
+/** Turns an exception of a handler into a rejection, so that no record can make the fold throw. */
 function applyRecord(
   state: FleetState,
   record: FleetRecord,
--- a/packages/shared-state/src/hashed-table.ts
+++ b/packages/shared-state/src/hashed-table.ts
@@ -4,26 +4,29 @@
 const HASH_BITS = 64;
 const hasher = await xxhash();
 
-/** A 64-bit hash of text: finds differences between honest daemons, proves nothing against forgery. */
+/**
+ * Returns a 64-bit hash of text that detects differences between daemons; it is no protection
+ * against forgery.
+ */
 export function hashText(text: string): bigint {
   return hasher.h64(text);
 }
 
 /**
- * A part of the folded state: a map of plain, immutable values with a hash that is kept
- * up with each change. Without it a record would cost a walk over 31,000 VMs.
+ * A part of the folded state: a map of plain, immutable values with a hash that is updated on
+ * each change. Without this, each record would cost an iteration over 31,000 VMs.
  */
 export class HashedTable<Value> extends Map<string, Value> {
   private hashSum = 0n;
 
-  /** `project` gives the plain data that stands for a value in the hash. */
+  /** `canonicalForm` returns the plain data that represents a value in the hash. */
   constructor(
     private readonly canonicalForm: (value: Value) => unknown = value => value,
   ) {
     super();
   }
 
-  /** Sum of the hashes of all entries: independent of their order. */
+  /** Sum of the hashes of all entries, so that it is independent of their order. */
   get hash(): bigint {
     return this.hashSum;
   }
@@ -46,7 +49,7 @@
     super.clear();
   }
 
-  /** The hash computed afresh: for tests, and to verify what was read from a snapshot. */
+  /** Computes the hash from all entries, for tests and to verify a restored snapshot. */
   recomputeHash(): bigint {
     let sum = 0n;
     for (const [key, value] of this) sum += this.entryHash(key, value);
--- a/packages/shared-state/src/idempotency.ts
+++ b/packages/shared-state/src/idempotency.ts
@@ -1,41 +1,41 @@
 /** A request that carries an idempotency key. */
 export interface KeyedRequest {
   readonly service: string;
-  /** Caller identity; the same key of two callers is two keys. */
+  /** Identity of the caller; the same key from two callers counts as two keys. */
   readonly caller: string;
   readonly key: string;
-  /** Digest of method, path and body: the same key with another is refused. */
+  /** Digest of method, path and body; the same key with a different fingerprint is refused. */
   readonly fingerprint: string;
 }
 
-/** A whole answer, held for replay. */
+/** A complete response, held for replay. */
 export interface HeldAnswer {
   readonly status: number;
-  /** Names and values in turn. */
+  /** Header names and values, alternating. */
   readonly headers: readonly string[];
   readonly body: Uint8Array;
 }
 
-/** The right to run a keyed request. Exactly one of its methods is called, once. */
+/** The right to run a keyed request. The holder calls exactly one of the methods, once. */
 export interface ClaimHandle {
-  /** A target ran it; `answer` is undefined where it is too large to hold. */
+  /** Reports that a target ran the request; `answer` is undefined if it is too large to hold. */
   finish(answer: HeldAnswer | undefined): void;
-  /** No byte of it went to a target: the key may be claimed again. */
+  /** Reports that no byte of the request was sent to a target: the key may be claimed again. */
   release(): void;
-  /** It may have been run. */
+  /** Reports that the outcome is unknown: the request may have been run. */
   lose(): void;
 }
 
-/** What to do with a keyed request. */
+/** Whether to run a keyed request or to replay its held response. */
 export type KeyedRequestDecision =
   | {readonly run: true; readonly claim: ClaimHandle}
   | {readonly run: false; readonly answer: HeldAnswer};
 
-/** Recognises keyed requests, so that each runs at most once. */
+/** Tracks keyed requests, so that each one runs at most once. */
 export interface IdempotencyGuard {
   /**
-   * Claims the key or finds its answer. Throws `RequestError` of one of the key kinds
-   * when the request must not run now.
+   * Claims the key or returns its held response. Throws a `RequestError` of one of the key
+   * kinds if the request must not run now.
    */
   begin(
     request: KeyedRequest,
@@ -43,8 +43,11 @@
   ): Promise<KeyedRequestDecision>;
 }
 
-/** Issues keys that tell their age, so that a forgotten one is refused and never run again. */
+/** Issues keys that contain their age, so that an evicted key is refused and never run again. */
 export interface KeyIssuer {
-  /** A new key for `caller`; undefined where the settings give no secret to mark it with. */
+  /**
+   * Returns a new key for `caller`; undefined if the settings contain no secret to authenticate
+   * it with.
+   */
   issueKey(caller: string): string | undefined;
 }
--- a/packages/shared-state/src/job-checks.ts
+++ b/packages/shared-state/src/job-checks.ts
@@ -9,13 +9,13 @@
 import type {JobSubmitted} from './job-records.js';
 import {sha256Hex} from './signatures.js';
 
-/** Jobs that may wait or run at one time: about 50 MB of the state with short payloads. */
+/** Maximum jobs that are queued or running: about 50 MB of the state with short payloads. */
 export const MAXIMUM_ACTIVE_JOBS = 50_000;
 
-/** Jobs of one team that may wait, so that one cannot fill the queue of all. */
+/** Maximum queued jobs of one team, so that one team cannot fill the queue shared by all. */
 export const MAXIMUM_QUEUED_JOBS_PER_TEAM = 12_500;
 
-/** Whether a key that is taken names the same job. */
+/** Rejects a submission whose key belongs to a different job. */
 export function checkSameJob(
   known: Job,
   record: JobSubmitted,
@@ -31,7 +31,7 @@
   };
 }
 
-/** Why a job is not taken in. */
+/** Returns why a submitted job is rejected; undefined if it is accepted. */
 export function checkSubmission(
   state: FleetState,
   record: JobSubmitted,
@@ -51,8 +51,8 @@
       detail: `team ${record.team} is not in the bundle in force`,
     };
   }
-  const full = checkQueueLimits(state, record.team);
-  if (full) return full;
+  const limitRejection = checkQueueLimits(state, record.team);
+  if (limitRejection) return limitRejection;
   const {size} = record;
   const fits =
     size.processors <= pool.processors &&
@@ -62,7 +62,7 @@
   if (fits) return undefined;
   return {
     reason: RejectionReason.JobImpossible,
-    detail: `job ${record.key} asks for ${size.processors} processors, ${size.memoryGigabytes} GB, ${size.accelerators} accelerators and ${size.slots} slots; a VM of pool ${record.pool} has ${pool.processors}, ${pool.memoryGigabytes}, ${pool.accelerators} and ${pool.slots}, team ${record.team} has ${team.slots} slots`,
+    detail: `job ${record.key} requests ${size.processors} processors, ${size.memoryGigabytes} GB, ${size.accelerators} accelerators and ${size.slots} slots; a VM of pool ${record.pool} has ${pool.processors}, ${pool.memoryGigabytes}, ${pool.accelerators} and ${pool.slots}, team ${record.team} has ${team.slots} slots`,
   };
 }
 
@@ -76,11 +76,11 @@
     return undefined;
   return {
     reason: RejectionReason.QuotaExceeded,
-    detail: `${queued} jobs of team ${team} wait (at most ${MAXIMUM_QUEUED_JOBS_PER_TEAM}) and ${active} jobs in all are not done (at most ${MAXIMUM_ACTIVE_JOBS}); submit again when some have ended`,
+    detail: `${queued} jobs of team ${team} are queued (at most ${MAXIMUM_QUEUED_JOBS_PER_TEAM}) and ${active} jobs of all teams are queued or running (at most ${MAXIMUM_ACTIVE_JOBS}); submit again when some have ended`,
   };
 }
 
-/** Why an attempt cannot go to a VM. */
+/** Returns why an attempt cannot be placed on a VM; undefined if it can. */
 export function checkPlacement(
   state: FleetState,
   job: Job,
--- a/packages/shared-state/src/job-index.ts
+++ b/packages/shared-state/src/job-index.ts
@@ -1,13 +1,13 @@
 import {JobState, type Job} from './planning-state.js';
 import type {FleetState} from './fleet-state.js';
 
-/** Teams of one pool with their queued keys, in order of submission. */
+/** Queued keys of one pool by team, in queue order. */
 export type PoolQueue = Map<string, Set<string>>;
 
 /**
- * Queues and counts over the jobs. A cancellation takes its key out of a Set; without this
- * a wave of 10,000 cancellations would scan the queue 10,000 times. Derived from the folded
- * state alone, so it is no part of the state's hash.
+ * Maintains queues and counters of the jobs. A cancellation deletes its key from a Set; without
+ * this, 10,000 cancellations at once would scan the queue 10,000 times. The index is derived
+ * from the folded state alone, so it is not part of its hash.
  */
 export class JobIndex {
   /** Queued keys by pool and team. */
@@ -17,9 +17,12 @@
   private readonly queuedCountByTeam = new Map<string, number>();
   private readonly slotsByTeam = new Map<string, number>();
   private readonly slotsByVm = new Map<string, number>();
-  /** Placed jobs that somebody cancelled. */
+  /** Keys of placed jobs whose cancellation was requested. */
   readonly cancelledPlacedKeys = new Set<string>();
-  /** Rises with each job that enters a queue: tells a planner that there is something to place. */
+  /**
+   * Incremented for each job that enters a queue, which tells a planner that there are jobs to
+   * place.
+   */
   enqueueCount = 0;
   private indexedJobsHash: bigint;
 
@@ -28,21 +31,22 @@
     this.indexedJobsHash = state.jobs.hash;
   }
 
-  /** Slots that a team's placed jobs hold. */
+  /** Returns the slots that the placed jobs of a team hold. */
   teamSlots(team: string): number {
     return this.slotsByTeam.get(team) ?? 0;
   }
 
-  /** Slots that placed jobs hold on a VM. */
+  /** Returns the slots that placed jobs hold on a VM. */
   vmSlots(vm: string): number {
     return this.slotsByVm.get(vm) ?? 0;
   }
 
-  /** Jobs of a team that wait, in all pools. */
+  /** Returns the number of queued jobs of a team in all pools. */
   queuedCountOfTeam(team: string): number {
     return this.queuedCountByTeam.get(team) ?? 0;
   }
 
+  /** Returns the number of queued jobs of all teams in a pool. */
   queuedCountOfPool(pool: string): number {
     let count = 0;
     for (const keys of this.queues.get(pool)?.values() ?? [])
@@ -50,25 +54,25 @@
     return count;
   }
 
-  /** Writes a job and keeps queues and counts right. */
+  /** Adds or replaces a job and updates the queues and counters. */
   put(job: Job): void {
     const {jobs} = this.state;
     const before = jobs.get(job.key);
     if (before) this.remove(before);
-    // Put at the end again, so that the order of the Map is the order of the queue.
+    // Moved to the end, so that the order of the Map is the order of the queue.
     if (before && job.state === JobState.Queued) jobs.delete(job.key);
     jobs.set(job.key, job);
     this.add(job);
     this.indexedJobsHash = jobs.hash;
   }
 
-  /** Takes out an ended job. */
+  /** Deletes an ended job. */
   deleteEnded(key: string): void {
     this.state.jobs.delete(key);
     this.indexedJobsHash = this.state.jobs.hash;
   }
 
-  /** Whether the index belongs to what the state holds now. */
+  /** Whether the index matches the current state. */
   isCurrent(): boolean {
     return this.indexedJobsHash === this.state.jobs.hash;
   }
@@ -114,7 +118,7 @@
 
 const INDEXES = new WeakMap<FleetState, JobIndex>();
 
-/** The queues and counts of a state. */
+/** Returns the cached index of a state; rebuilds it if it is out of date. */
 export function jobIndexOf(state: FleetState): JobIndex {
   const cached = INDEXES.get(state);
   if (cached?.isCurrent()) return cached;
--- a/packages/shared-state/src/job-records.ts
+++ b/packages/shared-state/src/job-records.ts
@@ -8,10 +8,10 @@
 } from './record-head.js';
 import {RecordKind} from './record-kind.js';
 
-/** Longest payload of a job; a larger input is kept elsewhere and named. */
+/** Maximum length of a job's payload; larger inputs are stored elsewhere and referenced. */
 export const MAXIMUM_JOB_PAYLOAD_CHARACTERS = 4096;
 
-/** What one attempt of a job takes on a VM. */
+/** Schema of the resources that one attempt of a job takes on a VM. */
 export const jobSizeSchema = z
   .object({
     processors: z.number().min(0).max(10_000),
@@ -21,20 +21,23 @@
   })
   .readonly();
 
-/** What an operator or caller says of a job. */
+/** Fields of a job that its operator or caller provides. */
 export const jobFields = {
   key: boundedText.min(1),
   team: boundedText,
   pool: boundedText,
-  /** Jobs of one class are alike in size; their usage teaches the next ones' sizes. */
+  /**
+   * Jobs of one class have similar sizes; their usage is used to estimate the sizes of later
+   * ones.
+   */
   jobClass: boundedText,
-  /** Whether it may be run again. */
+  /** Whether the job may be run more than once. */
   idempotent: z.boolean(),
   size: jobSizeSchema,
   payload: z.string().max(MAXIMUM_JOB_PAYLOAD_CHARACTERS),
 };
 
-/** Shape of a `JobSubmitted` record. */
+/** Schema of a `JobSubmitted` record. */
 export const jobSubmittedSchema = z
   .object({
     ...recordHeadFields,
@@ -43,7 +46,7 @@
   })
   .readonly();
 
-/** Shape of a `JobsCancelled` record. */
+/** Schema of a `JobsCancelled` record. */
 export const jobsCancelledSchema = z
   .object({
     ...recordHeadFields,
@@ -52,19 +55,19 @@
   })
   .readonly();
 
-/** Shape of a `JobPlaced` record. */
+/** Schema of a `JobPlaced` record. */
 export const jobPlacedSchema = z
   .object({
     ...plannerHeadFields,
     kind: z.literal(RecordKind.JobPlaced),
     key: boundedText,
-    /** Counts from 1; must be one above the attempts before. */
+    /** Number of the attempt, from 1; must be one more than the previous attempt. */
     attempt: nonNegativeInteger,
     vm: boundedText,
   })
   .readonly();
 
-/** Shape of a `JobsReported` record. */
+/** Schema of a `JobsReported` record. */
 export const jobsReportedSchema = z
   .object({
     ...plannerHeadFields,
@@ -81,7 +84,7 @@
   })
   .readonly();
 
-/** Shape of a `JobSetAside` record. */
+/** Schema of a `JobSetAside` record. */
 export const jobSetAsideSchema = z
   .object({
     ...plannerHeadFields,
@@ -91,23 +94,23 @@
   })
   .readonly();
 
-/** What one attempt of a job takes on a VM. */
+/** Resources that one attempt of a job takes on a VM. */
 export type JobSize = z.output<typeof jobSizeSchema>;
 
-/** A job; the same key is the same job. */
+/** Submits a job; the key identifies it. */
 export type JobSubmitted = z.output<typeof jobSubmittedSchema>;
 
-/** Jobs that are no longer wanted. */
+/** Cancels jobs that are no longer needed. */
 export type JobsCancelled = z.output<typeof jobsCancelledSchema>;
 
-/** An attempt of a job is given to a VM; the task is started only after this was read back. */
+/** Places an attempt of a job on a VM; the task is started only after this record was read back. */
 export type JobPlaced = z.output<typeof jobPlacedSchema>;
 
-/** Ends of attempts, as the platform reports them. */
+/** Records how attempts ended, as reported by the platform. */
 export type JobsReported = z.output<typeof jobsReportedSchema>;
 
-/** End of one attempt. */
+/** How one attempt ended. */
 export type JobReport = JobsReported['reports'][number];
 
-/** A queued job that can never run, with the reason. */
+/** Sets aside a queued job that can never run, with the reason. */
 export type JobSetAside = z.output<typeof jobSetAsideSchema>;
--- a/packages/shared-state/src/log-appender.ts
+++ b/packages/shared-state/src/log-appender.ts
@@ -19,22 +19,23 @@
 const BACKOFF_BASE_MILLISECONDS = 100;
 const BACKOFF_MAXIMUM_MILLISECONDS = 5000;
 
-/** Bounds of an appender. */
+/** Limits of an appender. */
 export interface AppenderOptions {
-  /** Appends a second over a longer time, and at once after a quiet one. */
+  /** Sustained rate of appends. */
   readonly appendsPerSecond: number;
+  /** Maximum appends at once after an idle period. */
   readonly burst: number;
-  /** Records and bytes of one append. */
+  /** Maximum records and bytes of one append. */
   readonly maximumBatchRecords: number;
   readonly maximumBatchBytes: number;
-  /** Records and bytes that may wait; more are refused. */
+  /** Maximum records and bytes in the queue; further records are refused. */
   readonly maximumQueuedRecords: number;
   readonly maximumQueuedBytes: number;
-  /** A further append may start when the one before has been out for so long. */
+  /** Time after which the next append may start although the previous one is still in flight. */
   readonly overlapAfterMilliseconds: number;
 }
 
-/** Bounds that fit the fleet stream of one daemon. */
+/** Limits suitable for the fleet stream of one daemon. */
 export const DEFAULT_APPENDER_OPTIONS: AppenderOptions = {
   appendsPerSecond: 20,
   burst: 20,
@@ -45,7 +46,7 @@
   overlapAfterMilliseconds: 250,
 };
 
-/** What an appender needs. */
+/** Dependencies of a `LogAppender`. */
 export interface AppenderDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -61,10 +62,11 @@
 }
 
 /**
- * Appends records of one stream by group commit. Answers many records at once: while an
- * append is out, or the budget is used up, records gather and go out as one append, so that
- * the log sees a bounded number of appends however many records there are. Nothing waits
- * when the daemon is quiet.
+ * Appends the records of one stream by group commit.
+ *
+ * Load: many records at once. While an append is in flight or the rate limit is reached,
+ * records are queued and then sent as one append, so that the number of appends stays bounded
+ * regardless of the number of records. On an idle daemon records are sent without delay.
  */
 export class LogAppender {
   private readonly rateLimiter: AppendRateLimiter;
@@ -88,9 +90,9 @@
   }
 
   /**
-   * Resolves when the log has answered that the record stands. Rejects with
-   * `AppendRefusedError` when it was not appended and will not be, and with
-   * `PlatformLogError` of `NoAnswer` when it may have been: only reading on tells.
+   * Resolves once the log has confirmed the append. Rejects with `AppendRefusedError` if the
+   * record was not appended and will not be, and with a `PlatformLogError` with the failure
+   * `NoResponse` if it may have been: only reading the stream shows whether it was.
    */
   append(payload: Uint8Array, signal?: AbortSignal): Promise<void> {
     const refusal = this.checkQueueLimits(payload);
@@ -105,11 +107,11 @@
     });
   }
 
-  /** Refuses what waits; resolves when no append is out. */
+  /** Rejects all queued records; resolves when no append is in flight. */
   async stop(): Promise<void> {
     this.stopping.abort();
     for (const record of this.dequeueAll())
-      record.reject(new AppendRefusedError('the daemon stops', 0));
+      record.reject(new AppendRefusedError('the daemon is stopping', 0));
     await this.sendLoop;
     await Promise.all(this.appendsInFlight);
   }
@@ -118,34 +120,31 @@
     payload: Uint8Array,
   ): AppendRefusedError | undefined {
     const {metrics} = this.dependencies;
-    const {
-      maximumQueuedRecords: queuedRecords,
-      maximumQueuedBytes: queuedBytes,
-    } = this.options;
+    const {maximumQueuedRecords, maximumQueuedBytes} = this.options;
     if (this.stopping.signal.aborted)
-      return new AppendRefusedError('the daemon stops', 0);
+      return new AppendRefusedError('the daemon is stopping', 0);
     if (
-      this.queue.length < queuedRecords &&
-      this.queuedBytes + payload.length <= queuedBytes
+      this.queue.length < maximumQueuedRecords &&
+      this.queuedBytes + payload.length <= maximumQueuedBytes
     )
       return undefined;
     metrics.increment(MetricName.LogAppendRefusals, {stream: this.stream});
     return new AppendRefusedError(
-      `${this.queue.length} records wait for the stream ${this.stream}`,
+      `${this.queue.length} records are already queued for stream ${this.stream}`,
       this.estimatedQueueMilliseconds(),
     );
   }
 
-  /** When the queue will have gone out at the budgeted speed: the time to come again. */
+  /**
+   * Estimates the time to send the queue at the rate limit, after which a refused writer may
+   * retry.
+   */
   private estimatedQueueMilliseconds(): number {
-    const {
-      maximumBatchRecords: batchRecords,
-      maximumBatchBytes: batchBytes,
-      appendsPerSecond,
-    } = this.options;
+    const {maximumBatchRecords, maximumBatchBytes, appendsPerSecond} =
+      this.options;
     const batches = Math.max(
-      this.queue.length / batchRecords,
-      this.queuedBytes / batchBytes,
+      this.queue.length / maximumBatchRecords,
+      this.queuedBytes / maximumBatchBytes,
     );
     return Math.ceil((batches * 1000) / appendsPerSecond) + 100;
   }
@@ -158,11 +157,11 @@
     });
   }
 
-  /** The one task that sends: runs while records wait. */
+  /** Sends batches until the queue is empty; at most one such loop runs at a time. */
   private async runSendLoop(): Promise<void> {
     const {clock} = this.dependencies;
     const {signal} = this.stopping;
-    // The records of one turn of the event loop share an append.
+    // Records queued in the same turn of the event loop share one append.
     await Promise.resolve();
     while (this.queue.length > 0 && !signal.aborted) {
       const wait = this.rateLimiter.millisecondsUntilToken();
@@ -175,7 +174,7 @@
     }
   }
 
-  /** Waits for the append, but lets the next one start when this one hangs. */
+  /** Waits for the append, but lets the next one start if this one hangs. */
   private async sendOverlapping(batch: QueuedRecord[]): Promise<void> {
     const {clock} = this.dependencies;
     const done = new AbortController();
@@ -217,7 +216,8 @@
       for (const record of batch) record.reject(error);
       return;
     }
-    // Nothing was appended: the records go back to the head of the queue, and the pause grows.
+    // Nothing was appended: the records are put back at the head of the queue and the delay
+    // before the next append grows.
     const {clock, random} = this.dependencies;
     const pause = backoff(
       random,
@@ -233,13 +233,12 @@
   }
 
   private dequeueBatch(): QueuedRecord[] {
-    const {maximumBatchRecords: batchRecords, maximumBatchBytes: batchBytes} =
-      this.options;
+    const {maximumBatchRecords, maximumBatchBytes} = this.options;
     let bytes = 0;
     let count = 0;
     for (const {payload} of this.queue) {
-      if (count === batchRecords) break;
-      if (count > 0 && bytes + payload.length > batchBytes) break;
+      if (count === maximumBatchRecords) break;
+      if (count > 0 && bytes + payload.length > maximumBatchBytes) break;
       bytes += payload.length;
       count++;
     }
@@ -252,7 +251,7 @@
     return this.queue.splice(0);
   }
 
-  /** A writer that gave up before its record was sent: the record never goes out. */
+  /** Rejects and removes the queued records whose writer gave up, so that they are never sent. */
   private rejectAborted(): void {
     const isGone = (record: QueuedRecord) => record.signal?.aborted === true;
     for (const record of this.queue.filter(isGone)) {
--- a/packages/shared-state/src/log-reader.ts
+++ b/packages/shared-state/src/log-reader.ts
@@ -20,22 +20,25 @@
 
 const BACKOFF_BASE_MILLISECONDS = 100;
 const BACKOFF_MAXIMUM_MILLISECONDS = 5000;
-/** Age of a read, in milliseconds, from which on it may have hung. */
+/** Age of a read in milliseconds after which it may hang and `refresh` aborts it. */
 const REFRESH_AFTER_MILLISECONDS = 2000;
-/** Milliseconds of a read that brought nothing, at the least. */
+/** Minimum interval in milliseconds between long polls that return no records. */
 const MINIMUM_POLL_MILLISECONDS = 200;
 
-/** Where the records of a stream go. */
+/** Receives the records of a stream. */
 export interface RecordSink {
-  /** Offset to read next. */
+  /** Returns the offset to read next. */
   nextOffset(): number;
-  /** Takes records in order; the next read waits for it. */
+  /** Applies records in order; the next read starts after it has resolved. */
   applyBatch(batch: LogBatch): Promise<void>;
-  /** The next offset is no longer kept: must move `nextOffset` on, or throw to try again later. */
+  /**
+   * Called when the log no longer keeps the next offset: must advance `nextOffset`, or throw to
+   * be retried later.
+   */
   recoverFromGap(oldest: number): Promise<void>;
 }
 
-/** What a reader needs. */
+/** Dependencies of a `LogReader`. */
 export interface ReaderDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -45,8 +48,9 @@
 }
 
 /**
- * Follows one stream by long polls: one task. After a failure it pauses with growing,
- * random lengths, so that a log that returns is not met by all daemons in one moment.
+ * Follows one stream by long polling, one read at a time. After a failure it backs off with
+ * increasing, randomised delays, so that a log that recovers does not get the reads of all
+ * daemons at the same moment.
  */
 export class LogReader {
   private reachable = false;
@@ -61,15 +65,16 @@
     private readonly options: ReadOptions,
   ) {}
 
-  /** True when the last read was answered. */
+  /** Whether the log responded to the last read. */
   get isReachable(): boolean {
     return this.reachable;
   }
 
   /**
-   * Ends a read that has been out for long and reads afresh: for when others have seen newer
-   * records. A younger read is left alone: with a slow log under a steady stream of records
-   * somebody is always ahead, and nobody's read would ever come to its end.
+   * Aborts a read that has been in flight for a long time and starts a new one; called when
+   * other daemons have seen newer records. A more recent read is left in flight: with a slow
+   * log and a steady stream of records some daemon is always ahead, and otherwise no read
+   * would ever complete.
    */
   refresh(): void {
     const now = this.dependencies.clock.monotonicMilliseconds();
@@ -77,7 +82,7 @@
       this.readAbort.abort();
   }
 
-  /** Reads until `stop` aborts. */
+  /** Reads until `stop` is aborted. */
   async run(stop: AbortSignal): Promise<void> {
     while (!stop.aborted) {
       try {
@@ -96,9 +101,10 @@
     this.readAbort = new AbortController();
     const signal = AbortSignal.any([stop, this.readAbort.signal]);
     const from = this.sink.nextOffset();
-    const asked = this.dependencies.clock.monotonicMilliseconds();
-    this.readStartedAt = asked;
-    // The first read after a failure does not wait: its answer says that the log is back.
+    const startedAt = this.dependencies.clock.monotonicMilliseconds();
+    this.readStartedAt = startedAt;
+    // The first read after a failure does not wait for records: its response shows that the log
+    // is reachable again.
     const waitMilliseconds = this.reachable ? this.options.waitMilliseconds : 0;
     try {
       const options = {...this.options, waitMilliseconds};
@@ -108,7 +114,7 @@
       this.consecutiveFailures = 0;
       await this.sink.applyBatch(batch);
       if (waitMilliseconds > 0)
-        await this.pauseWithoutProgress(from, asked, signal);
+        await this.pauseWithoutProgress(from, startedAt, signal);
     } catch (error) {
       if (!(error instanceof LogGapError)) throw error;
       this.markReachable();
@@ -117,22 +123,22 @@
   }
 
   /**
-   * A log that answers at once and empty, as one that lags behind its own end may, would be
-   * asked again without end.
+   * Delays the next read after an empty response that came at once. A log that lags behind its
+   * own end may respond like this, and without the delay it would be polled in a tight loop.
    */
   private async pauseWithoutProgress(
     from: number,
-    asked: number,
+    startedAt: number,
     signal: AbortSignal,
   ): Promise<void> {
     const {clock, random} = this.dependencies;
-    const took = clock.monotonicMilliseconds() - asked;
-    if (this.sink.nextOffset() !== from || took >= MINIMUM_POLL_MILLISECONDS)
+    const elapsed = clock.monotonicMilliseconds() - startedAt;
+    if (this.sink.nextOffset() !== from || elapsed >= MINIMUM_POLL_MILLISECONDS)
       return;
     await sleep(clock, jitter(random, MINIMUM_POLL_MILLISECONDS), signal);
   }
 
-  /** A gap that cannot be crossed yet is tried again with the pauses of a failure. */
+  /** Lets the sink recover from a gap; if it cannot yet, backs off as after a failed read. */
   private async recoverFromGap(
     from: number,
     oldest: number,
--- a/packages/shared-state/src/member-records.ts
+++ b/packages/shared-state/src/member-records.ts
@@ -6,7 +6,7 @@
 } from './record-head.js';
 import {RecordKind} from './record-kind.js';
 
-/** Shape of a `MemberJoined` record. */
+/** Schema of a `MemberJoined` record. */
 export const memberJoinedSchema = z
   .object({
     ...recordHeadFields,
@@ -14,25 +14,25 @@
     name: boundedText.min(1),
     incarnation: boundedText.min(1),
     dataCentre: boundedText,
-    /** IP number and port of its peer link. */
+    /** IP address and port of the daemon's peer links. */
     peerAddress: boundedText,
-    /** Highest record format that it reads; 1 where missing. */
+    /** Highest record format that the daemon can read; 1 if missing. */
     readsFormat: nonNegativeInteger.optional(),
   })
   .readonly();
 
-/** Shape of a `MemberLeft` record. */
+/** Schema of a `MemberLeft` record. */
 export const memberLeftSchema = z
   .object({
     ...recordHeadFields,
     kind: z.literal(RecordKind.MemberLeft),
     incarnation: boundedText,
-    /** Why an operator took it out; missing where the daemon left by itself. */
+    /** Why an operator removed the member; missing if the daemon left by itself. */
     reason: boundedText.optional(),
   })
   .readonly();
 
-/** Shape of a `FormatRaised` record. */
+/** Schema of a `FormatRaised` record. */
 export const formatRaisedSchema = z
   .object({
     ...recordHeadFields,
@@ -41,11 +41,11 @@
   })
   .readonly();
 
-/** A daemon's incarnation starts to serve. */
+/** An incarnation of a daemon starts serving. */
 export type MemberJoined = z.output<typeof memberJoinedSchema>;
 
-/** A daemon's incarnation has stopped. */
+/** An incarnation of a daemon has stopped. */
 export type MemberLeft = z.output<typeof memberLeftSchema>;
 
-/** From here on records of this format take effect. */
+/** From this record on, records of the format take effect. */
 export type FormatRaised = z.output<typeof formatRaisedSchema>;
--- a/packages/shared-state/src/move-records.ts
+++ b/packages/shared-state/src/move-records.ts
@@ -13,7 +13,7 @@
 } from './record-head.js';
 import {RecordKind} from './record-kind.js';
 
-/** Shape of a `DrainAcknowledged` record. */
+/** Schema of a `DrainAcknowledged` record. */
 export const drainAcknowledgedSchema = z
   .object({
     ...recordHeadFields,
@@ -23,13 +23,13 @@
   })
   .readonly();
 
-/** Shape of a `MoveStarted` record. */
+/** Schema of a `MoveStarted` record. */
 export const moveStartedSchema = z
   .object({
     ...operatorOrPlannerHeadFields,
     kind: z.literal(RecordKind.MoveStarted),
     vm: boundedText,
-    /** Epoch of the ownership that it ends. */
+    /** Epoch of the ownership that the move ends. */
     epoch: nonNegativeInteger,
     toPool: boundedText,
     cause: z.enum(MoveCause),
@@ -37,7 +37,7 @@
   })
   .readonly();
 
-/** Shape of a `MoveAssigned` record. */
+/** Schema of a `MoveAssigned` record. */
 export const moveAssignedSchema = z
   .object({
     ...plannerHeadFields,
@@ -47,7 +47,7 @@
   })
   .readonly();
 
-/** Shape of a `MoveAborted` record. */
+/** Schema of a `MoveAborted` record. */
 export const moveAbortedSchema = z
   .object({
     ...operatorOrPlannerHeadFields,
@@ -57,18 +57,18 @@
   })
   .readonly();
 
-/** A daemon has no exchange left on these VMs and starts no new one. */
+/** A daemon has no exchange left on these VMs and starts no new ones. */
 export type DrainAcknowledged = z.output<typeof drainAcknowledgedSchema>;
 
-/** One planned stop that a daemon no longer routes to. */
+/** Identifies planned work on a VM that a daemon no longer routes to. */
 export type DrainAcknowledgement =
   DrainAcknowledged['acknowledgements'][number];
 
-/** The owner releases a VM towards another pool. */
+/** Starts a move of a VM from its owner to another pool. */
 export type MoveStarted = z.output<typeof moveStartedSchema>;
 
-/** The VM belongs to the new pool, with the next epoch. */
+/** Assigns the VM to the new pool with the next epoch. */
 export type MoveAssigned = z.output<typeof moveAssignedSchema>;
 
-/** The VM stays with its old pool. */
+/** Aborts a move; the VM stays in its old pool. */
 export type MoveAborted = z.output<typeof moveAbortedSchema>;
--- a/packages/shared-state/src/parsed-bundle-cache.ts
+++ b/packages/shared-state/src/parsed-bundle-cache.ts
@@ -1,11 +1,11 @@
 import type {ParsedBundle} from './bundle-text.js';
 
-/** Bundles kept: the one in force, and a few that race to follow it. */
+/** Maximum cached bundles: the one in force and a few competing proposals. */
 const MAXIMUM_CACHED_BUNDLES = 4;
 
 /**
- * Bundles parsed ahead of the fold, in slices, by the digest of their text. Changes nothing
- * but the time that the fold takes: what is missing here is parsed by the fold itself.
+ * Caches bundles that were parsed in slices before the fold needs them, by the digest of their
+ * text. It only affects the duration of the fold, which parses missing bundles itself.
  */
 export class ParsedBundleCache {
   private readonly parsed = new Map<string, ParsedBundle>();
--- a/packages/shared-state/src/peer-directory.ts
+++ b/packages/shared-state/src/peer-directory.ts
@@ -1,15 +1,15 @@
-/** Where a daemon can be reached by its peers. */
+/** Identity of a daemon and the address at which its peers can connect to it. */
 export interface PeerEntry {
   readonly name: string;
   readonly incarnation: string;
   readonly dataCentre: string;
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
 }
 
-/** Who may be linked to: told by the shared state, read by the peer links. */
+/** Lists the daemons to link to; written by the shared state and read by the peer links. */
 export class PeerDirectory {
-  /** Where this daemon's own peer links listen; undefined until they do. */
+  /** Address at which this daemon's peer links listen; undefined until they do. */
   ownAddress: string | undefined;
   private listed: readonly PeerEntry[] = [];
   private readonly listeners: Array<() => void> = [];
--- a/packages/shared-state/src/peer-links.ts
+++ b/packages/shared-state/src/peer-links.ts
@@ -1,12 +1,12 @@
-/** What peers tell each other. */
+/** Topics of the messages between peers. */
 export enum PeerTopic {
-  /** Load and suspicion of targets, in short. */
+  /** Summary of the load of targets and of suspected targets. */
   TargetSummary = 'target_summary',
   /** Offset and hash of the folded state, and the bundle in force. */
   StateSummary = 'state_summary',
-  /** Records read from the log, passed on to those that cannot reach it. */
+  /** Records read from the log, forwarded to daemons that cannot reach it. */
   Records = 'records',
-  /** Where a keyed request stands, and its answer. */
+  /** State of a keyed request and its response. */
   KeyedAnswer = 'keyed_answer',
 }
 
@@ -17,23 +17,26 @@
   readonly dataCentre: string;
 }
 
-/** Takes a message; what it returns goes back to a `request`. */
+/** Handles a message; the returned value is the response to a `request`. */
 export type PeerHandler = (from: Peer, message: unknown) => Promise<unknown>;
 
-/** Links to other entry daemons: best effort, bounded, authenticated. Nothing is agreed here. */
+/**
+ * Best-effort, bounded and authenticated links to other entry daemons. They are not used for
+ * agreement.
+ */
 export interface PeerLinks {
-  /** Peers whose link is up. */
+  /** Returns the peers whose link is up. */
   connected(): readonly Peer[];
-  /** Sends to every linked peer; a slow peer loses messages. */
+  /** Sends a message to every linked peer; messages to a slow peer may be dropped. */
   broadcast(topic: PeerTopic, message: unknown): void;
-  /** Rejects when the peer is not linked or does not answer in time. */
+  /** Sends a request; rejects if the peer is not linked or does not respond before the timeout. */
   request(
     incarnation: string,
     topic: PeerTopic,
     message: unknown,
     timeoutMilliseconds: number,
   ): Promise<unknown>;
-  /** One handler a topic. */
+  /** Sets the handler of a topic; each topic has one. */
   setHandler(topic: PeerTopic, handler: PeerHandler): void;
 }
 
--- a/packages/shared-state/src/planned-work.ts
+++ b/packages/shared-state/src/planned-work.ts
@@ -13,10 +13,10 @@
   type VmOwnership,
 } from './fleet-state.js';
 
-/** What starts planned work on a VM. */
+/** Initial fields of planned work on a VM. */
 export type NewPlannedWork = Omit<PlannedWork, 'awaiting' | 'attempts'>;
 
-/** Finds the VM or says that there is none. */
+/** Returns the VM, or a rejection if there is none. */
 export function findVm(state: FleetState, id: string): VmOwnership | Rejection {
   return (
     state.vms.get(id) ?? {
@@ -26,18 +26,18 @@
   );
 }
 
-/** Tells a rejection from what was looked for. */
+/** Whether the result of a lookup is a rejection. */
 export function isRejection(value: object): value is Rejection {
   return 'detail' in value && 'reason' in value && !('startedAt' in value);
 }
 
-/** Starts planned work if the VM is free for it and every budget allows it. */
+/** Starts planned work if the VM has none and all budgets allow it. */
 export function startPlannedWork(
   state: FleetState,
   work: NewPlannedWork,
 ): Rejection | undefined {
-  const present = state.work.get(work.vm);
-  if (present) return workInProgressRejection(present);
+  const current = state.work.get(work.vm);
+  if (current) return workInProgressRejection(current);
   const refusal = checkPlannedStop(state, work.vm, work.toPool);
   if (refusal) return refusal;
   const awaiting = [...state.members.keys()];
@@ -49,7 +49,7 @@
   return undefined;
 }
 
-/** Writes or removes planned work; keeps the routing mark and the counters in step with it. */
+/** Sets or removes planned work; updates the VM's drain reason and the counters with it. */
 export function setPlannedWork(
   state: FleetState,
   vm: string,
@@ -66,7 +66,7 @@
   });
 }
 
-/** The work that a record names by VM and start, or why it is not there any more. */
+/** Returns the work that a record identifies by VM and start, or why it no longer exists. */
 export function findPlannedWork(
   state: FleetState,
   vm: string,
@@ -82,8 +82,9 @@
 }
 
 /**
- * Daemons that may still have an exchange on the VM. One that left or was replaced counts
- * as gone: its own record says so, or that of the incarnation that took its name.
+ * Returns the daemons that may still have an exchange on the VM. A daemon that left or was
+ * replaced counts as gone, either by its own record or by that of the incarnation that took
+ * over its name.
  */
 export function outstandingDaemons(
   state: FleetState,
@@ -92,7 +93,7 @@
   return work.awaiting.filter(incarnation => state.members.has(incarnation));
 }
 
-/** Why the VM is not drained yet; undefined when it is. */
+/** Returns why the VM is not drained yet; undefined if it is. */
 export function checkDrained(
   state: FleetState,
   work: PlannedWork,
@@ -103,11 +104,14 @@
   if (names.length === 0) return checkOutstandingJobs(state, work);
   return {
     reason: RejectionReason.DrainOutstanding,
-    detail: `VM ${work.vm} waits for ${names.join(', ')} to finish exchanges; look at those daemons if it stays so`,
+    detail: `VM ${work.vm} waits for ${names.join(', ')} to finish exchanges; check those daemons if this does not change`,
   };
 }
 
-/** Keys of jobs that a planned stop waits for; a VM under repair is down, its leases lapse. */
+/**
+ * Returns the keys of jobs that planned work waits for; none for a repair: the VM is down, so
+ * its leases lapse.
+ */
 export function outstandingJobs(
   state: FleetState,
   work: PlannedWork,
@@ -116,7 +120,7 @@
   return jobIndexOf(state).placedKeysByVm.get(work.vm) ?? NO_JOBS;
 }
 
-/** Whether neither a daemon nor a job holds the planned work up. */
+/** Whether the planned work waits for no daemon and no job. */
 export function isDrained(state: FleetState, work: PlannedWork): boolean {
   return checkDrained(state, work) === undefined;
 }
--- a/packages/shared-state/src/planner-records.ts
+++ b/packages/shared-state/src/planner-records.ts
@@ -8,23 +8,23 @@
 } from './record-head.js';
 import {RecordKind} from './record-kind.js';
 
-/** Shape of a `PlannerTaken` record. */
+/** Schema of a `PlannerTaken` record. */
 export const plannerTakenSchema = z
   .object({
     ...recordHeadFields,
     kind: z.literal(RecordKind.PlannerTaken),
     expectedTerm: nonNegativeInteger,
-    /** Incarnation of the daemon that plans from here on. */
+    /** Incarnation of the daemon that becomes the planner. */
     holder: boundedText,
   })
   .readonly();
 
-/** Shape of a `PlannerRenewed` record. */
+/** Schema of a `PlannerRenewed` record. */
 export const plannerRenewedSchema = z
   .object({...plannerHeadFields, kind: z.literal(RecordKind.PlannerRenewed)})
   .readonly();
 
-/** Shape of a `VmReported` record. */
+/** Schema of a `VmReported` record. */
 export const vmReportedSchema = z
   .object({
     ...plannerHeadFields,
@@ -35,14 +35,14 @@
   })
   .readonly();
 
-/** A daemon takes the planner's role; compare-and-set on the term. */
+/** A daemon becomes the planner, by compare-and-set on the term. */
 export type PlannerTaken = z.output<typeof plannerTakenSchema>;
 
-/** The planner is alive and had nothing else to write. */
+/** The planner is alive and had no other record to write. */
 export type PlannerRenewed = z.output<typeof plannerRenewedSchema>;
 
-/** Conditions that changed, so that all folds count alike. */
+/** Reports changed VM conditions through the log, so that all folds have the same counters. */
 export type VmReported = z.output<typeof vmReportedSchema>;
 
-/** Condition of one VM. */
+/** Reported condition of one VM. */
 export type VmReport = VmReported['reports'][number];
--- a/packages/shared-state/src/planning-record-handlers.ts
+++ b/packages/shared-state/src/planning-record-handlers.ts
@@ -28,7 +28,7 @@
 import type {RecordHandler} from './record-handler.js';
 import {RecordKind} from './record-kind.js';
 
-/** Kinds of planning, moves, waves, repair and jobs. */
+/** Kinds of the records of planning, moves, waves, repairs and jobs. */
 export type PlanningRecordKind = PlanningRecord['kind'];
 
 type PlanningHandlerTable = {
@@ -37,7 +37,7 @@
   >;
 };
 
-/** The fleet's part of the table from kind to handler. */
+/** Handlers of the planning records by kind. */
 export const PLANNING_RECORD_HANDLERS: PlanningHandlerTable = {
   [RecordKind.PlannerTaken]: {
     sinceFormat: 1,
--- a/packages/shared-state/src/planning-record-head.ts
+++ b/packages/shared-state/src/planning-record-head.ts
@@ -5,28 +5,31 @@
   boundedText,
 } from './record-head.js';
 
-/** Entries of one batched record: bounded, so that a record stays a short step of the fold. */
+/** Maximum entries of one batched record, so that the fold applies each record quickly. */
 export const MAXIMUM_BATCH_ENTRIES = 2000;
 
-/** Fields of a record that only the planner of the current term may write. */
+/** Header fields of records that only the planner of the current term may write. */
 export const plannerHeadFields = {
   ...recordHeadFields,
   term: nonNegativeInteger,
 };
 
-/** Fields of a record of an operator (no term) or of the planner (its term). */
+/**
+ * Header fields of records that an operator (without term) or the planner (with its term) may
+ * write.
+ */
 export const operatorOrPlannerHeadFields = {
   ...recordHeadFields,
   term: nonNegativeInteger.optional(),
 };
 
-/** Fields that name planned work: its VM and the offset that started it. */
+/** Fields that identify planned work: its VM and the offset that started it. */
 export const plannedWorkKeyFields = {
   vm: boundedText,
   startedAt: nonNegativeInteger,
 };
 
-/** A batch inside a record. */
+/** Returns the schema of a batch of at most `MAXIMUM_BATCH_ENTRIES` entries. */
 export function boundedBatch<Schema extends z.ZodType>(schema: Schema) {
   return z.array(schema).max(MAXIMUM_BATCH_ENTRIES).readonly();
 }
--- a/packages/shared-state/src/planning-records.ts
+++ b/packages/shared-state/src/planning-records.ts
@@ -31,7 +31,7 @@
 export * from './planner-records.js';
 export * from './wave-records.js';
 
-/** Any record of planning, moves, waves, repair and jobs. */
+/** Any record of planning, moves, waves, repairs and jobs. */
 export type PlanningRecord =
   | PlannerTaken
   | PlannerRenewed
--- a/packages/shared-state/src/planning-state.ts
+++ b/packages/shared-state/src/planning-state.ts
@@ -7,33 +7,33 @@
 } from './planning-records.js';
 import {HashedTable} from './hashed-table.js';
 
-/** Why a VM is out of service by plan. */
+/** Why a VM is out of service for planned work. */
 export enum PlannedWorkKind {
   Drain = 'drain',
   Move = 'move',
   Maintenance = 'maintenance',
-  /** It was down before; repair takes nothing from a budget. */
+  /** The VM was already down, so a repair does not count against a budget. */
   Repair = 'repair',
 }
 
-/** How far the planned work on a VM has come. */
+/** Progress of planned work on a VM. */
 export enum PlannedWorkStep {
-  /** Daemons let their exchanges finish and acknowledge. */
+  /** Daemons finish their exchanges on the VM and then acknowledge. */
   Draining = 'draining',
-  /** The platform was asked to reboot or replace it. */
+  /** The platform was asked to reboot or replace the VM. */
   Asked = 'asked',
-  /** It is back and takes work; it is watched for a while. */
+  /** The VM is back, accepts work and is monitored for a while. */
   Trial = 'trial',
 }
 
-/** Planned work on one VM; at most one at a time. */
+/** Planned work on one VM; a VM has at most one at a time. */
 export interface PlannedWork {
   readonly vm: string;
   readonly kind: PlannedWorkKind;
   readonly step: PlannedWorkStep;
   readonly reason: string;
   readonly writer: string;
-  /** Offset of the record that started it: its identity. */
+  /** Offset of the record that started the work; identifies it. */
   readonly startedAt: number;
   /** Incarnations that were members at that offset and have not acknowledged. */
   readonly awaiting: readonly string[];
@@ -44,7 +44,7 @@
   readonly lastAction?: VmAction;
 }
 
-/** Who plans for the fleet. */
+/** The planner of the fleet and its term. */
 export interface PlannerTerm {
   readonly term: number;
   /** Incarnation; empty before the first term. */
@@ -61,7 +61,10 @@
   Finished = 'finished',
 }
 
-/** A maintenance wave. The VMs it covers stand in `waveVms`, so that a step does not rewrite them all. */
+/**
+ * A maintenance wave. Its VMs are kept in `waveVms`, so that a step of one VM does not rewrite
+ * them all.
+ */
 export interface Wave {
   readonly id: string;
   readonly reason: string;
@@ -69,23 +72,26 @@
   readonly startedAt: number;
   readonly scope: WaveScope;
   readonly state: WaveState;
-  /** Why it is held or ended. */
+  /** Why the wave has its current state. */
   readonly stateReason: string;
-  /** Whether the planner held it, and not an operator. */
+  /** Whether the planner, and not an operator, held the wave. */
   readonly heldByPlanner: boolean;
   readonly total: number;
-  /** VMs still to be taken. */
+  /** VMs whose maintenance has not started. */
   readonly remaining: number;
-  /** VMs under maintenance now. */
+  /** VMs that are under maintenance now. */
   readonly active: number;
   readonly done: number;
   readonly failed: number;
   readonly handedOver: number;
-  /** Counts when it was started or last resumed: pace and stop rules look at what came after. */
+  /**
+   * Counts when the wave was started or last resumed; the pace and stop rules only consider
+   * later changes.
+   */
   readonly resumedAt: WaveBaseline;
 }
 
-/** What a wave had behind it when it was started or resumed. */
+/** Progress of a wave when it was started or last resumed. */
 export interface WaveBaseline {
   readonly offset: number;
   readonly done: number;
@@ -93,7 +99,7 @@
   readonly failures: number;
 }
 
-/** How far one VM of a wave has come. */
+/** Progress of one VM of a wave. */
 export enum WaveVmStep {
   Remaining = 'remaining',
   Active = 'active',
@@ -111,19 +117,19 @@
 /** State of a job. */
 export enum JobState {
   Queued = 'queued',
-  /** An attempt was given to a VM; it may be running. */
+  /** An attempt was placed on a VM; it may be running. */
   Placed = 'placed',
   Finished = 'finished',
   Failed = 'failed',
   /** Not run, or stopped on request. */
   Cancelled = 'cancelled',
-  /** It can never run; the reason says why. */
+  /** The job is not run again; `reason` says why. */
   SetAside = 'set_aside',
-  /** Non-idempotent, and nobody can tell whether it ran: never run again. */
+  /** The job is non-idempotent and it is unknown whether it ran, so it is never run again. */
   OutcomeUnknown = 'outcome_unknown',
 }
 
-/** A job as the log says. */
+/** A job according to the log. */
 export interface Job {
   readonly key: string;
   readonly team: string;
@@ -133,10 +139,10 @@
   readonly size: JobSize;
   /** Empty once the job has ended. */
   readonly payload: string;
-  /** Tells another job under the same key, also after the payload was let go. */
+  /** Detects a different job with the same key, even after the payload was dropped. */
   readonly payloadDigest: string;
   readonly state: JobState;
-  /** Attempts given to a VM so far. */
+  /** Number of attempts placed on VMs so far. */
   readonly attempt: number;
   readonly vm?: string;
   /** Distinct VMs on which attempts failed. */
@@ -145,18 +151,18 @@
   readonly reason?: string;
 }
 
-/** Ownership against the bundle's lists, with its cause. */
+/** Why and since when the owner of a VM differs from the pool that the bundle lists it in. */
 export interface Deviation {
   readonly cause: MoveCause;
   readonly offset: number;
 }
 
 /**
- * The fleet's part of the folded state. What is counted from it (budgets, queues) is
- * derived, see `capacity-index.ts` and `job-index.ts`.
+ * The planning part of the folded state. Counters of budgets and queues are derived from it in
+ * `capacity-index.ts` and `job-index.ts`.
  */
 export interface PlanningState {
-  /** One entry, under `PLANNER_KEY`. */
+  /** The current term, as the only entry, under `PLANNER_KEY`. */
   readonly planner: HashedTable<PlannerTerm>;
   /** Planned work by VM. */
   readonly work: HashedTable<PlannedWork>;
@@ -165,30 +171,33 @@
   readonly waves: HashedTable<Wave>;
   /** VMs of waves that have not ended. */
   readonly waveVms: HashedTable<WaveVm>;
-  /** Wall-clock milliseconds of the last maintenance of a VM. */
+  /** Time of the last maintenance of a VM, in wall-clock milliseconds. */
   readonly maintainedAt: HashedTable<number>;
-  /** VMs that operators have to look after, with the reason. */
+  /** VMs that were handed over to operators, with the reason. */
   readonly handedOver: HashedTable<string>;
-  /** Attempts used up on VMs that failed again after them; the next repair goes on from there. */
+  /**
+   * Attempts already made on VMs that failed again; the next repair continues counting from
+   * there.
+   */
   readonly failedAttempts: HashedTable<number>;
-  /** VMs that a move took away from the bundle's lists. */
+  /** VMs that a move assigned to a pool that does not list them in the bundle. */
   readonly deviations: HashedTable<Deviation>;
   readonly jobs: HashedTable<Job>;
-  /** Keys of ended jobs with a running number, oldest first; bounded. */
+  /** Keys of ended jobs with an increasing number, oldest first; bounded. */
   readonly endedJobs: HashedTable<number>;
 }
 
-/** Key of the one entry of `FleetDomain.planner`. */
+/** Key of the only entry of `PlanningState.planner`. */
 export const PLANNER_KEY = 'planner';
 
 const NO_PLANNER: PlannerTerm = {term: 0, holder: '', heardAt: -1};
 
-/** Who plans, as of the state's offset. */
+/** Returns the planner and its term as of the state's offset. */
 export function plannerOf(state: PlanningState): PlannerTerm {
   return state.planner.get(PLANNER_KEY) ?? NO_PLANNER;
 }
 
-/** The fleet's part before the first record. */
+/** Returns the planning part of the state before the first record. */
 export function emptyPlanningState(): PlanningState {
   return {
     planner: new HashedTable(),
@@ -205,7 +214,7 @@
   };
 }
 
-/** Whether planned work keeps its VM from new requests. */
+/** Whether planned work keeps new requests away from its VM. */
 export function isOutOfService(work: PlannedWork | undefined): boolean {
   return work !== undefined && work.step !== PlannedWorkStep.Trial;
 }
--- a/packages/shared-state/src/platform-leases.ts
+++ b/packages/shared-state/src/platform-leases.ts
@@ -4,13 +4,13 @@
   Finished = 'finished',
   Failed = 'failed',
   Stopped = 'stopped',
-  /** The lease lapsed; the task may still run on a worker that cannot be reached. */
+  /** The lease lapsed; the task may still be running on an unreachable worker. */
   Lapsed = 'lapsed',
-  /** For certain: it was stopped before any start, and a later start of its id does nothing. */
+  /** The task was stopped before any start; starting its id later has no effect. */
   NeverStarted = 'never_started',
 }
 
-/** What a task may use. */
+/** Resources of a task. */
 export interface TaskSize {
   readonly processors: number;
   readonly memoryGigabytes: number;
@@ -19,12 +19,12 @@
 
 /** A task to run on a VM under a lease. */
 export interface TaskRequest {
-  /** Names the task; the same id again returns the same task. */
+  /** Identifies the task; starting the same id again returns the same task. */
   readonly id: string;
   readonly vm: string;
   readonly size: TaskSize;
   readonly leaseMilliseconds: number;
-  /** What to run; opaque here. */
+  /** What to run; not interpreted here. */
   readonly payload: string;
 }
 
@@ -33,12 +33,12 @@
   readonly id: string;
   readonly vm: string;
   readonly state: TaskState;
-  /** Usage, which lags. */
+  /** Measured usage, which lags behind. */
   readonly usage: TaskSize;
   readonly usageAgeMilliseconds: number;
 }
 
-/** The platform's task leases. */
+/** Client of the platform's task leases. */
 export interface LeaseClient {
   start(request: TaskRequest, signal?: AbortSignal): Promise<TaskReport>;
   renew(
@@ -46,7 +46,7 @@
     leaseMilliseconds: number,
     signal?: AbortSignal,
   ): Promise<TaskReport>;
-  /** Stops a task; one that was never started is barred from starting and says so. */
+  /** Stops a task; one that was never started can no longer be started and is reported as such. */
   stop(taskId: string, signal?: AbortSignal): Promise<TaskReport>;
   checkpoint(taskId: string, signal?: AbortSignal): Promise<TaskReport>;
   throttle(
--- a/packages/shared-state/src/platform-list.ts
+++ b/packages/shared-state/src/platform-list.ts
@@ -7,18 +7,18 @@
 /** One VM as the platform lists it. */
 export interface ListedVm {
   readonly id: string;
-  /** IP number and port of the VM's service. */
+  /** IP address and port of the service on the VM. */
   readonly address: string;
   readonly dataCentre: string;
   readonly rack: string;
   readonly state: ListedState;
 }
 
-/** The platform's list of VMs; it lags. */
+/** The platform's list of VMs, which may be out of date. */
 export interface VmList {
-  /** VMs by id, as last read. */
+  /** Returns the VMs by id, as of the last read. */
   current(): ReadonlyMap<string, ListedVm>;
-  /** Milliseconds since the list was last read; Infinity before the first time. */
+  /** Returns the milliseconds since the list was last read; Infinity before the first read. */
   ageMilliseconds(): number;
   onChange(listener: () => void): void;
 }
--- a/packages/shared-state/src/platform-log.ts
+++ b/packages/shared-state/src/platform-log.ts
@@ -1,34 +1,34 @@
 import {PlatformLogFailure, PlatformLogError} from '@gentiandoor/kernel';
 
-/** Names of the streams that the system keeps in the platform's log. */
+/** Names of the system's streams in the platform's log. */
 export enum StreamName {
-  /** Bundles, members, ownership, drains, waves, jobs: one order for all that is agreed. */
+  /** Bundles, members, ownership, drains, waves and jobs: all agreed state in one order. */
   Fleet = 'fleet',
-  /** Claims of idempotency keys: high volume, its own order. */
+  /** Claims of idempotency keys: high volume, ordered independently of the fleet stream. */
   Claims = 'claims',
-  /** Snapshots of the fleet's folded state. */
+  /** Snapshots of the folded state of the fleet stream. */
   Snapshots = 'snapshots',
 }
 
-/** A stretch of a stream as read. */
+/** Consecutive records of a stream, as returned by one read. */
 export interface LogBatch {
   /** Offset of the first payload. */
   readonly from: number;
   readonly payloads: readonly Uint8Array[];
-  /** The offset that the next append would get, as the log saw it when it answered. */
+  /** Offset that the next append would get, at the time of the log's response. */
   readonly end: number;
   /** The oldest offset still kept. */
   readonly oldest: number;
 }
 
-/** Where an append landed. */
+/** Position of an append in its stream. */
 export interface AppendPosition {
   readonly firstOffset: number;
 }
 
 /**
- * The platform's append-only log. Every method throws `PlatformLogError`:
- * after `LogFailure.NoAnswer` an append may have taken effect.
+ * The platform's append-only log. Every method throws `PlatformLogError` on failure; after
+ * `PlatformLogFailure.NoResponse` an append may have taken effect.
  */
 export interface PlatformLog {
   append(
@@ -36,7 +36,10 @@
     payloads: readonly Uint8Array[],
     signal?: AbortSignal,
   ): Promise<AppendPosition>;
-  /** Waits up to `waitMilliseconds` for a record at `from`; an empty batch when none came. */
+  /**
+   * Waits up to `waitMilliseconds` for a record at `from`; returns an empty batch if there is
+   * none.
+   */
   read(
     stream: StreamName,
     from: number,
@@ -45,15 +48,15 @@
   ): Promise<LogBatch>;
 }
 
-/** Bounds of one read. */
+/** Limits of one read. */
 export interface ReadOptions {
-  /** Most records of one answer. */
+  /** Maximum records in one response. */
   readonly limit: number;
-  /** Longest wait for a first record, in milliseconds. */
+  /** Maximum wait for the first record, in milliseconds. */
   readonly waitMilliseconds: number;
 }
 
-/** The offset asked for is no longer kept. */
+/** Thrown when the log no longer keeps the requested offset. */
 export class LogGapError extends PlatformLogError {
   constructor(
     /** The oldest offset still kept. */
@@ -63,7 +66,7 @@
   }
 }
 
-/** A record that was not appended and will not be; says when to come again. */
+/** Thrown for a record that was not appended and will not be; says when to retry. */
 export class AppendRefusedError extends PlatformLogError {
   constructor(
     message: string,
--- a/packages/shared-state/src/proposal-record.ts
+++ b/packages/shared-state/src/proposal-record.ts
@@ -9,8 +9,8 @@
 import {sha256Hex} from './signatures.js';
 
 /**
- * The record that puts `text` up for sign-off: its difference from the bundle in force where
- * that is shorter, so that a small change stays a small record however many VMs there are.
+ * Creates the record that proposes `text` for sign-off. Uses a delta from the bundle in force if
+ * that is shorter, so that the record of a small change is small regardless of the number of VMs.
  */
 export function makeProposalRecord(
   state: FleetState,
--- a/packages/shared-state/src/record-codec.ts
+++ b/packages/shared-state/src/record-codec.ts
@@ -2,45 +2,46 @@
 import {handlerOf} from './record-handlers.js';
 import type {FleetRecord} from './records.js';
 
-/** Highest version of the encoding of records that this program reads. */
+/** Highest version of the record encoding that this program can read. */
 export const MAXIMUM_RECORD_FORMAT = 1;
 
 const packr = new Packr({useRecords: false});
 
-/** A record that this version cannot read. */
+/** Why this version cannot read a record. */
 export interface UnreadableRecord {
   readonly unreadable: string;
 }
 
-/** A record with the format that it was written in. */
+/** A record with the format in which it was written. */
 export interface DecodedRecord {
   readonly format: number;
   readonly record: FleetRecord;
 }
 
-/** Encodes a record for the log in the lowest format that has its kind. */
+/** Encodes a record for the log in the lowest format that includes its kind. */
 export function encodeRecord(record: FleetRecord): Uint8Array {
   const format = handlerOf(record.kind)?.sinceFormat ?? MAXIMUM_RECORD_FORMAT;
   return packr.pack([format, record]);
 }
 
-/** Decodes a payload and checks every field of it; never throws. */
+/** Decodes a payload to a record and its format and validates every field; never throws. */
 export function decodePayload(
   payload: Uint8Array,
 ): DecodedRecord | UnreadableRecord {
   const envelope = unpack(payload);
   if (!Array.isArray(envelope) || envelope.length !== 2)
-    return {unreadable: 'not a record envelope'};
+    return {unreadable: 'expected a record envelope of format and fields'};
   const [format, fields] = envelope as [unknown, unknown];
-  if (!isFormat(format)) return {unreadable: 'record format is no number'};
+  if (!isFormat(format))
+    return {unreadable: 'expected a record format of 1 or more'};
   if (format > MAXIMUM_RECORD_FORMAT)
     return {
-      unreadable: `record format ${format}, read up to ${MAXIMUM_RECORD_FORMAT}`,
+      unreadable: `unsupported record format ${format}; this version reads formats up to ${MAXIMUM_RECORD_FORMAT}`,
     };
   return checkFields(format, fields);
 }
 
-/** Decodes a payload; never throws. */
+/** Decodes a payload to a record without its format; never throws. */
 export function decodeRecord(
   payload: Uint8Array,
 ): FleetRecord | UnreadableRecord {
@@ -65,12 +66,14 @@
   fields: unknown,
 ): DecodedRecord | UnreadableRecord {
   if (typeof fields !== 'object' || fields === null)
-    return {unreadable: 'record is no object'};
+    return {unreadable: 'expected a record to be an object'};
   const {kind} = fields as {kind?: unknown};
   const handler = typeof kind === 'string' ? handlerOf(kind) : undefined;
-  if (!handler) return {unreadable: `record kind ${describe(kind)}`};
+  if (!handler) return {unreadable: `unknown record kind ${describe(kind)}`};
   if (handler.sinceFormat > format)
-    return {unreadable: `record kind ${describe(kind)} in format ${format}`};
+    return {
+      unreadable: `record kind ${describe(kind)} does not exist in format ${format}`,
+    };
   const result = handler.schema.safeParse(fields);
   if (result.success) return {format, record: result.data};
   const [issue] = result.error.issues;
--- a/packages/shared-state/src/record-enums.ts
+++ b/packages/shared-state/src/record-enums.ts
@@ -1,23 +1,23 @@
-/** Condition of a VM as the planner saw it. */
+/** Condition of a VM as observed by the planner. */
 export enum VmCondition {
   Up = 'up',
-  /** First-hand evidence speaks against it; the list still shows it. */
+  /** Daemons have first-hand evidence of failures, but the VM is still on the platform's list. */
   Suspected = 'suspected',
   Leaving = 'leaving',
-  /** Gone from the list. */
+  /** No longer on the platform's list. */
   Down = 'down',
 }
 
-/** Why a move is made. */
+/** Why a VM is moved. */
 export enum MoveCause {
   /** The bundle lists the VM in the other pool. */
   Desired = 'desired',
-  /** The other pool needs it to keep a budget. */
+  /** The other pool needs the VM to meet a budget. */
   Lend = 'lend',
   Operator = 'operator',
 }
 
-/** What an operator or the planner does to a wave. */
+/** Changes that an operator or the planner makes to a wave. */
 export enum WaveChange {
   Hold = 'hold',
   Resume = 'resume',
@@ -25,7 +25,7 @@
   Finish = 'finish',
 }
 
-/** What is asked of the platform for a VM. */
+/** Actions on a VM that the platform is asked for. */
 export enum VmAction {
   Reboot = 'reboot',
   Replace = 'replace',
@@ -34,21 +34,21 @@
 /** How the maintenance or repair of a VM ended. */
 export enum MaintenanceOutcome {
   Done = 'done',
-  /** The VM came back and failed again. */
+  /** The VM came back and then failed again. */
   Failed = 'failed',
-  /** All tries are used up; operators have it. */
+  /** All attempts were used up; the VM was handed over to operators. */
   HandedOver = 'handed_over',
   /** Stopped before the platform was asked. */
   Abandoned = 'abandoned',
 }
 
-/** How an attempt of a job ended, as the platform says. */
+/** How an attempt of a job ended, as reported by the platform. */
 export enum JobOutcome {
   Finished = 'finished',
   Failed = 'failed',
   Stopped = 'stopped',
-  /** The lease lapsed; it may have run, or may still run. */
+  /** The lease lapsed; the attempt may have run or may still be running. */
   Lapsed = 'lapsed',
-  /** The platform says for certain that it never started. */
+  /** The platform guarantees that the attempt never started. */
   NeverStarted = 'never_started',
 }
--- a/packages/shared-state/src/record-handler.ts
+++ b/packages/shared-state/src/record-handler.ts
@@ -2,13 +2,16 @@
 import type {FleetState, Rejection} from './fleet-state.js';
 import type {FleetRecord} from './records.js';
 
-/** How one kind of record is checked and applied. */
+/** Validates and applies one kind of record. */
 export interface RecordHandler<Entry extends FleetRecord> {
-  /** Format of the encoding that brought the kind; writers use it only when it is in use. */
+  /**
+   * Record format that introduced the kind; writers use the kind only once that format is in
+   * use.
+   */
   readonly sinceFormat: number;
-  /** Checks every field; what it lets through must not make `apply` throw. */
+  /** Validates every field; records that pass must not make `apply` throw. */
   readonly schema: z.ZodType<Entry>;
-  /** Changes `state` or says why not; depends on nothing but its arguments. */
+  /** Changes `state` or returns why the record is rejected; depends only on its arguments. */
   apply(
     state: FleetState,
     record: Entry,
--- a/packages/shared-state/src/record-handlers.ts
+++ b/packages/shared-state/src/record-handlers.ts
@@ -34,7 +34,7 @@
   >;
 };
 
-/** The table from kind to handler: a new kind is one line here and its own files. */
+/** Handlers by record kind; a new kind needs one entry here and its own files. */
 export const RECORD_HANDLERS: HandlerTable = {
   ...PLANNING_RECORD_HANDLERS,
   [RecordKind.BundleProposed]: {
@@ -84,7 +84,7 @@
   },
 };
 
-/** The handler of a kind; undefined for a kind that this version does not know. */
+/** Returns the handler of a kind; undefined if this version does not know the kind. */
 export function handlerOf(
   kind: string,
 ): RecordHandler<FleetRecord> | undefined {
--- a/packages/shared-state/src/record-publisher.ts
+++ b/packages/shared-state/src/record-publisher.ts
@@ -6,24 +6,27 @@
 } from '@gentiandoor/kernel';
 import type {LogAppender} from './log-appender.js';
 
-/** Times of a publisher. */
+/** Timeouts and delays of a publisher. */
 export interface PublisherOptions {
-  /** Longest wait for a record's fate where the caller names none. */
+  /** Maximum wait for the outcome of a record. */
   readonly outcomeTimeoutMilliseconds: number;
-  /** After a lost answer: the wait for the record to be read before it is appended again; doubles each time. */
+  /**
+   * Wait for a record to be read back after its append got no response; then it is appended
+   * again. Doubles with each append.
+   */
   readonly firstRetryMilliseconds: number;
 }
 
-/** Whether the stream can be read now: without reading, nothing can be learnt of a record's fate. */
+/** Whether the stream can be read now; without reading, the outcome of a record stays unknown. */
 export type IsStreamReadable = () => boolean;
 
-/** Times that fit a log that answers within two seconds. */
+/** Options suitable for a log that responds within two seconds. */
 export const DEFAULT_PUBLISHER_OPTIONS: PublisherOptions = {
   outcomeTimeoutMilliseconds: 15_000,
   firstRetryMilliseconds: 1000,
 };
 
-/** The longest delay that a timer takes. */
+/** Maximum delay that a timer supports. */
 const MAXIMUM_TIMER_MILLISECONDS = 2 ** 31 - 1;
 
 interface PublishedOutcome<Outcome> {
@@ -31,16 +34,16 @@
 }
 
 interface AppendResult {
-  /** The log has answered that the record stands. */
+  /** Whether the log has confirmed the append. */
   readonly isAppended: boolean;
-  /** The record was not appended and will not be. */
+  /** Set if the record was not appended and will not be. */
   readonly refusal?: PlatformLogError;
 }
 
 /**
- * Publishes records and tells their fate only from what was read back. An append whose
- * answer is lost may stand: the record is awaited, then appended again under the same id,
- * which the reader drops when it stands twice.
+ * Publishes records and reports their outcome only from what was read back. An append whose
+ * response is lost may have taken effect: the publisher waits for the record to be read, then
+ * appends it again with the same id, so that the reader drops the second copy.
  */
 export class RecordPublisher<Outcome> {
   private readonly outcomeListeners = new Map<
@@ -55,14 +58,15 @@
     private readonly options: PublisherOptions = DEFAULT_PUBLISHER_OPTIONS,
   ) {}
 
-  /** Tells the fate of a record that was read; others than the awaited are ignored. */
+  /** Reports the outcome of a record that was read; ignored if no `publish` call waits for it. */
   resolveOutcome(id: string, outcome: Outcome): void {
     this.outcomeListeners.get(id)?.(outcome);
   }
 
   /**
-   * Resolves with what the reader made of the record. Throws `PlatformLogError`: `Refused`
-   * when it was not appended and will not be; `NoAnswer` when its fate is unknown.
+   * Resolves with the outcome of the record, as determined by the reader. Throws a
+   * `PlatformLogError`: `Refused` if it was not appended and will not be, `NoResponse` if its
+   * outcome is unknown.
    */
   async publish(
     id: string,
@@ -77,11 +81,11 @@
       this.options.outcomeTimeoutMilliseconds,
       end,
     );
-    const judged = new Promise<Outcome>(resolve =>
+    const outcomeRead = new Promise<Outcome>(resolve =>
       this.outcomeListeners.set(id, resolve),
     );
     try {
-      return await this.appendUntilRead(payload, judged, ended.signal);
+      return await this.appendUntilRead(payload, outcomeRead, ended.signal);
     } finally {
       this.outcomeListeners.delete(id);
       signal?.removeEventListener('abort', end);
@@ -92,31 +96,34 @@
 
   private async appendUntilRead(
     payload: Uint8Array,
-    judged: Promise<Outcome>,
+    outcomeRead: Promise<Outcome>,
     signal: AbortSignal,
   ): Promise<Outcome> {
-    const read = judged.then((outcome): PublishedOutcome<Outcome> => ({
+    const read = outcomeRead.then((outcome): PublishedOutcome<Outcome> => ({
       outcome,
     }));
-    let mayStand = false;
-    let settle = this.options.firstRetryMilliseconds;
+    let mayBeAppended = false;
+    let retryMilliseconds = this.options.firstRetryMilliseconds;
     while (!signal.aborted) {
-      // Sent again without reading, a record would only stand twice, and its fate stay unknown.
-      if (mayStand && !this.isStreamReadable()) {
-        const seen = await this.waitForOutcome(read, settle, signal);
+      // While the stream cannot be read, appending again would only duplicate the record and its
+      // outcome would stay unknown.
+      if (mayBeAppended && !this.isStreamReadable()) {
+        const seen = await this.waitForOutcome(read, retryMilliseconds, signal);
         if (seen) return seen.outcome;
         continue;
       }
       const result = await this.appendOnce(payload, read, signal);
       if ('outcome' in result) return result.outcome;
-      if (result.refusal && !mayStand) throw result.refusal;
-      mayStand = true;
-      const wait = result.isAppended ? MAXIMUM_TIMER_MILLISECONDS : settle;
-      settle *= 2;
+      if (result.refusal && !mayBeAppended) throw result.refusal;
+      mayBeAppended = true;
+      const wait = result.isAppended
+        ? MAXIMUM_TIMER_MILLISECONDS
+        : retryMilliseconds;
+      retryMilliseconds *= 2;
       const seen = await this.waitForOutcome(read, wait, signal);
       if (seen) return seen.outcome;
     }
-    throw mayStand
+    throw mayBeAppended
       ? new PlatformLogError(
           PlatformLogFailure.NoResponse,
           'the record was sent and not read back in time; it may still take effect',
@@ -127,7 +134,10 @@
         );
   }
 
-  /** One append; ends early when the record is read before its answer comes. */
+  /**
+   * Appends the record once; returns early if the record is read before the append gets a
+   * response.
+   */
   private async appendOnce(
     payload: Uint8Array,
     read: Promise<PublishedOutcome<Outcome>>,
@@ -142,12 +152,14 @@
       },
     );
     const done = new AbortController();
-    const either = AbortSignal.any([signal, done.signal]);
-    const gaveUp = sleep(this.clock, MAXIMUM_TIMER_MILLISECONDS, either).then(
-      (): AppendResult => ({isAppended: false}),
-    );
+    const abortOrDone = AbortSignal.any([signal, done.signal]);
+    const aborted = sleep(
+      this.clock,
+      MAXIMUM_TIMER_MILLISECONDS,
+      abortOrDone,
+    ).then((): AppendResult => ({isAppended: false}));
     try {
-      return await Promise.race([read, appended, gaveUp]);
+      return await Promise.race([read, appended, aborted]);
     } finally {
       done.abort();
     }
@@ -159,10 +171,12 @@
     signal: AbortSignal,
   ): Promise<PublishedOutcome<Outcome> | undefined> {
     const done = new AbortController();
-    const either = AbortSignal.any([signal, done.signal]);
-    const late = sleep(this.clock, milliseconds, either).then(() => undefined);
+    const abortOrDone = AbortSignal.any([signal, done.signal]);
+    const timedOut = sleep(this.clock, milliseconds, abortOrDone).then(
+      () => undefined,
+    );
     try {
-      return await Promise.race([read, late]);
+      return await Promise.race([read, timedOut]);
     } finally {
       done.abort();
     }
--- a/packages/shared-state/src/routing-drain.ts
+++ b/packages/shared-state/src/routing-drain.ts
@@ -1,15 +1,15 @@
-/** What the router does for planned stops. Registered in the wiring as `routingDrain`. */
+/** Stops routing to VMs for planned work. Registered in the wiring as `routingDrain`. */
 export interface RoutingDrain {
   /**
-   * Resolves when this daemon has no exchange left on the VM and can start no new one while
-   * the VM's drain stands in the folded state. Stays pending until then; `signal` aborts when
-   * the drain has ended and nobody waits any more.
+   * Resolves once this daemon has no exchange left on the VM and can start no new one while the
+   * folded state contains the VM's drain. Stays pending until then; `signal` is aborted when the
+   * drain has ended and the result is no longer needed.
    */
   stopRouting(vm: string, signal: AbortSignal): Promise<void>;
 }
 
-/** First-hand evidence of a daemon against VMs. Registered in the wiring as `vmHealth`. */
+/** A daemon's first-hand evidence of failing VMs. Registered in the wiring as `vmHealth`. */
 export interface VmHealth {
-  /** VMs that fail new work now. */
+  /** Returns the ids of VMs that currently fail new work. */
   suspected(): ReadonlySet<string>;
 }
--- a/packages/shared-state/src/shared-state.ts
+++ b/packages/shared-state/src/shared-state.ts
@@ -2,17 +2,17 @@
 import type {FoldOutcome} from './fold.js';
 import type {FleetRecord} from './records.js';
 
-/** The state that all daemons compute from the log, as this daemon has it. */
+/** This daemon's copy of the state that all daemons compute from the log. */
 export interface SharedState {
-  /** The folded state; read only. */
+  /** The folded state; callers must not change it. */
   readonly state: FleetState;
-  /** True when the log answered lately. */
+  /** Whether the log has responded recently. */
   readonly isLogReachable: boolean;
   /**
-   * Appends a record and reads on until the fold has judged it.
-   * Throws `PlatformLogError` when the log cannot be reached within the signal.
+   * Appends a record and waits until the fold has applied or rejected it. Throws
+   * `PlatformLogError` if the log cannot be reached before `signal` is aborted.
    */
   publish(record: FleetRecord, signal?: AbortSignal): Promise<FoldOutcome>;
-  /** Calls `listener` after records were applied. */
+  /** Registers a listener that is called after records were applied. */
   onChange(listener: () => void): void;
 }
--- a/packages/shared-state/src/signatures.ts
+++ b/packages/shared-state/src/signatures.ts
@@ -7,18 +7,18 @@
   verify,
 } from 'node:crypto';
 
-/** An Ed25519 key pair in base64 DER. */
+/** An Ed25519 key pair (DER, base64). */
 export interface OperatorKeys {
   readonly publicKey: string;
   readonly privateKey: string;
 }
 
-/** SHA-256 of a bundle's text, in hexadecimal. */
+/** Returns the SHA-256 digest of a text, in hexadecimal. */
 export function sha256Hex(text: string): string {
   return createHash('sha256').update(text, 'utf8').digest('hex');
 }
 
-/** Makes a new operator key pair. */
+/** Generates a new key pair for an operator. */
 export function generateOperatorKeys(): OperatorKeys {
   const pair = generateKeyPairSync('ed25519');
   return {
@@ -31,7 +31,7 @@
   };
 }
 
-/** Signs off a bundle: the signature covers its version and digest. */
+/** Signs a bundle for a sign-off; the signature covers its version and digest. */
 export function signBundle(
   privateKey: string,
   version: number,
@@ -45,7 +45,7 @@
   return sign(null, signedText(version, digest), key).toString('base64');
 }
 
-/** True when `signature` is the key's over this version and digest; false on any malformed input. */
+/** Whether the key made `signature` for this version and digest; false for malformed input. */
 export function verifyBundle(
   publicKey: string,
   version: number,
