--- a/packages/shared-state/src/snapshot-chunks.ts
+++ b/packages/shared-state/src/snapshot-chunks.ts
@@ -2,10 +2,10 @@
 import {Packr} from 'msgpackr';
 import {z} from 'zod';
 
-/** Bytes of a snapshot in one record: far below what a log takes as one record. */
+/** Maximum bytes of a snapshot in one record; far below the maximum record size of a log. */
 export const CHUNK_BYTES = 128_000;
 const MAXIMUM_CHUNKS = 8192;
-/** Half-read snapshots kept at one time; the oldest goes first. */
+/** Maximum incomplete snapshots kept; the oldest is evicted first. */
 const MAXIMUM_PARTIAL_SNAPSHOTS = 4;
 const CHUNK_FORMAT = 1;
 
@@ -22,20 +22,20 @@
 });
 type Chunk = z.output<typeof chunkSchema>;
 
-/** A snapshot whose bytes are whole; its content is not yet verified. */
+/** A snapshot whose bytes are complete and match the digest; its content is not yet verified. */
 export interface AssembledSnapshot {
-  /** Offset of the fleet stream that it was folded to. */
+  /** Offset of the fleet stream up to which the snapshot was folded. */
   readonly offset: number;
   readonly digest: string;
   readonly bytes: Uint8Array;
 }
 
-/** SHA-256 of a snapshot, in hexadecimal. */
+/** Returns the SHA-256 digest of a snapshot, in hexadecimal. */
 export function snapshotDigest(snapshot: Uint8Array): string {
   return createHash('sha256').update(snapshot).digest('hex');
 }
 
-/** Records for the snapshots stream; each carries enough to be put together in any order. */
+/** Splits a snapshot into records for the snapshots stream, which can be assembled in any order. */
 export function splitSnapshot(
   offset: number,
   snapshot: Uint8Array,
@@ -57,17 +57,17 @@
   });
 }
 
-/** Puts snapshots together from the records of the snapshots stream; never throws. */
+/** Assembles snapshots from the records of the snapshots stream; never throws. */
 export class SnapshotAssembler {
   private readonly partialSnapshots = new Map<
     string,
     Array<Uint8Array | undefined>
   >();
 
-  /** `onBad` is told of each record or snapshot that is left out. */
+  /** `onInvalid` is called for each record or snapshot that is skipped. */
   constructor(private readonly onInvalid: (detail: string) => void) {}
 
-  /** Takes the next record; a snapshot when it was the last one missing. */
+  /** Adds the next record; returns the snapshot if this was its last missing chunk. */
   addChunk(payload: Uint8Array): AssembledSnapshot | undefined {
     const chunk = readChunk(payload);
     if (!chunk) {
@@ -83,7 +83,7 @@
     return this.verify(chunk, Buffer.concat(present));
   }
 
-  /** Says which snapshots never became whole. */
+  /** Reports the snapshots that are still incomplete and drops them. */
   reportIncomplete(): void {
     for (const key of this.partialSnapshots.keys())
       this.onInvalid(`snapshot ${key} is half written`);
@@ -96,7 +96,7 @@
   ): AssembledSnapshot | undefined {
     const {offset, digest} = chunk;
     if (snapshotDigest(bytes) === digest) return {offset, digest, bytes};
-    this.onInvalid(`snapshot at offset ${offset} does not have its digest`);
+    this.onInvalid(`snapshot at offset ${offset} does not match its digest`);
     return undefined;
   }
 
--- a/packages/shared-state/src/snapshot-records.ts
+++ b/packages/shared-state/src/snapshot-records.ts
@@ -6,7 +6,7 @@
 } from './record-head.js';
 import {RecordKind} from './record-kind.js';
 
-/** Shape of a `SnapshotTaken` record. */
+/** Schema of a `SnapshotTaken` record. */
 export const snapshotTakenSchema = z
   .object({
     ...recordHeadFields,
@@ -18,5 +18,5 @@
   })
   .readonly();
 
-/** A snapshot stands whole in the snapshots stream. */
+/** A snapshot was stored completely in the snapshots stream. */
 export type SnapshotTaken = z.output<typeof snapshotTakenSchema>;
--- a/packages/shared-state/src/snapshot.ts
+++ b/packages/shared-state/src/snapshot.ts
@@ -14,24 +14,24 @@
 import {sha256Hex} from './signatures.js';
 import {stateHash, tablesOf} from './state-hash.js';
 
-/** Version of the encoding of snapshots; a reader leaves out what is newer. */
+/** Version of the snapshot encoding; readers reject newer versions. */
 export const SNAPSHOT_FORMAT = 1;
 
 const MAXIMUM_SNAPSHOT_BYTES = 512_000_000;
-/** Entries packed or read in one slice: about a millisecond of the event loop. */
+/** Entries packed or restored per slice; a slice blocks the event loop for about a millisecond. */
 const ENTRIES_PER_SLICE = 500;
 const PROPOSALS_TABLE = 'proposals';
 
 const packr = new Packr({useRecords: false});
-/** Below this, compressing takes less time than a thread's hand-over. */
+/** Below this size, compressing takes less time than handing the work to a thread. */
 const SYNCHRONOUS_COMPRESSION_BYTES = 32_000;
 const deflateAsync = promisify(deflate);
 const inflateAsync = promisify(inflate);
 
-/** Gives way to other work on the event loop. */
+/** Lets other work on the event loop run before it resolves. */
 export type YieldToEventLoop = () => Promise<void>;
 
-/** A snapshot that is damaged, half written or of a newer format. */
+/** Thrown for a snapshot that is damaged, incomplete or of a newer format. */
 export const SnapshotError = BaseError.subclass('SnapshotError');
 
 const count = z.number().int().min(0);
@@ -50,12 +50,13 @@
 const entriesSchema = z.array(z.tuple([z.string(), z.unknown()]));
 type Content = z.output<typeof contentSchema>;
 
-/** Encodes the state as of now; the records that come meanwhile are not in it. */
+/** Encodes the current state; records applied during the encoding are not included. */
 export async function encodeSnapshot(
   state: FleetState,
-  rest: YieldToEventLoop,
+  yieldToEventLoop: YieldToEventLoop,
 ): Promise<Uint8Array> {
-  // Everything is taken before the first pause: entries are immutable, so this is the state at one offset.
+  // Everything is copied before the first yield: entries are immutable, so the copy is the state
+  // at one offset.
   const tables = tablesOf(state)
     .filter(([name, table]) => name !== PROPOSALS_TABLE && table.size > 0)
     .map(([name, table]) => [name, [...table]] as const);
@@ -73,7 +74,7 @@
     tables: {},
   };
   for (const [name, entries] of tables)
-    content.tables[name] = await packSlices(entries, rest);
+    content.tables[name] = await packSlices(entries, yieldToEventLoop);
   const packed = packr.pack(content);
   return packed.length < SYNCHRONOUS_COMPRESSION_BYTES
     ? deflateSync(packed)
@@ -82,24 +83,28 @@
 
 async function packSlices(
   entries: ReadonlyArray<[string, unknown]>,
-  rest: YieldToEventLoop,
+  yieldToEventLoop: YieldToEventLoop,
 ): Promise<Uint8Array[]> {
   const slices: Uint8Array[] = [];
   for (let from = 0; from < entries.length; from += ENTRIES_PER_SLICE) {
     slices.push(packr.pack(entries.slice(from, from + ENTRIES_PER_SLICE)));
-    await rest();
+    await yieldToEventLoop();
   }
   return slices;
 }
 
-/** The state of a snapshot, verified against its own hash; throws `SnapshotError`. */
+/** Restores the state of a snapshot and verifies its hash; throws `SnapshotError`. */
 export async function decodeSnapshot(
   snapshot: Uint8Array,
-  trusted: TrustedOperators,
-  rest: YieldToEventLoop,
+  trustedOperators: TrustedOperators,
+  yieldToEventLoop: YieldToEventLoop,
 ): Promise<FleetState> {
   try {
-    return await restoreState(await readContent(snapshot), trusted, rest);
+    return await restoreState(
+      await readContent(snapshot),
+      trustedOperators,
+      yieldToEventLoop,
+    );
   } catch (error) {
     if (error instanceof SnapshotError) throw error;
     throw new SnapshotError(`damaged snapshot: ${toError(error).message}`);
@@ -125,22 +130,22 @@
 
 async function restoreState(
   content: Content,
-  trusted: TrustedOperators,
-  rest: YieldToEventLoop,
+  trustedOperators: TrustedOperators,
+  yieldToEventLoop: YieldToEventLoop,
 ): Promise<FleetState> {
-  const state = emptyFleetState(trusted);
+  const state = emptyFleetState(trustedOperators);
   state.nextOffset = content.nextOffset;
   state.formatInUse = content.formatInUse;
   if (content.inForce) {
     const {text, offset} = content.inForce;
-    const parsed = await parseSectionsInSlices(text, rest);
+    const parsed = await parseSectionsInSlices(text, yieldToEventLoop);
     const {bundle} = parsed;
     state.inForce = {bundle, text, digest: sha256Hex(text), offset, parsed};
   }
   for (const {text, signers} of content.proposals) {
     const parsed = await parseSectionsInSlices(
       text,
-      rest,
+      yieldToEventLoop,
       state.inForce?.parsed,
     );
     const digest = sha256Hex(text);
@@ -149,9 +154,11 @@
   }
   const tables = new Map(tablesOf(state));
   for (const [name, slices] of Object.entries(content.tables))
-    await fillTable(name, tables.get(name), slices, rest);
+    await fillTable(name, tables.get(name), slices, yieldToEventLoop);
   if (stateHash(state) !== content.hash)
-    throw new SnapshotError('the state does not have the hash of its snapshot');
+    throw new SnapshotError(
+      'the hash of the restored state differs from the hash in the snapshot',
+    );
   return state;
 }
 
@@ -159,15 +166,15 @@
   name: string,
   table: HashedTable<unknown> | undefined,
   slices: readonly Uint8Array[],
-  rest: YieldToEventLoop,
+  yieldToEventLoop: YieldToEventLoop,
 ): Promise<void> {
   if (!table)
     throw new SnapshotError(
-      `snapshot with a table ${name}: start a newer version`,
+      `snapshot with an unknown table ${name}: start a newer version`,
     );
   for (const slice of slices) {
     for (const [key, value] of entriesSchema.parse(packr.unpack(slice)))
       table.set(key, value);
-    await rest();
+    await yieldToEventLoop();
   }
 }
--- a/packages/shared-state/src/state-hash.ts
+++ b/packages/shared-state/src/state-hash.ts
@@ -4,7 +4,7 @@
 const HEXADECIMAL = 16;
 const HASH_DIGITS = 16;
 
-/** All tables of the state by field name, in the order of names. */
+/** Returns all tables of the state with their field names, sorted by name. */
 export function tablesOf(
   state: FleetState,
 ): ReadonlyArray<readonly [string, HashedTable<unknown>]> {
@@ -16,7 +16,10 @@
     .sort(([left], [right]) => (left < right ? -1 : 1));
 }
 
-/** Hash of everything agreed, in hexadecimal: equal offsets must give equal hashes. */
+/**
+ * Returns the hash of the agreed state in hexadecimal; daemons at the same offset must have the
+ * same hash.
+ */
 export function stateHash(state: FleetState): string {
   const parts = [
     String(state.nextOffset),
@@ -24,7 +27,8 @@
     state.inForce
       ? `${state.inForce.digest}@${state.inForce.offset}`
       : 'nothing',
-    // An empty table does not count: a daemon whose version has no such table agrees with it.
+    // Empty tables are left out, so that a daemon whose version lacks such a table has the same
+    // hash.
     ...tablesOf(state)
       .filter(([, table]) => table.size > 0)
       .map(([name, table]) => `${name}=${table.hash}`),
--- a/packages/shared-state/src/vm-actions.ts
+++ b/packages/shared-state/src/vm-actions.ts
@@ -1,26 +1,26 @@
 import type {VmAction} from './record-enums.js';
 
-/** How far the platform has come with an action. */
+/** State of an action on the platform. */
 export enum VmActionState {
   Running = 'running',
   Done = 'done',
   Failed = 'failed',
 }
 
-/** One action on one VM. */
+/** Requests one action on one VM. */
 export interface VmActionRequest {
   /**
-   * Names the action. The platform keeps ids for at least a day and does an id once: a planner
-   * that was paused and asks again changes nothing.
+   * Identifies the action. The platform keeps ids for at least a day and runs each id once, so
+   * that a repeated request of a planner that was paused has no effect.
    */
   readonly id: string;
   readonly vm: string;
   readonly action: VmAction;
 }
 
-/** The platform's reboots and replacements. Registered in the wiring as `vmActions`. */
+/** Reboots and replaces VMs on the platform. Registered in the wiring as `vmActions`. */
 export interface VmActions {
-  /** Asks for the action, or says how far the one of that id has come. */
+  /** Requests the action; returns the state of the one with the same id if it exists. */
   requestAction(
     request: VmActionRequest,
     signal?: AbortSignal,
--- a/packages/shared-state/src/wave-records.ts
+++ b/packages/shared-state/src/wave-records.ts
@@ -18,7 +18,7 @@
   })
   .readonly();
 
-/** Shape of a `WaveStarted` record. */
+/** Schema of a `WaveStarted` record. */
 export const waveStartedSchema = z
   .object({
     ...operatorOrPlannerHeadFields,
@@ -29,7 +29,7 @@
   })
   .readonly();
 
-/** Shape of a `WaveChanged` record. */
+/** Schema of a `WaveChanged` record. */
 export const waveChangedSchema = z
   .object({
     ...operatorOrPlannerHeadFields,
@@ -40,7 +40,7 @@
   })
   .readonly();
 
-/** Shape of a `MaintenanceStarted` record. */
+/** Schema of a `MaintenanceStarted` record. */
 export const maintenanceStartedSchema = z
   .object({
     ...plannerHeadFields,
@@ -52,19 +52,19 @@
   })
   .readonly();
 
-/** Shape of a `MaintenanceAsked` record. */
+/** Schema of a `MaintenanceAsked` record. */
 export const maintenanceAskedSchema = z
   .object({
     ...plannerHeadFields,
     ...plannedWorkKeyFields,
     kind: z.literal(RecordKind.MaintenanceAsked),
-    /** Counts from 1; must be one above the attempts before. */
+    /** Number of the attempt, from 1; must be one more than the previous attempt. */
     attempt: nonNegativeInteger,
     action: z.enum(VmAction),
   })
   .readonly();
 
-/** Shape of a `MaintenanceReturned` record. */
+/** Schema of a `MaintenanceReturned` record. */
 export const maintenanceReturnedSchema = z
   .object({
     ...plannerHeadFields,
@@ -73,35 +73,38 @@
   })
   .readonly();
 
-/** Shape of a `MaintenanceEnded` record. */
+/** Schema of a `MaintenanceEnded` record. */
 export const maintenanceEndedSchema = z
   .object({
     ...plannerHeadFields,
     ...plannedWorkKeyFields,
     kind: z.literal(RecordKind.MaintenanceEnded),
     outcome: z.enum(MaintenanceOutcome),
-    /** Milliseconds since the Unix epoch; for planning of later waves only. */
+    /** Milliseconds since the Unix epoch; only used to plan later waves. */
     at: nonNegativeInteger,
   })
   .readonly();
 
-/** Which VMs a wave covers; all conditions must hold. */
+/** Selects the VMs of a wave; a VM must meet all conditions. */
 export type WaveScope = z.output<typeof waveScope>;
 
-/** A wave over the VMs that its scope covers at this offset. */
+/** Starts a wave for the VMs that its scope covers at this offset. */
 export type WaveStarted = z.output<typeof waveStartedSchema>;
 
-/** A wave is held, resumed, aborted or finished. */
+/** Holds, resumes, aborts or finishes a wave. */
 export type WaveChanged = z.output<typeof waveChangedSchema>;
 
-/** A VM leaves service for a wave, or its repair begins. */
+/** Takes a VM out of service for a wave, or starts its repair. */
 export type MaintenanceStarted = z.output<typeof maintenanceStartedSchema>;
 
-/** The platform is about to be asked: written first, so that a successor knows. */
+/**
+ * Announces a request to the platform; written before it, so that a new planner knows of the
+ * request.
+ */
 export type MaintenanceAsked = z.output<typeof maintenanceAskedSchema>;
 
-/** The VM is back and takes work again, on trial. */
+/** Puts the VM back into service on trial. */
 export type MaintenanceReturned = z.output<typeof maintenanceReturnedSchema>;
 
-/** Maintenance or repair of the VM is over. */
+/** Ends the maintenance or repair of the VM. */
 export type MaintenanceEnded = z.output<typeof maintenanceEndedSchema>;
