--- a/packages/plugin-caller-http/src/__tests__/bad-input.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/bad-input.test.ts
@@ -19,38 +19,38 @@
 const LONG = 'x'.repeat(5000);
 
 const BAD_INPUTS: readonly BadInput[] = [
-  bad('no HTTP', 400, 'bad_request', 'hello there', '', ''),
-  bad('no Host', 400, 'bad_request', 'GET /desk/x HTTP/1.1', '', ''),
-  bad('two Hosts', 400, 'bad_request', ...get('/desk/x', 'host: other')),
-  bad(
+  badInput('no HTTP', 400, 'bad_request', 'hello there', '', ''),
+  badInput('no Host', 400, 'bad_request', 'GET /desk/x HTTP/1.1', '', ''),
+  badInput('two Hosts', 400, 'bad_request', ...get('/desk/x', 'host: other')),
+  badInput(
     'two different lengths',
     400,
     'bad_request',
     ...post('/desk/x', 'content-length: 3', 'content-length: 5'),
     'abcde',
   ),
-  bad(
+  badInput(
     'one length twice',
     400,
     'bad_request',
     ...post('/desk/x', 'content-length: 3', 'content-length: 3'),
     'abc',
   ),
-  bad(
+  badInput(
     'a list of lengths',
     400,
     'bad_request',
     ...post('/desk/x', 'content-length: 3, 3'),
     'abc',
   ),
-  bad(
+  badInput(
     'a negative length',
     400,
     'bad_request',
     ...post('/desk/x', 'content-length: -1'),
     '',
   ),
-  bad(
+  badInput(
     'a length and chunks',
     400,
     'bad_request',
@@ -62,7 +62,7 @@
     '',
     '',
   ),
-  bad(
+  badInput(
     'chunks that are not the last coding',
     400,
     'bad_request',
@@ -71,7 +71,7 @@
     '',
     '',
   ),
-  bad(
+  badInput(
     'a bad chunk size',
     400,
     'bad_request',
@@ -80,7 +80,7 @@
     'abc',
     '',
   ),
-  bad(
+  badInput(
     'a folded header',
     400,
     'bad_request',
@@ -90,26 +90,26 @@
     '',
     '',
   ),
-  bad(
+  badInput(
     'a space before the colon',
     400,
     'bad_request',
     ...get('/desk/x', 'content-length : 3'),
   ),
-  bad(
+  badInput(
     'a head over the limit',
     431,
     'head_too_large',
     ...get('/desk/x', `x-long: ${LONG}`),
   ),
-  bad(
+  badInput(
     'a length over the limit',
     413,
     'body_too_large',
     ...post('/desk/x', 'content-length: 5000'),
     '',
   ),
-  bad(
+  badInput(
     'chunks over the limit',
     413,
     'body_too_large',
@@ -120,23 +120,23 @@
     '',
     '',
   ),
-  bad('an unknown service', 404, 'unknown_service', ...get('/nothing/x')),
-  bad(
-    'a service named as what objects inherit',
+  badInput('an unknown service', 404, 'unknown_service', ...get('/nothing/x')),
+  badInput(
+    'a service named like an inherited property',
     404,
     'unknown_service',
     ...get('/constructor/x'),
   ),
-  bad('no path', 400, 'bad_request', ...get('*')),
-  bad('a dot segment', 400, 'bad_request', ...get('/desk/../ledger/x')),
-  bad('a hidden dot segment', 400, 'bad_request', ...get('/desk/%2E./x')),
-  bad(
+  badInput('no path', 400, 'bad_request', ...get('*')),
+  badInput('a dot segment', 400, 'bad_request', ...get('/desk/../ledger/x')),
+  badInput('a hidden dot segment', 400, 'bad_request', ...get('/desk/%2E./x')),
+  badInput(
     'an upgrade',
     501,
     'upgrade_refused',
     ...get('/desk/x', 'connection: upgrade', 'upgrade: websocket'),
   ),
-  bad(
+  badInput(
     'CONNECT',
     501,
     'upgrade_refused',
@@ -145,42 +145,42 @@
     '',
     '',
   ),
-  bad(
+  badInput(
     'an unknown expectation',
     417,
     'expectation_refused',
     ...get('/desk/x', 'expect: better'),
   ),
-  bad('no key of a caller', 401, 'unknown_caller', ...get('/counter/x')),
-  bad(
+  badInput('no key of a caller', 401, 'unknown_caller', ...get('/counter/x')),
+  badInput(
     'a wrong key of a caller',
     401,
     'unknown_caller',
     ...get('/counter/x', 'authorization: Bearer wrong'),
   ),
-  bad('no idempotency key', 428, 'key_required', ...post('/ledger/x'), ''),
-  bad(
+  badInput('no idempotency key', 428, 'key_required', ...post('/ledger/x'), ''),
+  badInput(
     'an empty idempotency key',
     400,
     'key_invalid',
     ...post('/ledger/x', 'idempotency-key: '),
     '',
   ),
-  bad(
+  badInput(
     'two idempotency keys',
     400,
     'key_invalid',
     ...post('/ledger/x', 'idempotency-key: a', 'idempotency-key: b'),
     '',
   ),
-  bad(
+  badInput(
     'a long idempotency key',
     400,
     'key_invalid',
     ...post('/ledger/x', `idempotency-key: ${'k'.repeat(201)}`),
     '',
   ),
-  bad(
+  badInput(
     'a keyed body over the limit',
     413,
     'body_too_large',
@@ -224,7 +224,7 @@
   afterEach(() => edge.stop());
 
   for (const {what, lines, status, reason} of BAD_INPUTS) {
-    it(`${what} is answered ${status} ${reason}, and nothing goes to a target`, async () => {
+    it(`${what} gets ${status} ${reason}, and nothing is sent to a target`, async () => {
       const caller = new RawCaller(edge.address);
       caller.send(...lines);
       const answer = await caller.readResponse();
@@ -237,10 +237,10 @@
     });
   }
 
-  describe('a half-sent body', () => {
-    // The caller announces ten bytes, sends four and then nothing. The body is short, so it
-    // is read whole before a target is chosen: no target hears of it and no slot is held.
-    it('is answered 408 and nothing goes to a target', async () => {
+  describe('an incomplete body', () => {
+    // The caller announces ten bytes, sends four and then nothing. A short body is buffered
+    // before a target is chosen, so no target gets the request and no slot is held.
+    it('gets 408 and nothing is sent to a target', async () => {
       const caller = new RawCaller(edge.address);
       caller.send(...post('/desk/x', 'content-length: 10'), 'part');
       const answer = await caller.readResponse();
@@ -253,7 +253,7 @@
   });
 
   describe('a head that never ends', () => {
-    it('is answered 408 and the connection closes', async () => {
+    it('gets 408 and the connection closes', async () => {
       const caller = new RawCaller(edge.address);
       caller.send('GET /desk/x HTTP/1.1', 'host: a');
       const answer = await caller.readResponse();
@@ -262,10 +262,10 @@
     });
   });
 
-  describe('malformed bytes behind a good request', () => {
-    // The first request is being served when the second, malformed one is read. A 400 written
-    // at once would be taken for the first one's answer, and "not run" would be false.
-    it('the good one gets its own answer and then the connection closes', async () => {
+  describe('malformed bytes after a valid request', () => {
+    // The first request is in flight when the second, malformed one is read. A 400 written at
+    // once would be taken for the response to the first one, and its "not run" would be false.
+    it('the valid one gets its own response and then the connection closes', async () => {
       const caller = new RawCaller(edge.address);
       caller.send(...get('/desk/x'), 'garbage with no sense', '', '');
       const answer = await caller.readResponse();
@@ -278,7 +278,7 @@
   });
 
   describe('a key of a known caller', () => {
-    it('is let in, and the target learns the name and not the key', async () => {
+    it('is accepted, and the target gets the name and not the key', async () => {
       const caller = new RawCaller(edge.address);
       caller.send(...get('/counter/x', `authorization: Bearer ${TAILOR_KEY}`));
       assert.equal((await caller.readResponse()).status, 200);
@@ -289,9 +289,9 @@
     });
   });
 
-  describe('more headers than node keeps by default', () => {
-    // The parser's own limit drops headers after the 2000th without a word: the target would
-    // get another request than the caller sent.
+  describe('more headers than Node.js keeps by default', () => {
+    // The default limit silently drops headers after the 2000th: the target would get a
+    // different request from the one that the caller sent.
     it('all reach the target', async () => {
       const wide = new CallerEdge({
         targets: [target.address],
@@ -309,7 +309,7 @@
   });
 
   describe('an offer of HTTP/2 in clear text', () => {
-    it('is passed over and the request is served', async () => {
+    it('is ignored and the request is served', async () => {
       const caller = new RawCaller(edge.address);
       caller.send(
         ...get(
@@ -325,7 +325,7 @@
     });
   });
 
-  describe('a request with the whole address in its first line', () => {
+  describe('a request target in absolute form', () => {
     it('is served by its path', async () => {
       const caller = new RawCaller(edge.address);
       caller.send(...get('http://any.example/desk/x?q=1'));
@@ -346,7 +346,7 @@
       await caller.untilClosed();
     });
 
-    it('is answered with Continue when the body is wanted', async () => {
+    it('gets 100 Continue when the request is accepted', async () => {
       const caller = new RawCaller(edge.address);
       caller.send(
         ...post('/desk/x', 'expect: 100-continue', 'content-length: 4'),
@@ -363,7 +363,7 @@
   });
 });
 
-function bad(
+function badInput(
   what: string,
   status: number,
   reason: string,
@@ -376,7 +376,7 @@
   return [`GET ${path} HTTP/1.1`, 'host: a', ...headers, '', ''];
 }
 
-/** The head of a POST; the next line begins the body. */
+/** Returns the head of a POST; the next line starts the body. */
 function post(path: string, ...headers: string[]): string[] {
   return [`POST ${path} HTTP/1.1`, 'host: a', ...headers, ''];
 }
--- a/packages/plugin-caller-http/src/__tests__/caller-edge.ts
+++ b/packages/plugin-caller-http/src/__tests__/caller-edge.ts
@@ -46,11 +46,11 @@
   budget: {availableVms: 1, survive: FailureDomain.None, leavingAtOnce: 1},
 };
 
-/** Hands the targets out in turn and counts the slots in use. */
+/** Chooses targets round-robin and counts the slots in use. */
 export class RoundRobinRouter {
   inUse = 0;
   retries = 0;
-  /** What exchanges showed of their targets. */
+  /** Outcomes that exchanges reported about their targets. */
   readonly outcomes: TargetOutcome[] = [];
   private nextIndex = 0;
 
@@ -75,16 +75,16 @@
     return {id: address, address, isRoutable: () => true, report, release};
   }
 
-  /** As the daemon's own policy, with one retry and no budget. */
-  judgeRetry(_service: string, question: FailedAttempt): RetryDecision {
-    if (!isSafeToRepeat(question)) return RetryDecision.MayHaveRun;
-    if (question.attempts > 1) return RetryDecision.AttemptsExhausted;
+  /** Like the daemon's own policy, with one retry and no budget. */
+  judgeRetry(_service: string, failedAttempt: FailedAttempt): RetryDecision {
+    if (!isSafeToRepeat(failedAttempt)) return RetryDecision.MayHaveRun;
+    if (failedAttempt.attempts > 1) return RetryDecision.AttemptsExhausted;
     this.retries++;
     return RetryDecision.Retry;
   }
 }
 
-/** A log line of level warn. */
+/** A log line of level warn, as recorded by the test logger. */
 export interface Warning {
   readonly event: LogEvent;
   readonly fields: LogFields | undefined;
@@ -100,7 +100,7 @@
   }
 }
 
-/** What a test sets of a caller edge. */
+/** Settings of a caller edge in a test. */
 export interface CallerEdgeOptions {
   readonly targets: readonly string[];
   readonly settings?: Readonly<Record<string, number>>;
@@ -110,7 +110,7 @@
   readonly onceOnly?: IdempotencyGuard;
 }
 
-/** The caller edge with a real transport and given targets, without the rest of a daemon. */
+/** Runs the caller edge with a real transport and given targets, without the rest of a daemon. */
 export class CallerEdge {
   readonly drainState = new DrainState();
   readonly metrics = new MemoryMetrics();
@@ -124,7 +124,7 @@
     const logger = new RecordingLogger(this.warnings);
     const {drainState, metrics} = this;
     const services = servicesOf(parts.services ?? {desk: {}});
-    const sharedState = stateOf(services, parts.callers ?? {});
+    const sharedState = sharedStateOf(services, parts.callers ?? {});
     this.router = new RoundRobinRouter(services, parts.targets);
     const options = callerHttpOptions.parse({
       listen: '127.0.0.1:0',
@@ -193,7 +193,7 @@
   );
 }
 
-function stateOf(
+function sharedStateOf(
   services: Readonly<Record<string, ServiceEntry>>,
   callers: Readonly<Record<string, CallerEntry>>,
 ): SharedState {
--- a/packages/plugin-caller-http/src/__tests__/error-responses.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/error-responses.test.ts
@@ -5,7 +5,7 @@
 import {RawTarget} from '@gentiandoor/stand-ins';
 import {CallerEdge} from './caller-edge.js';
 
-describe('what the caller sees of each error kind', () => {
+describe('error response of each error kind', () => {
   const target = new RawTarget();
   let thrown: Error;
   let edge: CallerEdge;
@@ -23,7 +23,7 @@
     await target.stop();
   });
 
-  async function ask() {
+  async function sendRequest() {
     const {statusCode, headers, body} = await request(
       `http://${edge.address}/desk/x`,
       {method: 'POST', headers: {'idempotency-key': 'k'}},
@@ -38,10 +38,10 @@
   }
 
   for (const kind of Object.values(ErrorKind)) {
-    it(`${kind} is answered as the table says`, async () => {
+    it(`${kind} has the status, run header and retry-after of the table`, async () => {
       thrown = new RequestError(kind, 'refused');
       const {status, run, retryAfterSeconds} = ERROR_RESPONSES[kind];
-      assert.deepEqual(await ask(), {
+      assert.deepEqual(await sendRequest(), {
         status,
         run,
         reason: kind,
@@ -50,9 +50,9 @@
     });
   }
 
-  it('a fault of the daemon is answered as internal', async () => {
+  it('an unexpected error in the daemon is reported as internal', async () => {
     thrown = new Error('a fault');
-    const {status, run, reason} = await ask();
+    const {status, run, reason} = await sendRequest();
     assert.deepEqual([status, run, reason], [500, 'unknown', 'internal']);
   });
 });
--- a/packages/plugin-caller-http/src/__tests__/graceful-stop.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/graceful-stop.test.ts
@@ -8,7 +8,7 @@
 const BUSY_CALLERS = 20;
 const GET = ['GET /desk/x HTTP/1.1', 'host: a', '', ''];
 
-describe('the graceful stop of the caller edge', () => {
+describe('graceful stop of the caller edge', () => {
   const target = new RawTarget();
   let edge: CallerEdge;
 
@@ -29,11 +29,11 @@
   });
   afterEach(() => edge.stop());
 
-  describe('under steady load on kept connections', () => {
+  describe('under steady load on keep-alive connections', () => {
     // Twenty callers send one request after another, each on its own connection, when the
-    // stop begins. Each goes on until an answer says that the connection closes. A request
-    // that gets no whole answer was cut by the stop.
-    it('answers every request that was sent', async () => {
+    // stop begins. Each continues until a response says that the connection closes. A request
+    // without a complete response was cut by the stop.
+    it('responds to every request that was sent', async () => {
       let answered = 0;
       const callers = Array.from({length: BUSY_CALLERS}, async () => {
         const caller = new RawCaller(edge.address);
@@ -55,9 +55,9 @@
   });
 
   describe('with a connection that is idle when the stop begins', () => {
-    // The caller was told that its connection is kept, and sends its next request on it just
-    // as the stop begins. Had the connection been closed for being idle, the request would be lost.
-    it('answers a request that comes within the keep-alive time', async () => {
+    // The caller was told that its connection is kept alive, and sends its next request just as
+    // the stop begins. If the idle connection were closed, the request would be lost.
+    it('responds to a request that arrives within the keep-alive time', async () => {
       const caller = new RawCaller(edge.address);
       caller.send(...GET);
       const first = await caller.readResponse();
@@ -73,9 +73,9 @@
   });
 
   describe('with pipelined requests', () => {
-    // Two requests are under way on one connection when the stop begins. Were the first answer
-    // to say that the connection closes, the second request would run and never be answered.
-    it('answers all that were taken and closes behind the last', async () => {
+    // Two requests are in flight on one connection when the stop begins. If the first response
+    // said that the connection closes, the second request would run and never get a response.
+    it('responds to all accepted requests and closes after the last', async () => {
       target.behaviour = RawTargetBehaviour.Silent;
       const caller = new RawCaller(edge.address);
       caller.send(
@@ -103,8 +103,8 @@
     });
   });
 
-  describe('that is ended by force', () => {
-    it('says what it cut', async () => {
+  describe('that is forced to end', () => {
+    it('logs how many requests it aborted', async () => {
       target.behaviour = RawTargetBehaviour.Silent;
       const caller = new RawCaller(edge.address);
       caller.send(
@@ -127,8 +127,8 @@
     });
   });
 
-  describe('with an answer that is still to come', () => {
-    it('waits for it', async () => {
+  describe('with a response that is still outstanding', () => {
+    it('waits for the response', async () => {
       target.behaviour = RawTargetBehaviour.Silent;
       const caller = new RawCaller(edge.address);
       caller.send(
--- a/packages/plugin-caller-http/src/__tests__/keyed-requests.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/keyed-requests.test.ts
@@ -10,7 +10,7 @@
 import {CallerEdge} from './caller-edge.js';
 import {RawCaller} from './raw-caller.js';
 
-/** Lets everything run and notes how each claim ended. */
+/** Lets every request run and records how each claim ended. */
 class RecordingIdempotencyGuard implements IdempotencyGuard {
   readonly ends: string[] = [];
   held: HeldAnswer | undefined;
@@ -67,8 +67,8 @@
     };
   }
 
-  describe('that comes again after its answer', () => {
-    it('gets the held answer, marked, and does not run again', async () => {
+  describe('that is sent again after its response', () => {
+    it('gets the held answer, marked as replayed, and does not run again', async () => {
       await startEdge();
       const first = await post('k1', 'crest');
       const second = await post('k1', 'crest');
@@ -81,9 +81,9 @@
   });
 
   describe('whose held answer is larger than the caller\u2019s buffer', () => {
-    // The replayed answer is written at once and ended, and the caller reads it in parts. It must
-    // come whole, and the connection goes on to serve the caller's next request.
-    it('comes whole and leaves the connection in use', async () => {
+    // The replayed response is written and ended at once, and the caller reads it in parts. It must
+    // arrive complete, and the connection must still serve the caller's next request.
+    it('gets the complete answer and the connection stays usable', async () => {
       const body = Buffer.alloc(1_000_000, 'x');
       edge = new CallerEdge({
         targets: [target.address],
@@ -111,8 +111,8 @@
     });
   });
 
-  describe('that comes again with another body or path', () => {
-    it('is refused and not run', async () => {
+  describe('that is sent again with another body or path', () => {
+    it('is refused and does not run', async () => {
       await startEdge();
       await post('k1', 'crest');
       for (const again of [
@@ -126,10 +126,10 @@
     });
   });
 
-  describe('whose caller left before the answer', () => {
-    // The caller sends, leaves, and asks again with the same key. The first run was seen to
-    // its end, so the second request gets its answer and the target runs once.
-    it('gets the answer of that run when it asks again', async () => {
+  describe('whose caller disconnected before the response', () => {
+    // The caller sends a request, disconnects, and retries with the same key. The first run
+    // continues to its end, so the retry gets its response and the target runs the work once.
+    it('gets the response of that run on a retry', async () => {
       await startEdge();
       target.behaviour = RawTargetBehaviour.Silent;
       const caller = new RawCaller(edge.address);
@@ -162,7 +162,7 @@
       [RawTargetBehaviour.Silent, 'lose'],
     ];
     for (const [fault, end] of ends) {
-      it(`by ${end} when the target does ${fault}`, async () => {
+      it(`by ${end} for target behaviour ${fault}`, async () => {
         const onceOnly = new RecordingIdempotencyGuard();
         await startEdge(onceOnly);
         target.behaviour = fault;
@@ -181,7 +181,7 @@
       assert.deepEqual(onceOnly.ends, ['release']);
     });
 
-    it('without an answer where that is too large to hold', async () => {
+    it('without an answer when the response is too large to hold', async () => {
       const onceOnly = new RecordingIdempotencyGuard();
       await startEdge(onceOnly);
       target.behaviour = RawTargetBehaviour.Silent;
@@ -196,16 +196,16 @@
   });
 
   describe('that is refused before its key is looked up', () => {
-    // The first try was run; then the bundle lost the service, or the retry met a daemon that
+    // The first attempt ran; then the bundle lost the service, or the retry reached a daemon that
     // has no bundle yet. Told "not run", the caller would send the work under a new key.
-    it('is not said to be not run', async () => {
+    it('is reported as unknown, not as "not run"', async () => {
       await startEdge();
       const {headers} = await post('k1', 'crest', '/gone/x');
       assert.equal(headers['gentiandoor-reason'], 'unknown_service');
       assert.equal(headers['gentiandoor-run'], 'unknown');
     });
 
-    it('is said to be not run where it has no key', async () => {
+    it('is reported as "not run" when it has no key', async () => {
       await startEdge();
       const {headers, body} = await request(`http://${edge.address}/gone/x`, {
         method: 'POST',
--- a/packages/plugin-caller-http/src/__tests__/large-streams.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/large-streams.test.ts
@@ -5,12 +5,12 @@
 
 const MEGABYTE = 1_048_576;
 const TOTAL_BYTES = 256 * MEGABYTE;
-/** Room in the socket buffers of both connections and in the daemon. */
+/** Upper limit of what the socket buffers of both connections and the daemon may hold. */
 const BUFFERED_BYTES = 64 * MEGABYTE;
 const CHUNK = Buffer.alloc(65_536, 'x');
-const STILL_CHECKS = 10;
+const STABLE_CHECKS = 10;
 
-describe('a stream larger than the daemon may hold', () => {
+describe('a stream larger than the daemon may buffer', () => {
   const closers: Array<() => Promise<void>> = [];
 
   afterEach(async () => {
@@ -49,9 +49,9 @@
 
   describe('when the caller reads nothing for a while', () => {
     // The target sends 256 MB as fast as it can and the caller does not read. Without
-    // backpressure the daemon would take it all into its memory. When the caller reads on, all
-    // of it comes.
-    it('stops the target, and goes on when the caller reads', async () => {
+    // backpressure the daemon would hold all of it in memory. When the caller reads again, it
+    // gets everything.
+    it('pauses the target, and continues when the caller reads', async () => {
       let written = 0;
       const target = await listen(socket => {
         socket.once('data', () => {
@@ -67,15 +67,15 @@
       const caller = connect(edge);
       caller.pause();
       caller.write('GET /desk/x HTTP/1.1\r\nhost: a\r\n\r\n');
-      await untilStill(() => written);
+      await untilStable(() => written);
       assert.ok(written > 0 && written < BUFFERED_BYTES, `${written} bytes`);
       assert.ok((await countBytes(caller)) > TOTAL_BYTES);
     });
   });
 
   describe('when the caller reads nothing for too long', () => {
-    // A caller that never reads would hold a slot and a connection of the target for good.
-    it('cuts the caller off and frees the slot', async () => {
+    // A caller that never reads would hold a slot and a connection of the target indefinitely.
+    it('aborts the response and releases the slot', async () => {
       const target = await listen(socket => {
         socket.once('data', () => {
           socket.write(
@@ -94,7 +94,7 @@
   });
 
   describe('when the target reads nothing for a while', () => {
-    it('stops the caller, and goes on when the target reads', async () => {
+    it('pauses the caller, and continues when the target reads', async () => {
       let targetSocket: net.Socket | undefined;
       const target = await listen(socket => {
         socket.pause();
@@ -110,7 +110,7 @@
         written = count;
       });
       await until(() => targetSocket !== undefined);
-      await untilStill(() => written);
+      await untilStable(() => written);
       assert.ok(written > 0 && written < BUFFERED_BYTES, `${written} bytes`);
       let received = 0;
       targetSocket?.on('data', chunk => {
@@ -125,16 +125,16 @@
   });
 });
 
-/** Writes `TOTAL_BYTES` at the reader's pace; `note` is told the bytes handed over. */
+/** Writes `TOTAL_BYTES` at the reader's pace; `onWritten` gets the bytes written so far. */
 async function writeAll(
   socket: net.Socket,
-  note: (written: number) => void,
+  onWritten: (written: number) => void,
 ): Promise<void> {
   for (let written = 0; written < TOTAL_BYTES;) {
     if (socket.destroyed) return;
     const readOn = socket.write(CHUNK);
     written += CHUNK.length;
-    note(written);
+    onWritten(written);
     if (!readOn) await drained(socket);
   }
 }
@@ -172,10 +172,10 @@
   while (!condition()) await pause();
 }
 
-/** Resolves when the count has begun and has not changed over several looks. */
-async function untilStill(count: () => number): Promise<void> {
+/** Resolves when the count is above zero and has not changed over several checks. */
+async function untilStable(count: () => number): Promise<void> {
   let last = -1;
-  for (let still = 0; still < STILL_CHECKS;) {
+  for (let still = 0; still < STABLE_CHECKS;) {
     await pause();
     still = count() === last && last > 0 ? still + 1 : 0;
     last = count();
--- a/packages/plugin-caller-http/src/__tests__/load-summary-broadcaster.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/load-summary-broadcaster.test.ts
@@ -42,11 +42,11 @@
   }
 }
 
-function poolsOf(uses: ReadonlyMap<string, PeerUsage>): PoolTable {
+function poolsOf(usage: ReadonlyMap<string, PeerUsage>): PoolTable {
   const pool = {
-    inFlight: uses.size,
+    inFlight: usage.size,
     waiting: 0,
-    usage: () => uses,
+    usage: () => usage,
     leavingTargets: () => [],
   };
   return {
@@ -54,28 +54,28 @@
   } as unknown as PoolTable;
 }
 
-describe('LoadSummaries', () => {
-  describe('with far more targets in use than a summary may tell of', () => {
-    // Peers would drop a summary that says that it holds for more than a minute, and go on with
-    // what targets answer, without the signs of leaving either. So the busiest targets are told.
-    it('tells of the busiest, within its bytes, in a summary that peers believe', () => {
+describe('LoadSummaryBroadcaster', () => {
+  describe('with far more targets in use than fit into a summary', () => {
+    // Peers drop a summary whose expiry is over a minute. They would then follow the targets'
+    // responses alone and miss which targets are leaving. So it lists only the busiest targets.
+    it('lists the busiest within the bandwidth limit, with an expiry that peers accept', () => {
       const clock = new VirtualClock();
       const peers = new ManyPeers();
-      const quotaShare = new PeerAwareLimiter(clock, 'self', 0);
+      const quotaLimiter = new PeerAwareLimiter(clock, 'self', 0);
       const uses = new Map(
         Array.from({length: TARGETS}, (_, index) => [
           `vm-${index}`,
           {inFlight: index === 7 ? 5 : 1, waiting: false},
         ]),
       );
-      const quota = new SharedTeamQuota(quotaShare);
+      const quota = new SharedTeamQuota(quotaLimiter);
       const tick = () => undefined;
       new LoadSummaryBroadcaster(
         clock,
         peers,
         poolsOf(uses),
         quota,
-        quotaShare,
+        quotaLimiter,
         tick,
       ).start();
       clock.advance(MAXIMUM_EXPIRY_MILLISECONDS);
--- a/packages/plugin-caller-http/src/__tests__/raw-caller.ts
+++ b/packages/plugin-caller-http/src/__tests__/raw-caller.ts
@@ -1,19 +1,19 @@
 import net from 'node:net';
 import {splitAddress} from '@gentiandoor/kernel';
 
-/** An answer as its bytes said. */
+/** A response as parsed from the bytes received. */
 export interface RawResponse {
   readonly status: number;
   readonly head: string;
   readonly body: string;
 }
 
-/** A caller on bare TCP, which may send anything. */
+/** A caller on a plain TCP connection, which can send any bytes. */
 export class RawCaller {
-  /** All bytes that came. */
+  /** All bytes received that `readResponse` has not consumed. */
   received = '';
   closed = false;
-  /** True when the daemon reset the connection in place of a clean end. */
+  /** True when the daemon reset the connection instead of closing it cleanly. */
   wasReset = false;
   private readonly socket: net.Socket;
   private notifyWaiting: () => void = () => {};
@@ -36,7 +36,7 @@
     this.socket.write(lines.join('\r\n'), 'latin1');
   }
 
-  /** Goes away at once. */
+  /** Disconnects at once. */
   destroy(): void {
     this.socket.destroy();
   }
@@ -45,7 +45,7 @@
     this.socket.pause();
   }
 
-  /** Resolves when the bytes received are as `condition` says, or the connection closed. */
+  /** Resolves when the bytes received fulfil `condition`, or when the connection has closed. */
   async until(condition: (received: string) => boolean): Promise<void> {
     while (!condition(this.received) && !this.closed) {
       await new Promise<void>(resolve => {
@@ -54,13 +54,13 @@
     }
   }
 
-  /** The next whole answer with a length; throws when the connection closed without one. */
+  /** Returns the next complete response with a length; throws if the connection closes first. */
   async readResponse(): Promise<RawResponse> {
     await this.until(bytes => parseResponse(bytes) !== undefined);
-    const taken = parseResponse(this.received);
-    if (!taken) throw new Error(`closed after: ${this.received}`);
-    this.received = this.received.slice(taken.length);
-    return taken.answer;
+    const parsed = parseResponse(this.received);
+    if (!parsed) throw new Error(`closed after: ${this.received}`);
+    this.received = this.received.slice(parsed.length);
+    return parsed.answer;
   }
 
   /** Resolves when the daemon has closed its side. */
--- a/packages/plugin-caller-http/src/__tests__/refusal-journal.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/refusal-journal.test.ts
@@ -10,9 +10,9 @@
 import {RefusalJournal} from '../refusal-journal.js';
 
 describe('RefusalJournal', () => {
-  // A service is saturated and refuses a thousand requests a second for ten seconds. Operators
-  // ask why: they see the reason and the numbers, and older decisions are still there.
-  it('writes one entry a second for each kind, with the number of refusals', () => {
+  // A saturated service refuses a thousand requests per second for ten seconds. An entry for each
+  // would evict older decisions; operators still see the reason and the number of refusals.
+  it('records one entry per second and kind, with the number of refusals', () => {
     const clock = new VirtualClock();
     const journal = new DecisionJournal(clock);
     const refusals = new RefusalJournal(clock, journal);
--- a/packages/plugin-caller-http/src/__tests__/request-outcomes.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/request-outcomes.test.ts
@@ -93,7 +93,7 @@
   ),
 ];
 
-describe('what the caller is told', () => {
+describe('request outcomes', () => {
   const target = new RawTarget();
   let edge: CallerEdge | undefined;
 
@@ -123,9 +123,9 @@
   }
 
   for (const {fault, method, status, reason, run, received} of OUTCOMES) {
-    // The target does one thing to every request. What the caller is told must be true of
-    // all attempts together, and a request that must not run twice is sent once.
-    it(`${method} when the target does ${fault}: ${status}, run ${run}`, async () => {
+    // The target treats every request alike. What the caller is told must be true of all
+    // attempts together, and a request that must not run twice is sent once.
+    it(`${method} with target behaviour ${fault}: ${status}, run ${run}`, async () => {
       const {address} = await startEdge();
       target.behaviour = fault;
       const answer = await request(`http://${address}/desk/x`, {
@@ -146,9 +146,9 @@
     RawTargetBehaviour.CloseInChunks,
     RawTargetBehaviour.SilentInBody,
   ]) {
-    // The head and a part of the body are out when the target's answer breaks off. Only a
-    // cut connection tells the caller so: no last chunk and no full length may follow.
-    it(`an answer cut by ${fault} is cut for the caller too`, async () => {
+    // The head and part of the body are already sent when the target's response breaks off.
+    // Only an aborted connection tells the caller: no last chunk or full length may follow.
+    it(`a response truncated by ${fault} is truncated for the caller too`, async () => {
       const {address} = await startEdge({
         targetSettings: {progress_milliseconds: 500},
       });
@@ -162,9 +162,9 @@
     });
   }
 
-  describe('when an answer to HTTP/1.0 is cut', () => {
-    // An answer without a length to a caller of HTTP/1.0 ends with its connection. Were that
-    // end clean, the caller would take the part for the whole.
+  describe('when a response to HTTP/1.0 is truncated', () => {
+    // A response without a length to an HTTP/1.0 caller ends with its connection. If that
+    // closed cleanly, the caller would take a partial response for a complete one.
     it('the connection is reset', async () => {
       const {address} = await startEdge();
       target.behaviour = RawTargetBehaviour.CloseInChunks;
@@ -174,7 +174,7 @@
       assert.equal(caller.wasReset, true);
     });
 
-    it('by a stop by force, the connection is reset too', async () => {
+    it('by a forced stop, the connection is reset too', async () => {
       const {address, server} = await startEdge();
       target.behaviour = RawTargetBehaviour.Silent;
       const caller = new RawCaller(address);
@@ -191,7 +191,7 @@
   });
 
   describe('when one target refuses connections', () => {
-    it('a POST is sent to another one, since nothing was sent', async () => {
+    it('a POST is retried on another one, since nothing was sent', async () => {
       const {address, router} = await startEdge({
         targets: [UNUSED_ADDRESS, target.address],
       });
@@ -207,8 +207,8 @@
   });
 
   describe('when the first attempt may have run and the second was refused', () => {
-    // A GET reaches the first target, whose connection breaks; the second target says "not
-    // run". "Not run" alone would be false: the first may have run it.
+    // A GET reaches the first target, whose connection is lost; the second target says "not
+    // run". Reporting "not run" would be false: the first target may have run it.
     it('the outcome is unknown', async () => {
       const busy = new RawTarget();
       await busy.start();
@@ -225,11 +225,11 @@
     });
   });
 
-  describe('when the caller goes after a POST was sent', () => {
-    // The target is working on the POST when the caller leaves. Closing the connection would
-    // not stop the work, and a freed slot would give the target more than its slots: the slot
-    // stays taken until the target answers.
-    it('the slot stays taken until the target answers', async () => {
+  describe('when the caller disconnects after a POST was sent', () => {
+    // The target is working on the POST when the caller disconnects. Closing the connection
+    // would not stop the work, and a released slot would give the target more requests than
+    // it has slots.
+    it('the slot is held until the target responds', async () => {
       const {address, router, server} = await startEdge({
         services: {desk: {deadlineMilliseconds: 60_000}},
       });
@@ -244,7 +244,7 @@
       );
       await until(() => target.received.length === 1);
       caller.destroy();
-      await turns();
+      await waitForSocketEvents();
       assert.equal(router.inUse, 1);
       assert.deepEqual(server.inFlightCounts, {requests: 1, nonIdempotent: 1});
       target.writeUnasked('HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n');
@@ -253,8 +253,8 @@
     });
   });
 
-  describe('when the caller goes after a GET was sent', () => {
-    it('the exchange is given up and the slot is free', async () => {
+  describe('when the caller disconnects after a GET was sent', () => {
+    it('the exchange is aborted and the slot is released', async () => {
       const {address, router} = await startEdge();
       target.behaviour = RawTargetBehaviour.Silent;
       const caller = new RawCaller(address);
@@ -266,9 +266,9 @@
     });
   });
 
-  describe('when a streamed body stops half-way', () => {
-    // The body is over the buffered size, so its first part is already at the target when
-    // the caller stops sending. "Not run" could be false: the target has seen some of it.
+  describe('when a streamed body stops halfway', () => {
+    // The body is larger than the buffer, so the target already has its first part when the
+    // caller stops sending. "Not run" could be false: the target has seen some of it.
     it('the outcome is unknown', async () => {
       const {address} = await startEdge();
       const caller = new RawCaller(address);
@@ -309,11 +309,11 @@
     });
   });
 
-  describe('when the answer comes before the body has ended', () => {
-    // The target answers on the head alone while the caller is still sending. The caller gets
-    // the whole answer, and its next request on the same connection is read from the right
-    // place: the rest of the first body is not taken for it.
-    it('the caller gets it, and the next request its own', async () => {
+  describe('when the response arrives before the body has ended', () => {
+    // The target responds to the head alone while the caller is still sending. The caller gets
+    // the complete response, and the rest of the first body must not be taken for the next
+    // request on the same connection.
+    it('the caller gets it, and the next request gets its own response', async () => {
       const {address} = await startEdge();
       target.behaviour = RawTargetBehaviour.EarlyAnswer;
       const caller = new RawCaller(address);
@@ -335,7 +335,7 @@
     });
   });
 
-  describe('what the router is told of the target', () => {
+  describe('outcome reported to the router', () => {
     const reports: ReadonlyArray<
       readonly [RawTargetBehaviour, OutcomeKind, boolean]
     > = [
@@ -347,7 +347,7 @@
       [RawTargetBehaviour.Silent, OutcomeKind.TimedOut, false],
     ];
     for (const [fault, kind, leaving] of reports) {
-      it(`is ${kind} when it does ${fault}`, async () => {
+      it(`is ${kind} for target behaviour ${fault}`, async () => {
         const {address, router} = await startEdge();
         target.behaviour = fault;
         const caller = new RawCaller(address);
@@ -367,7 +367,7 @@
   });
 
   describe('headers', () => {
-    it('of the system cannot be set by either side', async () => {
+    it('of the system itself cannot be set by either side', async () => {
       const {address} = await startEdge();
       target.behaviour = RawTargetBehaviour.SpoofedHeaders;
       const answer = await request(`http://${address}/desk/x`, {
@@ -390,7 +390,7 @@
       assert.match(head, /^x-forwarded-for: 127\.0\.0\.1$/m);
     });
 
-    it('in trailers are passed on, the system\u2019s own left out', async () => {
+    it('in trailers are forwarded, except the system\u2019s own', async () => {
       const {address} = await startEdge();
       target.behaviour = RawTargetBehaviour.Trailers;
       const answer = await request(`http://${address}/desk/x`);
@@ -400,7 +400,7 @@
   });
 
   describe('HEAD', () => {
-    it('has the length of the body and no body', async () => {
+    it('gets the length of the body and no body', async () => {
       const {address} = await startEdge();
       const caller = new RawCaller(address);
       caller.send(
@@ -416,8 +416,8 @@
     });
   });
 
-  describe('when the target refuses with a time to come back', () => {
-    it('the caller is told that time', async () => {
+  describe('when the target refuses with a Retry-After header', () => {
+    it('the caller gets the same Retry-After', async () => {
       const {address} = await startEdge();
       target.behaviour = RawTargetBehaviour.Busy;
       const answer = await request(`http://${address}/desk/x`);
@@ -431,8 +431,8 @@
   while (!condition()) await new Promise(resolve => setTimeout(resolve, 2));
 }
 
-/** Lets what is already on its way on sockets arrive. */
-async function turns(): Promise<void> {
+/** Waits until data already in transit on sockets has arrived. */
+async function waitForSocketEvents(): Promise<void> {
   for (let turn = 0; turn < 10; turn++)
     await new Promise(resolve => setTimeout(resolve, 2));
 }
--- a/packages/plugin-caller-http/src/__tests__/router-drain.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/router-drain.test.ts
@@ -37,7 +37,7 @@
     });
   });
 
-  async function letGoAfter(change: () => void): Promise<boolean> {
+  async function hasStoppedRoutingAfter(change: () => void): Promise<boolean> {
     let hasLetGo = false;
     const watch = drain
       .stopRouting(VM, new AbortController().signal)
@@ -52,7 +52,7 @@
     return hasLetGo;
   }
 
-  function drainInState(): void {
+  function setDrainingInState(): void {
     state.vms.set(VM, {
       id: VM,
       pool: 'previews',
@@ -62,12 +62,12 @@
   }
 
   describe('while an exchange is in flight or the VM is among the targets', () => {
-    // A move waits for this daemon. Had it acknowledged while it still routed to the VM, the
-    // new pool would get the VM and two pools would use it at one time.
-    it('does not let go before both are over', async () => {
-      drainInState();
+    // A move waits for this daemon. If the daemon acknowledged while it still routed to the VM, the
+    // new pool would get the VM and two pools would use it at the same time.
+    it('does not report that routing has stopped', async () => {
+      setDrainingInState();
       assert.equal(
-        await letGoAfter(() => {
+        await hasStoppedRoutingAfter(() => {
           isRouting = false;
         }),
         true,
@@ -76,15 +76,15 @@
   });
 
   describe('when the drain is not in the folded state yet', () => {
-    // The daemon routes nothing to the VM by chance, but nothing stops it from starting to.
-    it('does not let go', async () => {
+    // The daemon happens to route nothing to the VM, but nothing prevents it from starting to.
+    it('does not report that routing has stopped', async () => {
       isRouting = false;
-      assert.equal(await letGoAfter(drainInState), true);
+      assert.equal(await hasStoppedRoutingAfter(setDrainingInState), true);
     });
   });
 
-  describe('when the drain has ended meanwhile', () => {
-    it('rejects and does not let go later', async () => {
+  describe('when the drain has ended in the meantime', () => {
+    it('rejects', async () => {
       const ended = new AbortController();
       const watch = drain.stopRouting(VM, ended.signal);
       ended.abort();
@@ -92,7 +92,7 @@
     });
   });
 
-  it('names the VMs that its router ejected', () => {
+  it('suspects the VMs that its router ejected', () => {
     assert.deepEqual([...drain.suspected()], [VM]);
   });
 });
--- a/packages/plugin-caller-http/src/__tests__/service-router.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/service-router.test.ts
@@ -126,8 +126,8 @@
 }
 
 describe('ServiceRouter', () => {
-  describe('with more requests than slots and places to wait', () => {
-    it('grants the slots, lets as many wait as may and refuses the rest', async () => {
+  describe('with more requests than slots and places in the queue', () => {
+    it('grants the slots, queues up to the limit and refuses the rest', async () => {
       const {acquire, clock} = build();
       const kinds = Array.from({length: 8}, () => kindOf(acquire()));
       clock.advance(1100);
@@ -140,8 +140,8 @@
     });
   });
 
-  describe('with a caller that leaves while it waits', () => {
-    it('takes it out of the queue', async () => {
+  describe('with a caller that disconnects while it waits', () => {
+    it('removes the request from the queue', async () => {
       const {acquire, router, clock} = build();
       const slots = await Promise.all([1, 2, 3, 4].map(() => acquire()));
       const gone = new AbortController();
@@ -155,7 +155,7 @@
       assert.ok(router);
     });
 
-    it('does not let one in that left before', async () => {
+    it('does not queue a request whose caller has already disconnected', async () => {
       const {acquire} = build();
       await Promise.all([1, 2, 3, 4].map(() => acquire()));
       const signal = AbortSignal.abort();
@@ -164,7 +164,7 @@
   });
 
   describe('with a team at its quota', () => {
-    it('lets others go ahead and names the quota when time is up', async () => {
+    it('serves other teams first and gives the quota as reason on timeout', async () => {
       const {acquire, clock} = build();
       await acquire({caller: 'badges'});
       const second = kindOf(acquire({caller: 'badges'}));
@@ -174,9 +174,9 @@
     });
   });
 
-  describe('with a VM that leaves', () => {
+  describe('with a VM that is leaving', () => {
     for (const sign of ['list', 'drain record', 'peer'] as const) {
-      it(`sends it nothing new after a sign from the ${sign}`, async () => {
+      it(`sends it no new work after a signal from the ${sign}`, async () => {
         const {acquire, change, state, vms, peerLinks} = build();
         const first = await acquire();
         if (sign === 'list') vms.set(...listed(first.id, ListedState.Leaving));
@@ -200,7 +200,7 @@
   });
 
   describe('with no VM left', () => {
-    it('refuses at once and says when to come again', async () => {
+    it('refuses at once and says when to retry', async () => {
       const {acquire, change, vms} = build();
       vms.clear();
       change();
@@ -212,7 +212,7 @@
   });
 
   describe('with a VM that fails', () => {
-    it('ejects it, counts it and tells explain why', async () => {
+    it('ejects it, counts the ejection and records why for explain', async () => {
       const {acquire, decisionJournal, metrics} = build();
       for (let count = 0; count < 20; count++) {
         const slot = await acquire({idempotent: true});
@@ -230,7 +230,7 @@
   });
 
   describe('with a failed attempt', () => {
-    it('counts the retry, or why there is none', () => {
+    it('counts the retry, or the reason why it is denied', () => {
       const {router, metrics} = build();
       const question = {
         kind: OutcomeKind.ConnectionLost,
@@ -248,7 +248,7 @@
   });
 
   describe('with peers', () => {
-    it('tells them what it uses while it has work, then no more', async () => {
+    it('broadcasts its usage while it has work, then stops', async () => {
       const {acquire, clock, peerLinks} = build();
       const slot = await acquire();
       clock.advance(300);
@@ -264,7 +264,7 @@
       assert.equal(peerLinks.sent.length, sent);
     });
 
-    it('leaves slots to a peer whose requests wait', async () => {
+    it('leaves slots to a peer that has waiting requests', async () => {
       const {acquire, peerLinks, clock} = build();
       (await acquire()).release();
       const uses = [
--- a/packages/plugin-caller-http/src/attempt-result.ts
+++ b/packages/plugin-caller-http/src/attempt-result.ts
@@ -11,13 +11,13 @@
 
 const FIRST_SERVER_ERROR = 500;
 
-/** What one attempt at a target came to. */
+/** Result of one attempt to send a request to a target. */
 export interface AttemptResult {
-  /** What to tell the caller; undefined after a whole answer. */
+  /** Error to send to the caller; undefined after a complete response. */
   readonly failure: RequestError | undefined;
-  /** What it says of the target; undefined when no exchange was begun. */
+  /** Outcome to report about the target; undefined when no exchange was started. */
   readonly outcome: OutcomeKind | undefined;
-  /** Whether a byte of the request went out. */
+  /** Whether a byte of the request was sent. */
   readonly sent: boolean;
 }
 
@@ -41,22 +41,22 @@
   [ExchangeEnd.Aborted]: OutcomeKind.CallerGone,
 };
 
-/** A request that ended before any exchange was begun. */
+/** Returns the result of a request that failed before an exchange was started. */
 export function exchangeNotStarted(failure: RequestError): AttemptResult {
   return {failure, outcome: undefined, sent: false};
 }
 
-/** The caller closed its connection; `run` says how far the request had come. */
+/** Returns the error for a caller that closed its connection; `run` says if the request ran. */
 export function callerGoneError(run: RequestExecution): RequestError {
   const detail = 'the caller closed the connection';
   return new RequestError(ErrorKind.CallerGone, detail, {run});
 }
 
-/** Reads what an exchange came to. */
+/** Converts the end of an exchange to the caller's error and the target's outcome. */
 export function toAttemptResult(
   result: ExchangeResult,
   forwarder: ResponseForwarder,
-  caller: CallerResponseWriter,
+  responseWriter: CallerResponseWriter,
 ): AttemptResult {
   const {end, error} = result;
   const sent = end !== ExchangeEnd.NotSent;
@@ -69,7 +69,7 @@
     return {failure, outcome: OutcomeKind.Busy, sent};
   }
   if (end === ExchangeEnd.Complete) {
-    const failure = caller.isCallerGone
+    const failure = responseWriter.isCallerGone
       ? callerGoneError(RequestExecution.Run)
       : undefined;
     return {failure, outcome: outcomeOfStatus(forwarder.status), sent};
@@ -88,7 +88,10 @@
   return {failure, outcome: OUTCOME_BY_END[end], sent};
 }
 
-/** "Not run" must hold over all attempts: an earlier one may have been run. */
+/**
+ * Changes "not run" to "unknown" after an earlier attempt that may have run: "not run" must hold
+ * for all attempts.
+ */
 export function withUnknownOutcome(error: RequestError): RequestError {
   if (error.run !== RequestExecution.NotRun) return error;
   return new RequestError(error.kind, error.message, {
--- a/packages/plugin-caller-http/src/body-reader.ts
+++ b/packages/plugin-caller-http/src/body-reader.ts
@@ -6,13 +6,13 @@
   type OutgoingBody,
 } from '@gentiandoor/kernel';
 
-/** Bounds of a request's body. */
+/** Limits for reading a request body. */
 export interface BodyLimits {
-  /** Up to this size the body is read whole. */
+  /** Bodies up to this size are buffered whole; longer ones are streamed. */
   readonly maximumBufferedBytes: number;
-  /** Largest body taken. */
+  /** Maximum body size; a longer body fails with `BodyTooLarge`. */
   readonly maximumBytes: number;
-  /** Longest silence. */
+  /** Maximum time without any data; then reading fails with `BodyTimeout`. */
   readonly progressTimeoutMilliseconds: number;
 }
 
@@ -22,10 +22,10 @@
 }
 
 /**
- * Reads a request's body at the pace of its sender, within limits.
+ * Reads a request body at the pace of its sender, within limits.
  *
- * A sender that stops half-way would otherwise hold a target's slot for as long as it
- * likes: short bodies are read whole before a target is chosen, and a silence ends both kinds.
+ * A sender that stops halfway would otherwise hold a target's slot indefinitely: short bodies are
+ * buffered before a target is chosen, and the progress timeout ends buffered and streamed reads.
  */
 export class BodyReader {
   private pendingRead: PendingRead | undefined;
@@ -45,7 +45,7 @@
     });
   }
 
-  /** The body, whole where it is short; null when empty. */
+  /** Returns the body: buffered when it is short, a stream when it is longer, null when empty. */
   async read(): Promise<OutgoingBody> {
     const chunks: Buffer[] = [];
     while (this.receivedBytes <= this.limits.maximumBufferedBytes) {
@@ -56,16 +56,18 @@
     return this.stream(chunks);
   }
 
-  /** Ends the reading; what waits for a chunk is rejected. */
+  /** Ends reading and rejects a pending read. The first error given is kept. */
   fail(error: RequestError): void {
     this.failure ??= error;
-    const {pendingRead: waiter} = this;
+    const {pendingRead} = this;
     this.pendingRead = undefined;
-    waiter?.reject(this.failure);
+    pendingRead?.reject(this.failure);
   }
 
-  private async *stream(first: readonly Buffer[]): AsyncGenerator<Buffer> {
-    yield* first;
+  private async *stream(
+    bufferedChunks: readonly Buffer[],
+  ): AsyncGenerator<Buffer> {
+    yield* bufferedChunks;
     for (;;) {
       const chunk = await this.nextChunk();
       if (chunk === undefined) return;
@@ -73,30 +75,27 @@
     }
   }
 
-  /** The next chunk, or undefined at the end; rejects with `RequestError`. */
+  /** Returns the next chunk, or undefined at the end; rejects with `RequestError`. */
   private async nextChunk(): Promise<Buffer | undefined> {
-    const {
-      progressTimeoutMilliseconds: progressMilliseconds,
-      maximumBytes: totalBytes,
-    } = this.limits;
-    const timer = this.clock.schedule(progressMilliseconds, () =>
+    const {progressTimeoutMilliseconds, maximumBytes} = this.limits;
+    const timer = this.clock.schedule(progressTimeoutMilliseconds, () =>
       this.fail(
         new RequestError(
           ErrorKind.BodyTimeout,
-          `${this.receivedBytes} bytes came, then nothing for ${progressMilliseconds} ms`,
+          `received ${this.receivedBytes} bytes of the request body, then nothing for ${progressTimeoutMilliseconds} ms`,
         ),
       ),
     );
     try {
       const chunk = await this.nextChunkUntimed();
       this.receivedBytes += chunk?.length ?? 0;
-      if (this.receivedBytes <= totalBytes) return chunk;
+      if (this.receivedBytes <= maximumBytes) return chunk;
     } finally {
       timer.cancel();
     }
     this.failure ??= new RequestError(
       ErrorKind.BodyTooLarge,
-      `more than ${totalBytes} bytes`,
+      `the request body is longer than ${maximumBytes} bytes`,
     );
     throw this.failure;
   }
@@ -109,8 +108,8 @@
   }
 
   private resolvePendingRead(): void {
-    const {pendingRead: waiter} = this;
-    if (!waiter) return;
+    const {pendingRead} = this;
+    if (!pendingRead) return;
     if (this.failure) {
       this.fail(this.failure);
       return;
@@ -118,7 +117,7 @@
     const chunk = this.request.read() as Buffer | null;
     if (chunk === null && !this.request.readableEnded) return;
     this.pendingRead = undefined;
-    waiter.resolve(chunk ?? undefined);
+    pendingRead.resolve(chunk ?? undefined);
   }
 }
 
@@ -130,6 +129,6 @@
 function callerGoneError(): RequestError {
   return new RequestError(
     ErrorKind.CallerGone,
-    'the connection closed within the request',
+    'the connection closed before the whole request was received',
   );
 }
--- a/packages/plugin-caller-http/src/caller-connections.ts
+++ b/packages/plugin-caller-http/src/caller-connections.ts
@@ -3,23 +3,23 @@
 import {abortResponse, rawErrorResponse} from './error-response.js';
 import type {InFlightRequest} from './request-handler.js';
 
-/** Time for a caller to read its answer while the rest of its request is thrown away. */
+/** Time a caller gets to read its response while the rest of its request is discarded. */
 const LINGERING_CLOSE_MILLISECONDS = 2000;
 
-/** What a stop would cut. */
+/** Counts of the requests that a stop at this moment would abort. */
 export interface InFlightRequestCounts {
   readonly requests: number;
-  /** Those among them that a caller cannot safely send again without a key. */
+  /** Those among them that a caller cannot safely retry without an idempotency key. */
   readonly nonIdempotent: number;
 }
 
-/** Callers' connections with the requests under way on each, in order. */
+/** Tracks callers' connections and the in-flight requests on each, in order of arrival. */
 export class CallerConnections {
   private readonly requestsBySocket = new Map<Socket, Set<InFlightRequest>>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Requests under way. */
+  /** Counts of the in-flight requests on all connections. */
   get inFlightCounts(): InFlightRequestCounts {
     let requests = 0;
     let nonIdempotent = 0;
@@ -37,20 +37,20 @@
     else this.requestsBySocket.set(socket, new Set([item]));
   }
 
-  /** Cuts all answers that are under way. */
+  /** Aborts the responses of all in-flight requests. */
   abortAllResponses(): void {
     for (const {response} of this.inFlightRequests()) abortResponse(response);
   }
 
-  /** Whether no request came after this one on its connection, so far. */
+  /** Returns whether this is the latest request on its connection so far. */
   isLast(item: InFlightRequest): boolean {
     const items = this.requestsBySocket.get(item.request.socket);
     return items !== undefined && [...items].at(-1) === item;
   }
 
   /**
-   * Tells all requests under way on a connection that it has closed. A response object
-   * says so only when it is the next to go out: pipelined requests behind it would go on.
+   * Notifies all in-flight requests on a connection that it has closed. A response object
+   * reports this only when it is the next to be sent: pipelined requests behind it would continue.
    */
   onConnectionClosed(socket: Socket): void {
     for (const item of this.requestsBySocket.get(socket) ?? [])
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Whether the connection closes behind an earlier answer. A pipelined request that is
-   * read after that could be run and never answered, so it is not begun at all.
+   * Returns whether the connection closes after an earlier response. A pipelined request that
+   * follows it could be run without ever getting a response, so it is not started at all.
    */
   followsClosingResponse(item: InFlightRequest): boolean {
     for (const earlier of this.requestsBySocket.get(item.request.socket) ??
@@ -79,13 +79,14 @@
   }
 
   /**
-   * A connection that can be read no further: malformed input, or a request that came too
-   * slowly. The error belongs to the request that is not complete. A raw answer while
-   * another request is under way would be taken for that request's answer, so it is
-   * written only to a connection that has none. Returns what was answered that way.
+   * Handles a connection that cannot be read any further: malformed input, or a request that
+   * arrived too slowly. The error belongs to the request that is incomplete. A raw error response
+   * would be taken for the response of another request in flight, so it is written only to a
+   * connection that has none. Returns the error that was sent as a raw response, if any.
    */
   failConnection(error: Error, socket: Socket): RequestError | undefined {
-    // The caller reset the connection: nobody is left to answer, and its close says the rest.
+    // The caller reset the connection: nobody is left to respond to, and its close event ends the
+    // requests.
     if (socket.destroyed) return undefined;
     const items = [...(this.requestsBySocket.get(socket) ?? [])];
     const refusal = toClientRequestError(error, items.length > 0);
@@ -107,7 +108,7 @@
     return undefined;
   }
 
-  /** Answers on a connection without a response object, and closes it. */
+  /** Writes an error response to a connection that has no response object, and closes it. */
   respondAndClose(socket: Socket, error: RequestError): void {
     if (!socket.writable) {
       socket.destroy();
@@ -118,8 +119,8 @@
   }
 
   /**
-   * Closing a socket with unread bytes resets it, and the caller may lose an answer that
-   * is already on its way. So only this side's half is closed, and the rest is read for a while.
+   * Closes only this side's half of the connection and keeps reading for a while. Closing a socket
+   * with unread bytes resets it, and the caller may lose a response that is already in transit.
    */
   private lingeringClose(socket: Socket): void {
     socket.end();
@@ -127,13 +128,10 @@
     this.scheduleDestroy(socket);
   }
 
-  /** An answer came before its request had ended, as for a body over the limit. */
-  private discardRemainingBody({
-    request,
-    bodyReader: reader,
-  }: InFlightRequest): void {
-    const detail = 'the request has its answer';
-    reader?.fail(new RequestError(ErrorKind.CallerGone, detail));
+  /** Discards the rest of a request that got its response early, as for a body over the limit. */
+  private discardRemainingBody({request, bodyReader}: InFlightRequest): void {
+    const detail = 'the response ended before the whole request was read';
+    bodyReader?.fail(new RequestError(ErrorKind.CallerGone, detail));
     request.removeAllListeners('readable');
     request.resume();
     const timer = this.clock.schedule(LINGERING_CLOSE_MILLISECONDS, () =>
@@ -167,7 +165,7 @@
     const part = withinBody ? 'body' : 'head';
     return new RequestError(
       ErrorKind.BodyTimeout,
-      `the request's ${part} did not come in time`,
+      `the request's ${part} did not arrive in time`,
     );
   }
   return new RequestError(ErrorKind.BadRequest, error.message);
--- a/packages/plugin-caller-http/src/caller-directory.ts
+++ b/packages/plugin-caller-http/src/caller-directory.ts
@@ -4,20 +4,20 @@
 const BEARER = /^Bearer ([\x21-\x7e]{1,512})$/i;
 const MAXIMUM_CACHED_KEYS = 1000;
 
-/** A caller that the bundle in force names. */
+/** A caller that is named in the bundle in force, with its team. */
 export interface AuthenticatedCaller {
   readonly name: string;
   readonly team: string;
 }
 
 /**
- * Finds the caller by its key. Digests are compared by a map look-up: the caller cannot
- * choose the digest, so the time taken tells nothing about the keys in the bundle.
+ * Finds callers by their key. Digests are compared by a map lookup: a caller cannot choose the
+ * digest, so the time of the lookup reveals nothing about the keys in the bundle.
  */
 export class CallerDirectory {
   private bundleDigest = '';
   private callersByKeyDigest = new Map<string, AuthenticatedCaller>();
-  /** Saves a SHA-256 for each request of a caller seen lately. */
+  /** Cache that saves a SHA-256 for each request of a recently seen caller. */
   private readonly callersByAuthorization = new Map<
     string,
     AuthenticatedCaller
@@ -29,14 +29,14 @@
     this.sharedState = sharedState;
   }
 
-  /** The caller of an `Authorization` header, or undefined. */
+  /** Returns the caller whose key an `Authorization` header holds, or undefined. */
   findByAuthorization(
     authorization: string | undefined,
   ): AuthenticatedCaller | undefined {
     if (authorization === undefined) return undefined;
     this.reloadIfBundleChanged();
-    const known = this.callersByAuthorization.get(authorization);
-    if (known) return known;
+    const cached = this.callersByAuthorization.get(authorization);
+    if (cached) return cached;
     const key = BEARER.exec(authorization)?.[1];
     if (key === undefined) return undefined;
     const caller = this.callersByKeyDigest.get(sha256(key));
--- a/packages/plugin-caller-http/src/caller-http-options.ts
+++ b/packages/plugin-caller-http/src/caller-http-options.ts
@@ -52,5 +52,5 @@
     .describe('Longest time for exchanges to finish in a graceful stop.'),
 });
 
-/** Checked settings of the caller edge. */
+/** Validated settings of section [caller-http]. */
 export type CallerHttpOptions = z.output<typeof callerHttpOptions>;
--- a/packages/plugin-caller-http/src/caller-http-server.ts
+++ b/packages/plugin-caller-http/src/caller-http-server.ts
@@ -26,7 +26,7 @@
 const DRAIN_POLL_MILLISECONDS = 20;
 const TIMEOUT_CHECK_MILLISECONDS = 1000;
 
-/** What the server needs. */
+/** Services that `CallerHttpServer` depends on. */
 export interface CallerHttpServerDependencies {
   readonly clock: Clock;
   readonly logger: Logger;
@@ -36,7 +36,7 @@
   readonly requestHandler: RequestHandler;
 }
 
-/** Takes callers' connections. */
+/** Accepts callers' connections and passes their requests to the request handler. */
 export class CallerHttpServer implements Plugin {
   private readonly server: http.Server;
   private readonly connections: CallerConnections;
@@ -62,17 +62,17 @@
       requestTimeout: options.request_milliseconds,
       connectionsCheckingInterval: TIMEOUT_CHECK_MILLISECONDS,
       keepAliveTimeout: options.keep_alive_milliseconds,
-      // Checked with the rest of the head, so that the answer is one of ours.
+      // Checked with the rest of the head, so that the caller gets one of this system's errors.
       requireHostHeader: false,
       insecureHTTPParser: false,
     });
-    // The default drops headers after the 2000th without a word; `head_bytes` is the bound.
+    // The default silently drops headers after the 2000th; `head_bytes` is the limit.
     this.server.maxHeadersCount = 0;
     this.listenForRequests();
     this.listenForConnections();
   }
 
-  /** The port in use; differs from the settings where those say 0. */
+  /** The port that the server listens on; differs from the settings where those say 0. */
   get port(): number {
     const address = this.server.address();
     return typeof address === 'object' && address !== null ? address.port : 0;
@@ -83,7 +83,7 @@
     return `${host}:${this.port}`;
   }
 
-  /** What an end at this moment would cut. */
+  /** Counts of the requests that a forced stop at this moment would abort. */
   get inFlightCounts(): InFlightRequestCounts {
     return this.connections.inFlightCounts;
   }
@@ -99,10 +99,10 @@
   }
 
   /**
-   * Listens on until the balancer has seen the health answer, then waits for the
-   * connections to end: busy ones with their next answer, which says `Connection: close`;
-   * idle ones by the keep-alive time that their callers were told. Closing an idle
-   * connection earlier would cut a request that is already on its way on it.
+   * Keeps listening until the load balancer has seen the health response, then waits for the
+   * connections to close: busy ones with their next response, which says `Connection: close`; idle
+   * ones when the keep-alive time that their callers were told has passed. Closing an idle
+   * connection earlier would cut a request that is already in transit on it.
    */
   async drain(): Promise<void> {
     const {clock, callerHttpOptions: options} = this.dependencies;
@@ -132,7 +132,7 @@
     this.server.closeAllConnections();
   }
 
-  /** `http.Server.close` would also close idle connections at once, see `drain`. */
+  /** `http.Server.close` would also close idle connections at once, which `drain` must not do. */
   private stopListening(): void {
     if (this.server.listening) net.Server.prototype.close.call(this.server);
   }
@@ -158,8 +158,8 @@
 
   private listenForConnections(): void {
     const {callerHttpOptions: options, metrics} = this.dependencies;
-    // Each connection holds buffers and a file descriptor: without a bound, one caller that
-    // opens them without end takes those of the targets' connections, and all requests fail.
+    // Each connection holds buffers and a file descriptor. Without a limit, one caller that keeps
+    // opening connections uses up those of the connections to targets, and all requests fail.
     this.server.maxConnections = options.connections;
     this.server.on('drop', () =>
       metrics.increment(MetricName.ConnectionsRefused, {port: 'caller'}),
--- a/packages/plugin-caller-http/src/caller-response-writer.ts
+++ b/packages/plugin-caller-http/src/caller-response-writer.ts
@@ -8,18 +8,18 @@
 import {RUN_HEADER, abortResponse} from './error-response.js';
 import {endToEndTrailers} from './headers.js';
 
-/** What the caller's side of a request needs. */
+/** Clock, timeout and connection policy of a `CallerResponseWriter`. */
 export interface CallerResponseWriterDependencies {
   readonly clock: Clock;
-  /** Asked once, as the head goes out: whether the connection closes behind the answer. */
+  /** Called once, when the head is sent: whether the connection closes after the response. */
   readonly shouldCloseConnection: () => boolean;
-  /** Longest time a caller may leave an answer unread. */
+  /** Maximum time a caller may leave a response unread. */
   readonly progressTimeoutMilliseconds: number;
 }
 
 /**
- * The caller's side of one request: writes the answer at the caller's pace, and knows
- * whether the caller is still there.
+ * Writes the response of one request at the caller's pace, and tracks whether the caller is still
+ * connected.
  */
 export class CallerResponseWriter {
   private exchange: Exchange | undefined;
@@ -33,17 +33,17 @@
     private readonly dependencies: CallerResponseWriterDependencies,
   ) {}
 
-  /** True once the caller has closed the connection before its answer was out. */
+  /** True once the caller has closed the connection before its whole response was sent. */
   get isCallerGone(): boolean {
     return this.isConnectionClosed && !this.response.writableFinished;
   }
 
-  /** True once part of an answer is out: nothing else can be answered any more. */
+  /** True once part of a response is sent: no other response is possible then. */
   get hasSentHead(): boolean {
     return this.response.headersSent;
   }
 
-  /** Aborts when the caller goes before its answer is out. */
+  /** Aborts when the caller disconnects before its whole response is sent. */
   get callerGoneSignal(): AbortSignal {
     this.callerGoneController ??= new AbortController();
     if (this.isCallerGone) this.callerGoneController.abort();
@@ -51,28 +51,28 @@
   }
 
   /**
-   * Joins an exchange to the caller's pace. When the caller goes, the exchange is given up,
-   * unless `keep` says that the target's work must be seen to its end.
+   * Couples an exchange to the caller's pace. When the caller disconnects, the exchange is aborted,
+   * unless `continuesWithoutCaller` says that it must run to its end.
    */
-  attach(exchange: Exchange, keep: boolean): void {
+  attach(exchange: Exchange, continuesWithoutCaller: boolean): void {
     this.exchange = exchange;
-    this.continuesWithoutCaller = keep;
+    this.continuesWithoutCaller = continuesWithoutCaller;
   }
 
   writeHead(status: number, headers: readonly string[]): void {
     if (this.isCallerGone) return;
-    const all = [...headers, RUN_HEADER, RequestExecution.Run];
+    const allHeaders = [...headers, RUN_HEADER, RequestExecution.Run];
     if (this.dependencies.shouldCloseConnection())
-      all.push('connection', 'close');
-    this.response.writeHead(status, all);
+      allHeaders.push('connection', 'close');
+    this.response.writeHead(status, allHeaders);
   }
 
-  /** False asks to wait until the caller has read on. */
+  /** Returns false when the sender must wait until the caller has read more. */
   writeData(chunk: Buffer): boolean {
     if (this.isCallerGone) return true;
-    const readOn = this.response.write(chunk);
-    if (!readOn) this.startUnreadTimeout();
-    return readOn;
+    const canContinue = this.response.write(chunk);
+    if (!canContinue) this.startUnreadTimeout();
+    return canContinue;
   }
 
   end(trailers: readonly string[]): void {
@@ -82,20 +82,19 @@
     this.response.end();
   }
 
-  /** A caller that reads nothing would hold a target's slot for as long as it likes. */
+  /** Aborts the response if the caller stops reading: it would hold a target's slot for good. */
   private startUnreadTimeout(): void {
     if (this.unreadTimeout) return;
-    const {clock, progressTimeoutMilliseconds: progressMilliseconds} =
-      this.dependencies;
-    this.unreadTimeout = clock.schedule(progressMilliseconds, () =>
+    const {clock, progressTimeoutMilliseconds} = this.dependencies;
+    this.unreadTimeout = clock.schedule(progressTimeoutMilliseconds, () =>
       abortResponse(this.response),
     );
     this.response.once('drain', () => {
       this.cancelUnreadTimeout();
       this.exchange?.resume();
     });
-    // An answer that ended while its last part was unread says `finish` and never `drain`.
-    // Left running, the timer would hold the answer in memory for its whole length.
+    // A response that ended while its last part was unread emits `finish` and never `drain`.
+    // If not cancelled, the timer would hold the response in memory until it fires.
     this.response.once('finish', () => this.cancelUnreadTimeout());
   }
 
@@ -104,7 +103,7 @@
     this.unreadTimeout = undefined;
   }
 
-  /** The caller's connection has closed. */
+  /** Aborts the exchange, or lets it continue unread, when the caller's connection has closed. */
   onConnectionClosed(): void {
     this.isConnectionClosed = true;
     this.cancelUnreadTimeout();
--- a/packages/plugin-caller-http/src/error-response.ts
+++ b/packages/plugin-caller-http/src/error-response.ts
@@ -7,12 +7,12 @@
   toError,
 } from '@gentiandoor/kernel';
 
-/** Header that tells the caller whether the request was run: no, unknown or yes. */
+/** Response header that tells the caller whether the request was run: no, unknown or yes. */
 export const RUN_HEADER = 'gentiandoor-run';
-/** Header that gives the error kind. */
+/** Response header with the error kind. */
 export const REASON_HEADER = 'gentiandoor-reason';
 
-/** Makes a `RequestError` of whatever was thrown. */
+/** Converts any thrown value to a `RequestError`, of kind `Internal` unless it is one already. */
 export function toRequestError(thrown: unknown): RequestError {
   if (thrown instanceof RequestError) return thrown;
   const error = toError(thrown);
@@ -21,7 +21,7 @@
   });
 }
 
-/** Headers and body of the answer to an error, the headers as names and values in turn. */
+/** Returns the response to an error; its headers are alternating names and values. */
 export function errorResponse(error: RequestError): {
   readonly status: number;
   readonly headers: string[];
@@ -51,19 +51,19 @@
 }
 
 /**
- * Ends an answer of which a part is out, so that the caller can tell that it is not whole.
+ * Ends a partly sent response so that the caller can tell that it is incomplete.
  *
- * A missing last chunk or a length not reached tells it by itself. An answer to HTTP/1.0 may
- * have neither: its end is the end of the connection, and a clean one would make half an answer
- * look whole. A reset does not. It is kept to that case, since it also throws away bytes
- * of earlier answers that are still on their way.
+ * A missing last chunk or an incomplete length shows this by itself. A response to HTTP/1.0 may
+ * have neither: it ends with its connection, and a clean close would make half a response look
+ * complete. A reset does not. It is used only in that case, since it also discards bytes of
+ * earlier responses that are still in transit.
  */
 export function abortResponse(response: ServerResponse): void {
   if (response.req.httpVersion === '1.0') response.socket?.resetAndDestroy();
   response.destroy();
 }
 
-/** Answers an error, or cuts an answer that has begun. */
+/** Sends an error response, or aborts a response that has already started. */
 export function sendErrorResponse(
   response: ServerResponse,
   error: RequestError,
@@ -79,7 +79,7 @@
   response.end(body);
 }
 
-/** The same as bytes, for a connection that has no response object. */
+/** Returns an error response as bytes, for a connection that has no response object. */
 export function rawErrorResponse(error: RequestError): Buffer {
   const {status, headers, body} = errorResponse(error);
   const lines = [`HTTP/1.1 ${status} ${error.kind}`];
--- a/packages/plugin-caller-http/src/headers.ts
+++ b/packages/plugin-caller-http/src/headers.ts
@@ -1,4 +1,4 @@
-/** Headers of the system itself; a caller or target cannot set them for the other side. */
+/** Prefix of this system's own headers: a caller or target cannot set them for the other side. */
 const RESERVED_PREFIX = 'gentiandoor-';
 
 const HOP_BY_HOP_HEADERS = new Set([
@@ -14,7 +14,7 @@
   'expect',
 ]);
 
-/** Headers that would change how a message is read, were they to come after it. */
+/** Headers that would change how a message is interpreted if they came after it. */
 const FORBIDDEN_TRAILERS = new Set([
   'content-length',
   'content-encoding',
@@ -23,24 +23,24 @@
   'set-cookie',
 ]);
 
-/** Name of this proxy in `Via`. */
+/** Value of this proxy in the `Via` header. */
 const VIA_VALUE = '1.1 gentiandoor';
 
-/** What to do with a header, by its name alone. */
+/** How a header is handled, determined by its name alone. */
 enum HeaderRule {
   Keep,
   Drop,
-  /** `Connection`: dropped, and so is what it names. */
+  /** `Connection`: dropped together with the headers it names. */
   Connection,
 }
 
-/** Bound of the remembered names, which callers choose. */
+/** Limit of the cache of names: callers choose them. */
 const MAXIMUM_CACHED_RULES = 1000;
 const ruleByName = new Map<string, HeaderRule>();
 
 /**
- * Takes out the headers that belong to one connection, those named in `Connection` included,
- * and all of the system's own. `raw` holds names and values in turn.
+ * Removes hop-by-hop headers, including those named in `Connection`, and all of this system's own.
+ * `raw` holds alternating names and values.
  */
 export function endToEndHeaders(raw: readonly string[]): string[] {
   const kept: string[] = [];
@@ -54,10 +54,10 @@
   return named && named.length > 0 ? withoutHeaders(kept, named) : kept;
 }
 
-/** The rule of a name as it was written, remembered: the same few names come all the time. */
+/** Returns the rule for a name, cached as it was written: the same few names recur all the time. */
 function ruleOf(rawName: string): HeaderRule {
-  const known = ruleByName.get(rawName);
-  if (known !== undefined) return known;
+  const cached = ruleByName.get(rawName);
+  if (cached !== undefined) return cached;
   const name = rawName.toLowerCase();
   let rule = HeaderRule.Keep;
   if (name === 'connection') rule = HeaderRule.Connection;
@@ -67,7 +67,7 @@
   return rule;
 }
 
-/** Names in a `Connection` header that are not dropped already. */
+/** Returns the names in a `Connection` header that are not ignored. */
 function connectionOptions(connection: string): string[] {
   return connection
     .split(',')
@@ -84,7 +84,7 @@
   return kept;
 }
 
-/** Trailers that may be passed on. */
+/** Returns the trailers that may be forwarded, as pairs of name and value. */
 export function endToEndTrailers(raw: readonly string[]): [string, string][] {
   const kept = endToEndHeaders(raw);
   const pairs: [string, string][] = [];
@@ -95,7 +95,7 @@
   return pairs;
 }
 
-/** Appends what a target may want to know about the way the request came. */
+/** Appends `Via` and `X-Forwarded-For`, which tell a target how the request arrived. */
 export function addForwardingHeaders(
   headers: string[],
   callerAddress: string | undefined,
@@ -105,7 +105,7 @@
     headers.push('x-forwarded-for', callerAddress);
 }
 
-/** The values of a header, one for each time it stands. */
+/** Returns the values of a header, one for each occurrence. */
 export function headerValues(raw: readonly string[], name: string): string[] {
   const values: string[] = [];
   for (let index = 0; index + 1 < raw.length; index += 2) {
@@ -117,9 +117,9 @@
 }
 
 /**
- * `Connection: content-length` would make this side drop the length that the other side
- * reads by: two readings of one message. The first three stay whatever `Connection` says;
- * the others are dropped already or name no header.
+ * `Connection: content-length` would make this side drop the length that the other side reads by,
+ * and both would interpret the message differently. The first three are kept whatever
+ * `Connection` says; the others are dropped anyway or name no header.
  */
 const IGNORED_CONNECTION_OPTIONS = new Set([
   'host',
--- a/packages/plugin-caller-http/src/held-answer-recorder.ts
+++ b/packages/plugin-caller-http/src/held-answer-recorder.ts
@@ -1,6 +1,6 @@
 import type {HeldAnswer} from '@gentiandoor/shared-state';
 
-/** Keeps a copy of an answer on its way to the caller, as long as it is small enough to hold. */
+/** Copies a response as it is sent to the caller, as long as it is small enough to hold. */
 export class HeldAnswerRecorder {
   private status = 0;
   private headers: readonly string[] = [];
@@ -20,7 +20,7 @@
     else this.chunks.length = 0;
   }
 
-  /** The answer, whole; undefined where it was too large. Valid after its end. */
+  /** The complete response; undefined when it was too large. Valid only after its end. */
   get answer(): HeldAnswer | undefined {
     if (this.status === 0 || this.size > this.maximumBytes) return undefined;
     const body = Buffer.concat(this.chunks);
--- a/packages/plugin-caller-http/src/incoming-request.ts
+++ b/packages/plugin-caller-http/src/incoming-request.ts
@@ -28,7 +28,7 @@
 ]);
 const IDEMPOTENCY_KEY_HEADER = 'idempotency-key';
 const IDEMPOTENCY_KEY_PATTERN = /^[\x21-\x2b\x2d-\x7e]{1,200}$/;
-/** Tells the target which caller of the bundle sent the request. */
+/** Request header that tells the target which caller of the bundle sent the request. */
 const CALLER_HEADER = 'gentiandoor-caller';
 const DOT_SEGMENT = /(^|\/)(\.|%2e){1,2}(\/|$)/i;
 const ABSOLUTE_FORM_PREFIX = /^https?:\/\/[^/?#]*/i;
@@ -39,15 +39,15 @@
   readonly serviceEntry: ServiceEntry;
   readonly method: string;
   readonly path: string;
-  /** Names and values in turn, as they go to the target. */
+  /** Alternating names and values, as sent to the target. */
   readonly headers: string[];
   readonly idempotent: boolean;
   readonly caller: AuthenticatedCaller | undefined;
-  /** Undefined without one, and for idempotent methods, which need none. */
+  /** Undefined when the request has none, and for idempotent methods, which need none. */
   readonly idempotencyKey: string | undefined;
 }
 
-/** What the check of a head needs. */
+/** Services that `HeadCheck` depends on. */
 export interface HeadCheckDependencies {
   readonly callerHttpOptions: CallerHttpOptions;
   readonly callerDirectory: CallerDirectory;
@@ -55,7 +55,7 @@
   readonly sharedState: SharedState;
 }
 
-/** Checks the head of a request before anything of its body is read. */
+/** Checks the head of a request before any of its body is read. */
 export class HeadCheck {
   private readonly dependencies: HeadCheckDependencies;
 
@@ -69,7 +69,7 @@
     );
   }
 
-  /** Throws the `RequestError` that turns the request away. */
+  /** Returns the checked request; throws a `RequestError` that refuses it. */
   check(request: IncomingMessage): IncomingRequest {
     checkHostAndUpgrade(request);
     this.checkContentLength(request);
@@ -81,7 +81,7 @@
     const idempotent = IDEMPOTENT_METHODS.has(method);
     return {
       service,
-      serviceEntry: serviceEntry,
+      serviceEntry,
       method,
       path,
       headers: outgoingHeaders(request, caller),
@@ -99,18 +99,18 @@
     if (length !== undefined && Number(length) > limit) {
       throw new RequestError(
         ErrorKind.BodyTooLarge,
-        `${length} bytes announced, ${limit} allowed`,
+        `the content-length is ${length} bytes, the maximum is ${limit}`,
       );
     }
   }
 
   private serviceEntryOf(service: string): ServiceEntry {
     const {inForce} = this.dependencies.sharedState.state;
-    // The name comes from the caller: `constructor` must not find what objects inherit.
+    // The name comes from the caller: `constructor` must not find an inherited property.
     if (inForce && !Object.hasOwn(inForce.bundle.services, service)) {
       throw new RequestError(
         ErrorKind.UnknownService,
-        `no service "${service}"`,
+        `the bundle in force has no service "${service}"`,
       );
     }
     return this.dependencies.serviceRouter.service(service);
@@ -132,7 +132,7 @@
   }
 }
 
-/** What the parser lets through and two readers could read in two ways. */
+/** Rejects what the parser accepts although two readers could interpret it differently. */
 function checkHostAndUpgrade(request: IncomingMessage): void {
   const hosts = headerValues(request.rawHeaders, 'host');
   if (hosts.length > 1) throw badRequest('more than one Host header');
@@ -146,7 +146,7 @@
   }
 }
 
-/** Some clients offer HTTP/2 with every request and go on without: that is no refusal. */
+/** Some clients offer HTTP/2 with every request and continue without it: they are not refused. */
 function offersOnlyH2c(request: IncomingMessage): boolean {
   return request.headers.upgrade?.trim().toLowerCase() === 'h2c';
 }
@@ -157,13 +157,13 @@
   if (path.startsWith('?')) return `/${path}`;
   if (!path.startsWith('/')) throw badRequest('the path must start with /');
   if (DOT_SEGMENT.test(path.split('?', 1)[0])) {
-    // A target that resolves them could serve what this daemon took for another service.
+    // A target that resolves them could serve a path that this daemon took for another service's.
     throw badRequest('the path must not have . or .. segments');
   }
   return path;
 }
 
-/** The first part of the path names the service. */
+/** Returns the service's name, which is the first segment of the path. */
 function serviceName(path: string): string {
   return /^\/([^/?#]*)/.exec(path)?.[1] ?? '';
 }
@@ -175,7 +175,7 @@
   const headers = endToEndHeaders(request.rawHeaders);
   addForwardingHeaders(headers, request.socket.remoteAddress);
   if (!caller) return headers;
-  // The key is for this daemon; a target needs only the name.
+  // The key is meant for this daemon; a target needs only the caller's name.
   const kept: string[] = [];
   for (let index = 0; index < headers.length; index += 2) {
     if (headers[index].toLowerCase() === 'authorization') continue;
@@ -195,7 +195,10 @@
     throw new RequestError(ErrorKind.KeyRequired, 'no Idempotency-Key header');
   }
   if (values.length > 1)
-    throw new RequestError(ErrorKind.KeyInvalid, 'more than one key');
+    throw new RequestError(
+      ErrorKind.KeyInvalid,
+      'more than one Idempotency-Key header',
+    );
   if (!IDEMPOTENCY_KEY_PATTERN.test(values[0])) {
     throw new RequestError(
       ErrorKind.KeyInvalid,
@@ -209,7 +212,7 @@
   return new RequestError(ErrorKind.BadRequest, detail);
 }
 
-/** Whether the request asks to be run at most once under its key. */
+/** Returns whether the request is to be run at most once under its key. */
 export function isKeyed(request: IncomingMessage): boolean {
   if (IDEMPOTENT_METHODS.has(request.method ?? '')) return false;
   return request.headers[IDEMPOTENCY_KEY_HEADER] !== undefined;
--- a/packages/plugin-caller-http/src/index.ts
+++ b/packages/plugin-caller-http/src/index.ts
@@ -19,7 +19,7 @@
 export {LEAVING_HEADER} from './response-forwarder.js';
 export {REPLAYED_HEADER} from './keyed-requests.js';
 
-/** Registers the edge to callers. */
+/** Registers the HTTP server for callers and the services that route their requests. */
 export function registerCallerHttp(registry: PluginRegistry): void {
   registry.add({
     name: 'caller-http',
--- a/packages/plugin-caller-http/src/keyed-requests.ts
+++ b/packages/plugin-caller-http/src/keyed-requests.ts
@@ -19,19 +19,19 @@
   RequestDispatcher,
 } from './request-dispatcher.js';
 
-/** Says that the answer is the one that an earlier request with the key got. */
+/** Response header that marks a replay of the response to an earlier request with the key. */
 export const REPLAYED_HEADER = 'gentiandoor-replayed';
-/** Callers without a key of the bundle share this one: they cannot be told apart. */
+/** Callers that are not in the bundle share this name: they cannot be distinguished. */
 const ANONYMOUS_CALLER = '';
 
-/** What keyed requests need. */
+/** Services that `KeyedRequests` depends on. */
 export interface KeyedRequestsDependencies {
   readonly callerHttpOptions: CallerHttpOptions;
   readonly onceOnly: IdempotencyGuard;
   readonly requestDispatcher: RequestDispatcher;
 }
 
-/** Runs a request under its idempotency key: claim, then slot, then dispatch. */
+/** Runs a request under its idempotency key: first the claim, then a slot, then the dispatch. */
 export class KeyedRequests {
   private readonly dependencies: KeyedRequestsDependencies;
 
@@ -44,11 +44,11 @@
     );
   }
 
-  /** Resolves when the caller has a whole answer, of now or of then; throws `RequestError`. */
+  /** Resolves when the caller has a complete response, new or replayed; throws `RequestError`. */
   async send(
     request: DispatchableRequest,
     key: string,
-    caller: CallerResponseWriter,
+    responseWriter: CallerResponseWriter,
   ): Promise<void> {
     const decision = await this.dependencies.onceOnly.begin(
       {
@@ -57,15 +57,16 @@
         key,
         fingerprint: fingerprintOf(request),
       },
-      caller.callerGoneSignal,
+      responseWriter.callerGoneSignal,
     );
-    if (decision.run) await this.runWithClaim(request, caller, decision.claim);
-    else this.replay(caller, decision.answer);
+    if (decision.run)
+      await this.runWithClaim(request, responseWriter, decision.claim);
+    else this.replay(responseWriter, decision.answer);
   }
 
   private async runWithClaim(
     request: DispatchableRequest,
-    caller: CallerResponseWriter,
+    responseWriter: CallerResponseWriter,
     claim: ClaimHandle,
   ): Promise<void> {
     const {callerHttpOptions, requestDispatcher} = this.dependencies;
@@ -73,7 +74,7 @@
       callerHttpOptions.held_answer_bytes,
     );
     try {
-      await requestDispatcher.send(request, caller, recorder);
+      await requestDispatcher.send(request, responseWriter, recorder);
     } catch (error) {
       settleClaim(claim, toRequestError(error).run, recorder);
       throw error;
@@ -81,18 +82,21 @@
     claim.finish(recorder.answer);
   }
 
-  private replay(caller: CallerResponseWriter, answer: HeldAnswer): void {
-    caller.writeHead(answer.status, [
+  private replay(
+    responseWriter: CallerResponseWriter,
+    answer: HeldAnswer,
+  ): void {
+    responseWriter.writeHead(answer.status, [
       ...answer.headers,
       REPLAYED_HEADER,
       'yes',
     ]);
-    caller.writeData(Buffer.from(answer.body));
-    caller.end([]);
+    responseWriter.writeData(Buffer.from(answer.body));
+    responseWriter.end([]);
   }
 }
 
-/** The one place that ends a claim after a failure. */
+/** Ends a claim after a failure; this is the only place that does so. */
 function settleClaim(
   claim: ClaimHandle,
   run: RequestExecution,
@@ -103,13 +107,13 @@
   else claim.lose();
 }
 
-/** Digest of method, path and body; the lengths keep one from running into the next. */
+/** Returns a digest of method, path and body; the separators keep them from running together. */
 function fingerprintOf(request: DispatchableRequest): string {
   const {method, path, body} = request;
   if (body !== null && !(body instanceof Uint8Array)) {
     throw new RequestError(
       ErrorKind.BodyTooLarge,
-      'a request with an idempotency key must fit into keyed_body_bytes',
+      'the body of a request with an idempotency key must fit into keyed_body_bytes',
     );
   }
   const hash = createHash('sha256').update(`${method} ${path}\n`);
--- a/packages/plugin-caller-http/src/load-summary-broadcaster.ts
+++ b/packages/plugin-caller-http/src/load-summary-broadcaster.ts
@@ -8,22 +8,25 @@
 import {PeerTopic, type PeerLinks} from '@gentiandoor/shared-state';
 import type {PoolTable} from './pool-table.js';
 
-/** Receivers drop what says that it holds for longer. */
+/** Receivers drop a summary whose expiry is longer than this. */
 const MAXIMUM_EXPIRY_MILLISECONDS = 60_000;
 const countSchema = z.number().int().nonnegative();
 
-/** One pool in a summary: whether requests wait, uses by VM, and VMs that said they are leaving. */
+/**
+ * Load of one pool: whether requests are waiting, in-flight exchanges by VM, and the VMs that have
+ * announced that they are leaving.
+ */
 const poolSummarySchema = z.object({
   waiting: z.boolean(),
   uses: z.array(z.tuple([z.string(), countSchema])),
   leaving: z.array(z.string()),
 });
 
-/** What a daemon tells its peers of its load. */
+/** Load that a daemon reports to its peers. */
 const loadSummarySchema = z.object({
   pools: z.record(z.string(), poolSummarySchema),
   teams: z.array(z.tuple([z.string(), countSchema])),
-  /** Milliseconds after which the summary says nothing any more. */
+  /** Milliseconds after which receivers no longer use the summary. */
   expiryMilliseconds: z.number().positive().max(MAXIMUM_EXPIRY_MILLISECONDS),
 });
 type LoadSummary = z.output<typeof loadSummarySchema>;
@@ -34,11 +37,11 @@
   readonly inFlight: number;
 }
 
-/** Five exchanges of 50 ms: shares follow a change of load within a few of them. */
+/** Five exchanges of 50 ms: slot shares follow a change of load within a few exchanges. */
 const MINIMUM_INTERVAL_MILLISECONDS = 250;
-/** Requests that begin to wait are told of at once, but no more often than this. */
+/** A summary is sent early when requests start to wait, but only this long after the last one. */
 const MINIMUM_EARLY_INTERVAL_MILLISECONDS = 100;
-/** Bytes a second to all peers; the rest of a node's 7 KB/s is for the log and keyed requests. */
+/** Limit for all peers together; the rest of a node's 7 KB/s is for the log and keyed requests. */
 const BYTES_PER_SECOND = 4000;
 const BYTES_PER_USAGE_ENTRY = 12;
 const BYTES_PER_SUMMARY_HEAD = 60;
@@ -46,8 +49,8 @@
 const MILLISECONDS_PER_SECOND = 1000;
 
 /**
- * Tells peers what this daemon uses of targets and quotas, as often as its part of the network
- * allows, and only while it has work; takes in what they tell.
+ * Broadcasts this daemon's use of targets and quotas to its peers, and applies their summaries.
+ * Summaries are sent as often as the bandwidth limit allows, and only while there is work.
  */
 export class LoadSummaryBroadcaster {
   private timer: Timer | undefined;
@@ -67,12 +70,12 @@
     });
   }
 
-  /** There is work: summaries go out until it ends. */
+  /** Starts sending summaries; they stop when there is no work left. */
   start(): void {
     if (!this.timer) this.scheduleTick(MINIMUM_INTERVAL_MILLISECONDS);
   }
 
-  /** Requests begin to wait: peers learn it before the next turn. */
+  /** Sends a summary ahead of the regular interval, because requests have started to wait. */
   sendEarly(): void {
     const now = this.clock.monotonicMilliseconds();
     if (now - this.lastSentAt < MINIMUM_EARLY_INTERVAL_MILLISECONDS) return;
@@ -89,19 +92,19 @@
     this.lastSentAt = this.clock.monotonicMilliseconds();
     this.onTick();
     const peers = this.peerLinks.connected().length;
-    const mostUses = maximumUsageEntries(peers);
-    const pause = intervalMilliseconds(
-      Math.min(this.countUsageEntries(), mostUses),
+    const maximumEntries = maximumUsageEntries(peers);
+    const interval = intervalMilliseconds(
+      Math.min(this.countUsageEntries(), maximumEntries),
       peers,
     );
     if (peers > 0) {
       const message = this.createSummary(
-        pause * INTERVALS_PER_EXPIRY,
-        mostUses,
+        interval * INTERVALS_PER_EXPIRY,
+        maximumEntries,
       );
       this.peerLinks.broadcast(PeerTopic.TargetSummary, message);
     }
-    if (this.hasWork()) this.scheduleTick(pause);
+    if (this.hasWork()) this.scheduleTick(interval);
   }
 
   private hasWork(): boolean {
@@ -112,23 +115,23 @@
   }
 
   private countUsageEntries(): number {
-    let uses = 0;
-    for (const [, pool] of this.pools.entries()) uses += pool.usage().size;
-    return uses;
+    let entries = 0;
+    for (const [, pool] of this.pools.entries()) entries += pool.usage().size;
+    return entries;
   }
 
   /**
-   * Of more uses than may be told, the busiest targets are told. A summary of all of them would
-   * have to hold for minutes to keep to its bytes, and receivers drop what is that old.
+   * Includes only the busiest targets when there are more than fit. A summary of all targets would
+   * need an expiry of minutes to stay within the bandwidth limit, and receivers drop those.
    */
   private createSummary(
     expiryMilliseconds: number,
-    mostUses: number,
+    maximumEntries: number,
   ): LoadSummary {
     const pools: LoadSummary['pools'] = {};
-    const told = this.busiestUsageByPool(mostUses);
+    const usageByPool = this.busiestUsageByPool(maximumEntries);
     for (const [name, pool] of this.pools.entries()) {
-      const uses = told.get(name) ?? [];
+      const uses = usageByPool.get(name) ?? [];
       const leaving = pool.leavingTargets();
       if (uses.length === 0 && leaving.length === 0) continue;
       pools[name] = {
@@ -140,26 +143,26 @@
     return {pools, teams: [...this.quota.usage()], expiryMilliseconds};
   }
 
-  /** Uses by pool, of the busiest targets where there are more than may be told. */
+  /** Returns usage by pool, limited to the busiest targets where there are more than fit. */
   private busiestUsageByPool(
-    mostUses: number,
+    maximumEntries: number,
   ): Map<string, Array<[string, number]>> {
-    const all: TargetUsage[] = [];
-    for (const [pool, slots] of this.pools.entries())
-      for (const [id, {inFlight}] of slots.usage())
-        all.push({pool, id, inFlight});
-    if (all.length > mostUses)
-      all.sort((left, right) => right.inFlight - left.inFlight);
-    const told = new Map<string, Array<[string, number]>>();
-    for (const {pool, id, inFlight} of all.slice(0, mostUses)) {
-      const uses = told.get(pool) ?? [];
+    const targets: TargetUsage[] = [];
+    for (const [pool, slotPool] of this.pools.entries())
+      for (const [id, {inFlight}] of slotPool.usage())
+        targets.push({pool, id, inFlight});
+    if (targets.length > maximumEntries)
+      targets.sort((left, right) => right.inFlight - left.inFlight);
+    const usageByPool = new Map<string, Array<[string, number]>>();
+    for (const {pool, id, inFlight} of targets.slice(0, maximumEntries)) {
+      const uses = usageByPool.get(pool) ?? [];
       uses.push([id, inFlight]);
-      told.set(pool, uses);
+      usageByPool.set(pool, uses);
     }
-    return told;
+    return usageByPool;
   }
 
-  /** A malformed summary is dropped: shares go on by what targets answer. */
+  /** Drops a malformed summary: slot shares then follow the targets' responses alone. */
   private receive(peer: string, message: unknown): void {
     const parsed = loadSummarySchema.safeParse(message);
     if (!parsed.success) return;
@@ -185,17 +188,18 @@
   return new Map(uses.map(([key, inFlight]) => [key, {inFlight, waiting}]));
 }
 
-/** Uses in a summary so that it need not hold for longer than receivers believe. */
+/** Returns how many usage entries fit without a longer expiry than receivers accept. */
 function maximumUsageEntries(peers: number): number {
-  const pause = MAXIMUM_EXPIRY_MILLISECONDS / INTERVALS_PER_EXPIRY;
-  const bytes = (BYTES_PER_SECOND * pause) / MILLISECONDS_PER_SECOND;
-  const each = bytes / Math.max(1, peers) - BYTES_PER_SUMMARY_HEAD;
-  return Math.max(1, Math.floor(each / BYTES_PER_USAGE_ENTRY));
+  const interval = MAXIMUM_EXPIRY_MILLISECONDS / INTERVALS_PER_EXPIRY;
+  const bytes = (BYTES_PER_SECOND * interval) / MILLISECONDS_PER_SECOND;
+  const bytesPerPeer = bytes / Math.max(1, peers) - BYTES_PER_SUMMARY_HEAD;
+  return Math.max(1, Math.floor(bytesPerPeer / BYTES_PER_USAGE_ENTRY));
 }
 
-/** Milliseconds between summaries: longer where there is more to tell, or more peers. */
-function intervalMilliseconds(uses: number, peers: number): number {
-  const bytes = (BYTES_PER_SUMMARY_HEAD + uses * BYTES_PER_USAGE_ENTRY) * peers;
+/** Returns the time between summaries: longer with more entries or more peers. */
+function intervalMilliseconds(entries: number, peers: number): number {
+  const bytes =
+    (BYTES_PER_SUMMARY_HEAD + entries * BYTES_PER_USAGE_ENTRY) * peers;
   const needed = (bytes / BYTES_PER_SECOND) * MILLISECONDS_PER_SECOND;
   return Math.max(MINIMUM_INTERVAL_MILLISECONDS, needed);
 }
--- a/packages/plugin-caller-http/src/pending-slot-request.ts
+++ b/packages/plugin-caller-http/src/pending-slot-request.ts
@@ -11,7 +11,7 @@
 } from '@gentiandoor/decisions';
 import type {HeldSlot} from './service-router.js';
 
-/** What a pool decides by. */
+/** Fields of a slot request that a pool bases its decision on. */
 export type SlotRequestFields = Omit<SlotRequest, 'grant' | 'refuse'>;
 
 const ERROR_KIND_BY_REJECTION: Readonly<
@@ -22,7 +22,7 @@
   [QueueRejectionReason.StandingQueue]: ErrorKind.QueueDropped,
 };
 
-/** A request that asked a pool for a slot and is granted or refused once. */
+/** A request for a slot of a pool, which is granted or refused once. */
 export class PendingSlotRequest implements SlotRequest {
   readonly service: string;
   readonly queueLimit: number;
@@ -33,24 +33,24 @@
   readonly tried: ReadonlySet<string> | undefined;
   readonly enqueuedAt: number;
   readonly deadline: number;
-  /** Whether it is neither granted nor refused. */
+  /** True until the request is granted, refused or cancelled. */
   isWaiting = true;
   private removeAbortListener: (() => void) | undefined;
 
   constructor(
-    terms: SlotRequestFields,
+    fields: SlotRequestFields,
     private readonly onGranted: (slot: PoolSlot) => void,
     private readonly onRejected: (error: RequestError) => void,
   ) {
-    this.service = terms.service;
-    this.queueLimit = terms.queueLimit;
-    this.work = terms.work;
-    this.team = terms.team;
-    this.caller = terms.caller;
-    this.idempotent = terms.idempotent;
-    this.tried = terms.tried;
-    this.enqueuedAt = terms.enqueuedAt;
-    this.deadline = terms.deadline;
+    this.service = fields.service;
+    this.queueLimit = fields.queueLimit;
+    this.work = fields.work;
+    this.team = fields.team;
+    this.caller = fields.caller;
+    this.idempotent = fields.idempotent;
+    this.tried = fields.tried;
+    this.enqueuedAt = fields.enqueuedAt;
+    this.deadline = fields.deadline;
   }
 
   grant(slot: PoolSlot): void {
@@ -64,8 +64,8 @@
   }
 
   /**
-   * Gives the place in the queue up when the caller goes: a caller that left would hold a place,
-   * and then a slot, in front of those that still wait.
+   * Cancels the request when the caller disconnects. Otherwise it would hold a place in the queue,
+   * and then a slot, ahead of callers that still wait.
    */
   cancelOnAbort(signal: AbortSignal | undefined, pool: SlotPool): void {
     if (!signal) return;
@@ -90,7 +90,7 @@
   }
 }
 
-/** A pool's slot as the caller's edge holds it. */
+/** Wraps a slot of a pool for one exchange; it is released at most once. */
 export class RoutedSlot implements HeldSlot {
   private isReleased = false;
 
@@ -107,7 +107,7 @@
     return this.slot.target.address;
   }
 
-  /** As many as exchanges: eight daemons with eight slots each fill the 64 connections. */
+  /** At most one per exchange: eight daemons with eight slots each fill the 64 connections. */
   get connections(): number {
     const {slots, connections} = this.slot.target;
     return Math.min(slots, connections);
@@ -130,12 +130,12 @@
 }
 
 function refusalError(refusal: SlotRefusal): RequestError {
-  const {reason, isQuotaExhausted: quotaHeld, retryAfterSeconds} = refusal;
+  const {reason, isQuotaExhausted, retryAfterSeconds} = refusal;
   if (reason === undefined) {
     const detail = 'no VM can take the request';
     return new RequestError(ErrorKind.NoTarget, detail, {retryAfterSeconds});
   }
-  const kind = quotaHeld
+  const kind = isQuotaExhausted
     ? ErrorKind.QuotaExceeded
     : ERROR_KIND_BY_REJECTION[reason];
   const detail = `turned away: ${reason}`;
--- a/packages/plugin-caller-http/src/pool-table.ts
+++ b/packages/plugin-caller-http/src/pool-table.ts
@@ -21,7 +21,7 @@
 } from '@gentiandoor/shared-state';
 import {RoutingEvents} from './routing-events.js';
 
-/** What the table needs. */
+/** Services that `PoolTable` depends on. */
 export interface PoolTableDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -35,20 +35,20 @@
 interface RoutedPool {
   readonly slotPool: SlotPool;
   readonly routableTargets: RoutableTargets;
-  /** What its targets were worked out from last. */
+  /** Inputs of the last selection of targets, which is repeated only when they change. */
   inputs: readonly unknown[];
 }
 
-/** Changes that come together are taken in together. */
+/** Delay before a refresh, so that changes that arrive together are applied together. */
 const REFRESH_DELAY_MILLISECONDS = 20;
-/** VMs looked at before other work gets its turn: well under a millisecond. */
+/** VMs examined before other work gets its turn: well under a millisecond. */
 const VMS_PER_SLICE = 500;
-/** How often a pool is looked at again while it keeps a VM that the list no longer shows. */
+/** Interval of refreshes while a pool retains a VM that the list no longer shows. */
 const MISSING_VM_REFRESH_MILLISECONDS = 500;
 
 /**
- * The pools that this daemon has had requests for, each with its routable targets. Targets are
- * worked out when log or list change, never for a request.
+ * Holds the pools that this daemon has had requests for, each with its routable targets. Targets
+ * are selected when the log or the VM list changes, never per request.
  */
 export class PoolTable {
   private readonly pools = new Map<string, RoutedPool>();
@@ -70,7 +70,7 @@
 
   /**
    * Most records change no VM's owner or drain: acknowledgements, jobs, members, the planner's
-   * renewals. Working all targets out for each of them took more of a core than all else.
+   * renewals. Selecting all targets again for each of them took more of a core than all other work.
    */
   private refreshIfVmsChanged(): void {
     const {vms, inForce} = this.dependencies.sharedState.state;
@@ -82,20 +82,20 @@
     this.scheduleRefresh(REFRESH_DELAY_MILLISECONDS);
   }
 
-  /** Pools in use by name. */
+  /** Returns the pools in use, each with its name. */
   entries(): IterableIterator<[string, SlotPool]> {
     return this.slotPools();
   }
 
-  /** A pool in use; undefined when no request has asked for it. */
+  /** Returns a pool in use, or undefined when no request has needed it. */
   get(name: string): SlotPool | undefined {
     return this.pools.get(name)?.slotPool;
   }
 
-  /** The pool of that name, made on first use. */
+  /** Returns the pool of that name, which is created on first use. */
   getOrCreate(name: string): SlotPool {
-    const known = this.pools.get(name);
-    if (known) return known.slotPool;
+    const existing = this.pools.get(name);
+    if (existing) return existing.slotPool;
     const pool = this.create(name);
     this.pools.set(name, pool);
     this.refresh(name, pool);
@@ -103,7 +103,7 @@
   }
 
   private *slotPools(): IterableIterator<[string, SlotPool]> {
-    for (const [name, {slotPool: slots}] of this.pools) yield [name, slots];
+    for (const [name, {slotPool}] of this.pools) yield [name, slotPool];
   }
 
   private create(name: string): RoutedPool {
@@ -120,7 +120,7 @@
       onEjectionStateChange: change => events.onEjectionStateChange(change),
     });
     return {
-      slotPool: slotPool,
+      slotPool,
       routableTargets: new RoutableTargets(identity.dataCentre),
       inputs: [],
     };
@@ -136,35 +136,39 @@
   }
 
   /**
-   * A pass over 31,000 VMs in one go would hold up every request in flight for its whole time, so
-   * that it is done in slices. A change that comes during a pass starts another one behind it.
+   * Refreshes pools in slices: a single pass over 31,000 VMs would block every request in flight
+   * until it ends. A change that arrives during a pass starts another one after it.
    */
-  private refreshSlice(rest: IterableIterator<[string, RoutedPool]>): void {
-    let looked = 0;
-    for (let next = rest.next(); !next.done; next = rest.next()) {
+  private refreshSlice(
+    remaining: IterableIterator<[string, RoutedPool]>,
+  ): void {
+    let examinedVms = 0;
+    for (let next = remaining.next(); !next.done; next = remaining.next()) {
       const [name, pool] = next.value;
-      looked += this.refresh(name, pool);
-      if (looked < VMS_PER_SLICE) continue;
-      this.dependencies.clock.schedule(0, () => this.refreshSlice(rest));
+      examinedVms += this.refresh(name, pool);
+      if (examinedVms < VMS_PER_SLICE) continue;
+      this.dependencies.clock.schedule(0, () => this.refreshSlice(remaining));
       return;
     }
   }
 
-  /** Returns how many VMs it looked at. */
+  /** Selects a pool's targets again if its inputs changed. Returns how many VMs it examined. */
   private refresh(name: string, pool: RoutedPool): number {
     const {clock, sharedState} = this.dependencies;
-    const {slotPool: slots, routableTargets: routable} = pool;
+    const {slotPool, routableTargets} = pool;
     const entry = sharedState.state.inForce?.bundle.pools[name];
     const ids = entry ? this.vmIdsOf(name) : [];
     const inputs = this.inputsOf(ids, entry);
-    // Most changes are about other pools: their records are the same objects as before.
-    if (!routable.retainsMissing && hasSameItems(inputs, pool.inputs))
+    // Most changes concern other pools: this pool's records are then the same objects as before.
+    if (!routableTargets.retainsMissing && hasSameItems(inputs, pool.inputs))
       return ids.length;
     pool.inputs = inputs;
-    const facts = this.poolVmsOf(ids, slots);
+    const poolVms = this.poolVmsOf(ids, slotPool);
     const now = clock.monotonicMilliseconds();
-    slots.setTargets(routable.select(facts, targetLimitsOf(entry), now));
-    if (routable.retainsMissing)
+    slotPool.setTargets(
+      routableTargets.select(poolVms, targetLimitsOf(entry), now),
+    );
+    if (routableTargets.retainsMissing)
       this.scheduleRefresh(MISSING_VM_REFRESH_MILLISECONDS);
     return ids.length;
   }
@@ -186,7 +190,7 @@
     return inputs;
   }
 
-  private poolVmsOf(ids: readonly string[], slots: SlotPool): PoolVm[] {
+  private poolVmsOf(ids: readonly string[], slotPool: SlotPool): PoolVm[] {
     const {sharedState, vmList} = this.dependencies;
     const listed = vmList.current();
     return ids.map(id => {
@@ -200,7 +204,7 @@
           rack: vm.rack,
           isLeaving: vm.state === ListedState.Leaving,
         },
-        lastAnswerAt: slots.lastAnswerAt(id),
+        lastAnswerAt: slotPool.lastAnswerAt(id),
       };
     });
   }
@@ -218,13 +222,13 @@
   return {slots: entry?.slots ?? 0, connections: entry?.connections ?? 0};
 }
 
-/** VMs by the pool that owns them. */
+/** Groups the ids of all VMs by the pool that owns them. */
 function groupVmIdsByPool({state}: SharedState): Map<string, string[]> {
-  const owners = new Map<string, string[]>();
+  const vmIdsByPool = new Map<string, string[]>();
   for (const {id, pool} of state.vms.values()) {
-    const ids = owners.get(pool) ?? [];
+    const ids = vmIdsByPool.get(pool) ?? [];
     ids.push(id);
-    owners.set(pool, ids);
+    vmIdsByPool.set(pool, ids);
   }
-  return owners;
+  return vmIdsByPool;
 }
--- a/packages/plugin-caller-http/src/refusal-journal.ts
+++ b/packages/plugin-caller-http/src/refusal-journal.ts
@@ -6,9 +6,9 @@
   type RequestError,
 } from '@gentiandoor/kernel';
 
-/** Refusals of one kind are written down once in this time, with their number. */
+/** Refusals of one service and kind are recorded at most once per interval, with their count. */
 const RECORD_INTERVAL_MILLISECONDS = 1000;
-/** Services and kinds remembered; names come from callers and must not fill the memory. */
+/** Maximum pairs of service and kind; names come from callers and must not fill the memory. */
 const MAXIMUM_COUNTERS = 1000;
 
 interface RefusalCounter {
@@ -18,8 +18,8 @@
 }
 
 /**
- * Writes down why requests were refused, so that `explain service NAME` shows it. Under
- * saturation thousands are refused a second: an entry for each would push all else out.
+ * Records why requests were refused, so that `explain service NAME` shows it. Under saturation
+ * thousands are refused per second: an entry for each would evict all other decisions.
  */
 export class RefusalJournal {
   private readonly counters = new Map<string, RefusalCounter>();
@@ -31,13 +31,13 @@
 
   record(service: string, error: RequestError): void {
     const now = this.clock.monotonicMilliseconds();
-    const noted = this.counterOf(service, error.kind);
-    noted.count++;
-    if (now - noted.lastRecordedAt < RECORD_INTERVAL_MILLISECONDS) return;
+    const counter = this.counterOf(service, error.kind);
+    counter.count++;
+    if (now - counter.lastRecordedAt < RECORD_INTERVAL_MILLISECONDS) return;
     this.decisionJournal.record({
       subject: SubjectKind.Service,
       id: service,
-      decision: `refused ${noted.count} requests with ${error.kind}`,
+      decision: `refused ${counter.count} requests with ${error.kind}`,
       rule: 'the table of error kinds (docs/errors.md)',
       cause: error.message,
       evidence: {
@@ -45,17 +45,17 @@
         retryAfterSeconds: error.retryAfterSeconds ?? 'none',
       },
     });
-    noted.lastRecordedAt = now;
-    noted.count = 0;
+    counter.lastRecordedAt = now;
+    counter.count = 0;
   }
 
   private counterOf(service: string, kind: ErrorKind): RefusalCounter {
     const key = `${kind} ${service}`;
-    const known = this.counters.get(key);
-    if (known) return known;
+    const existing = this.counters.get(key);
+    if (existing) return existing;
     if (this.counters.size >= MAXIMUM_COUNTERS) this.counters.clear();
-    const entry: RefusalCounter = {lastRecordedAt: -Infinity, count: 0};
-    this.counters.set(key, entry);
-    return entry;
+    const counter: RefusalCounter = {lastRecordedAt: -Infinity, count: 0};
+    this.counters.set(key, counter);
+    return counter;
   }
 }
--- a/packages/plugin-caller-http/src/request-dispatcher.ts
+++ b/packages/plugin-caller-http/src/request-dispatcher.ts
@@ -25,24 +25,24 @@
   ServiceRouter,
 } from './service-router.js';
 
-/** A request that is ready for a target. */
+/** A checked request with its body and deadline, ready to be sent to a target. */
 export interface DispatchableRequest extends IncomingRequest {
   readonly body: OutgoingBody;
-  /** Monotonic milliseconds at which the caller is told that no answer came. */
+  /** Monotonic milliseconds at which the caller is told that no response arrived in time. */
   readonly deadline: number;
 }
 
-/** What sending a request needs. */
+/** Services that `RequestDispatcher` depends on. */
 export interface RequestDispatcherDependencies {
   readonly clock: Clock;
   readonly serviceRouter: Pick<ServiceRouter, 'acquire' | 'judgeRetry'>;
   readonly targetTransport: TargetTransport;
 }
 
-/** Slots in a row that stop being routable between choice and dispatch. */
+/** Maximum slots in a row that may stop being routable between selection and dispatch. */
 const MAXIMUM_UNROUTABLE_SLOTS = 8;
 
-/** Sends a request to a target, and to another one where that cannot run it twice. */
+/** Sends a request to a target, and retries it on another one where that cannot run it twice. */
 export class RequestDispatcher {
   private readonly dependencies: RequestDispatcherDependencies;
 
@@ -56,49 +56,56 @@
   }
 
   /**
-   * Resolves when the target's whole answer was handed to the caller; throws the
-   * `RequestError` to answer otherwise, with what is known of all attempts.
+   * Resolves when the target's complete response was handed to the caller. Otherwise throws the
+   * `RequestError` to respond with, which takes all attempts into account.
    */
   async send(
     request: DispatchableRequest,
-    caller: CallerResponseWriter,
+    responseWriter: CallerResponseWriter,
     recorder?: HeldAnswerRecorder,
   ): Promise<void> {
-    const wish = new RoutedRequest(request, caller);
+    const routedRequest = new RoutedRequest(request, responseWriter);
     let mayHaveRun = false;
     for (let attempts = 1; ; attempts++) {
-      const result = await this.attempt(wish, recorder);
+      const result = await this.attempt(routedRequest, recorder);
       if (!result.failure) return;
       const failure: RequestError = mayHaveRun
         ? withUnknownOutcome(result.failure)
         : result.failure;
-      if (!this.shouldRetry(wish, result, attempts)) throw failure;
+      if (!this.shouldRetry(routedRequest, result, attempts)) throw failure;
       mayHaveRun = failure.run !== RequestExecution.NotRun;
     }
   }
 
   private async attempt(
-    wish: RoutedRequest,
+    routedRequest: RoutedRequest,
     recorder: HeldAnswerRecorder | undefined,
   ): Promise<AttemptResult> {
     let slot: HeldSlot;
     try {
-      slot = await this.acquire(wish);
+      slot = await this.acquire(routedRequest);
     } catch (error) {
       if (error instanceof RequestError) return exchangeNotStarted(error);
       throw error;
     }
     try {
-      return await this.exchange(wish, recorder, slot);
+      return await this.exchange(routedRequest, recorder, slot);
     } finally {
       slot.release();
     }
   }
 
-  /** The list or a drain may have changed since the choice, while the request waited. */
-  private async acquire(wish: RoutedRequest): Promise<HeldSlot> {
-    for (let lost = 0; lost < MAXIMUM_UNROUTABLE_SLOTS; lost++) {
-      const slot = await this.dependencies.serviceRouter.acquire(wish);
+  /**
+   * Acquires a slot that is still routable: while the request waited, the VM list or a drain may
+   * have changed after the target was chosen.
+   */
+  private async acquire(routedRequest: RoutedRequest): Promise<HeldSlot> {
+    for (
+      let unroutableSlots = 0;
+      unroutableSlots < MAXIMUM_UNROUTABLE_SLOTS;
+      unroutableSlots++
+    ) {
+      const slot = await this.dependencies.serviceRouter.acquire(routedRequest);
       if (slot.isRoutable()) return slot;
       slot.release();
     }
@@ -106,13 +113,13 @@
   }
 
   private async exchange(
-    wish: RoutedRequest,
+    routedRequest: RoutedRequest,
     recorder: HeldAnswerRecorder | undefined,
     slot: HeldSlot,
   ): Promise<AttemptResult> {
-    const {request, responseWriter: caller} = wish;
+    const {request, responseWriter} = routedRequest;
     const {clock, targetTransport} = this.dependencies;
-    if (caller.isCallerGone)
+    if (responseWriter.isCallerGone)
       return exchangeNotStarted(callerGoneError(RequestExecution.NotRun));
     const start = clock.monotonicMilliseconds();
     const responseHeadTimeoutMilliseconds = Math.ceil(request.deadline - start);
@@ -122,9 +129,9 @@
         new RequestError(ErrorKind.QueueTimeout, detail),
       );
     }
-    wish.tried ??= new Set();
-    wish.tried.add(slot.id);
-    const forwarder = new ResponseForwarder(caller, recorder, clock);
+    routedRequest.tried ??= new Set();
+    routedRequest.tried.add(slot.id);
+    const forwarder = new ResponseForwarder(responseWriter, recorder, clock);
     const {method, path, headers, body, idempotent} = request;
     const exchange = targetTransport.startExchange(
       slot,
@@ -134,15 +141,19 @@
         headers,
         body,
         idempotent,
-        responseHeadTimeoutMilliseconds: responseHeadTimeoutMilliseconds,
+        responseHeadTimeoutMilliseconds,
       },
       forwarder,
     );
-    // A non-idempotent request that a target may be running is not stopped by closing its
-    // connection. Freeing the slot while the target still works would give it more than its
-    // slots, and the answer, once it comes, serves the caller's retry under the same key.
-    caller.attach(exchange, !idempotent);
-    const result = toAttemptResult(await exchange.done, forwarder, caller);
+    // Closing the connection does not stop a non-idempotent request that a target may be running.
+    // Releasing the slot while the target still works would give it more requests than it has
+    // slots, and its response, once received, can be replayed to a retry under the same key.
+    responseWriter.attach(exchange, !idempotent);
+    const result = toAttemptResult(
+      await exchange.done,
+      forwarder,
+      responseWriter,
+    );
     const end = forwarder.headReceivedAt ?? clock.monotonicMilliseconds();
     if (result.outcome !== undefined) {
       slot.report({
@@ -155,28 +166,32 @@
   }
 
   private shouldRetry(
-    {request, responseWriter: caller}: RoutedRequest,
+    {request, responseWriter}: RoutedRequest,
     {outcome, sent}: AttemptResult,
     attempts: number,
   ): boolean {
-    if (outcome === undefined || caller.isCallerGone || caller.hasSentHead)
+    if (
+      outcome === undefined ||
+      responseWriter.isCallerGone ||
+      responseWriter.hasSentHead
+    )
       return false;
     if (!canBeSentAgain(request.body)) return false;
     const now = this.dependencies.clock.monotonicMilliseconds();
     if (now >= request.deadline) return false;
     const {service, idempotent} = request;
-    const question = {kind: outcome, sent, idempotent, attempts};
-    const verdict = this.dependencies.serviceRouter.judgeRetry(
+    const failedAttempt = {kind: outcome, sent, idempotent, attempts};
+    const decision = this.dependencies.serviceRouter.judgeRetry(
       service,
-      question,
+      failedAttempt,
     );
-    return verdict === RetryDecision.Retry;
+    return decision === RetryDecision.Retry;
   }
 }
 
-/** A request as the router sees it. */
+/** Presents a request and its response writer to the router. */
 class RoutedRequest implements AcquireRequest {
-  /** Undefined on the first attempt. */
+  /** Ids of the targets tried so far; undefined on the first attempt. */
   tried: Set<string> | undefined;
 
   constructor(
@@ -204,7 +219,7 @@
     return this.request.deadline;
   }
 
-  /** Made only when the router asks, that is, when the request has to wait. */
+  /** Created only when the router reads it, that is, when the request has to wait. */
   get signal(): AbortSignal {
     return this.responseWriter.callerGoneSignal;
   }
--- a/packages/plugin-caller-http/src/request-handler.ts
+++ b/packages/plugin-caller-http/src/request-handler.ts
@@ -25,7 +25,7 @@
 import {RefusalJournal} from './refusal-journal.js';
 import type {RequestDispatcher} from './request-dispatcher.js';
 
-/** What a request needs. */
+/** Services that `RequestHandler` depends on. */
 export interface RequestHandlerDependencies {
   readonly clock: Clock;
   readonly logger: Logger;
@@ -37,9 +37,9 @@
   readonly decisionJournal: DecisionJournal;
 }
 
-/** A request under way, for the connection's own errors. */
+/** A request in flight, with the state that is needed when its connection fails. */
 export class InFlightRequest {
-  /** Undefined until the request's body is read, and for one without a body. */
+  /** Undefined until reading of the body starts, and for a request without a body. */
   bodyReader: BodyReader | undefined;
   /** Undefined until the head has been checked. */
   responseWriter: CallerResponseWriter | undefined;
@@ -47,9 +47,9 @@
   service: string | undefined;
   /** Undefined until the head has been checked. */
   idempotent: boolean | undefined;
-  /** True once it was asked what became of earlier requests with the same key. */
+  /** True once the lookup of earlier requests with the same key has started. */
   isKeyLookedUp = false;
-  /** True once the caller was told that the connection closes behind this answer. */
+  /** True once it is decided that the connection closes after this response. */
   isConnectionClosing = false;
   private failure: RequestError | undefined;
 
@@ -61,25 +61,25 @@
     private readonly shouldCloseConnection: (item: InFlightRequest) => boolean,
   ) {}
 
-  /** Decides, as the head of the answer goes out, whether the connection closes behind it. */
+  /** Decides, when the response head is sent, whether the connection closes after the response. */
   decideConnectionClose(): boolean {
     this.isConnectionClosing ||= this.shouldCloseConnection(this);
     return this.isConnectionClosing;
   }
 
-  /** The connection failed within the request's body. */
+  /** Fails the request because its connection failed before the whole body arrived. */
   fail(error: RequestError): void {
     this.failure ??= error;
     this.bodyReader?.fail(error);
   }
 
-  /** Throws what `fail` was given. */
+  /** Throws the error that `fail` was called with, if any. */
   throwIfFailed(): void {
     if (this.failure) throw this.failure;
   }
 }
 
-/** Takes one request from its head to the end of its answer. */
+/** Handles one request from its head to the end of its response. */
 export class RequestHandler {
   private readonly dependencies: RequestHandlerDependencies;
   private readonly refusalJournal: RefusalJournal;
@@ -100,86 +100,87 @@
     this.refusalJournal = new RefusalJournal(clock, decisionJournal);
   }
 
-  /** Never throws: whatever happens, the caller is answered or cut off. */
-  async handle(underWay: InFlightRequest): Promise<void> {
+  /** Never throws: in every case the caller gets a response, or its response is aborted. */
+  async handle(inFlight: InFlightRequest): Promise<void> {
     const {clock, metrics} = this.dependencies;
     const start = clock.monotonicMilliseconds();
     try {
-      const service = await this.respond(underWay, start);
-      const taken = clock.monotonicMilliseconds() - start;
+      const service = await this.respond(inFlight, start);
+      const duration = clock.monotonicMilliseconds() - start;
       metrics.increment(MetricName.Requests, {service});
-      metrics.timing(MetricName.RequestDuration, taken, {service});
+      metrics.timing(MetricName.RequestDuration, duration, {service});
     } catch (error) {
       this.respondWithError(
-        underWay,
-        withUnknownOutcomeBeforeKeyLookup(toRequestError(error), underWay),
+        inFlight,
+        withUnknownOutcomeBeforeKeyLookup(toRequestError(error), inFlight),
       );
     }
   }
 
-  /** Resolves with the service's name when the caller has a whole answer. */
+  /** Resolves with the service's name when the caller has a complete response. */
   private async respond(
-    underWay: InFlightRequest,
+    inFlight: InFlightRequest,
     start: number,
   ): Promise<string> {
     const {callerHttpOptions, clock, headCheck} = this.dependencies;
-    const {request, response} = underWay;
+    const {request, response} = inFlight;
     const incoming = headCheck.check(request);
-    underWay.idempotent = incoming.idempotent;
-    underWay.service = incoming.service;
-    const caller = new CallerResponseWriter(response, {
+    inFlight.idempotent = incoming.idempotent;
+    inFlight.service = incoming.service;
+    const responseWriter = new CallerResponseWriter(response, {
       clock,
-      shouldCloseConnection: () => underWay.decideConnectionClose(),
+      shouldCloseConnection: () => inFlight.decideConnectionClose(),
       progressTimeoutMilliseconds: callerHttpOptions.progress_milliseconds,
     });
-    underWay.responseWriter = caller;
+    inFlight.responseWriter = responseWriter;
     const body = hasBody(request)
-      ? await this.readBody(underWay, incoming)
+      ? await this.readBody(inFlight, incoming)
       : null;
     const deadline = start + incoming.serviceEntry.deadlineMilliseconds;
-    const ready = {...incoming, body, deadline};
+    const dispatchable = {...incoming, body, deadline};
     const {keyedRequests, requestDispatcher} = this.dependencies;
     const key = incoming.idempotencyKey;
-    underWay.isKeyLookedUp = true;
-    if (key === undefined) await requestDispatcher.send(ready, caller);
-    else await keyedRequests.send(ready, key, caller);
+    inFlight.isKeyLookedUp = true;
+    if (key === undefined)
+      await requestDispatcher.send(dispatchable, responseWriter);
+    else await keyedRequests.send(dispatchable, key, responseWriter);
     return incoming.service;
   }
 
   private readBody(
-    underWay: InFlightRequest,
+    inFlight: InFlightRequest,
     incoming: IncomingRequest,
   ): Promise<OutgoingBody> {
     const {callerHttpOptions: options, clock} = this.dependencies;
-    const keyed = incoming.idempotencyKey !== undefined;
-    const {request} = underWay;
-    const reader = new BodyReader(
+    const hasKey = incoming.idempotencyKey !== undefined;
+    const {request} = inFlight;
+    const bodyReader = new BodyReader(
       request,
       {
-        maximumBufferedBytes: keyed
+        maximumBufferedBytes: hasKey
           ? options.keyed_body_bytes
           : options.buffered_body_bytes,
-        maximumBytes: keyed
+        maximumBytes: hasKey
           ? Math.min(options.keyed_body_bytes, options.body_bytes)
           : options.body_bytes,
         progressTimeoutMilliseconds: options.progress_milliseconds,
       },
       clock,
     );
-    underWay.bodyReader = reader;
-    underWay.throwIfFailed();
-    if (underWay.expectsContinue) underWay.response.writeContinue();
-    return reader.read();
+    inFlight.bodyReader = bodyReader;
+    inFlight.throwIfFailed();
+    if (inFlight.expectsContinue) inFlight.response.writeContinue();
+    return bodyReader.read();
   }
 
   private respondWithError(
-    underWay: InFlightRequest,
+    inFlight: InFlightRequest,
     error: RequestError,
   ): void {
     const {logger, metrics} = this.dependencies;
     metrics.increment(MetricName.Refusals, {reason: error.kind});
-    if (underWay.service !== undefined)
-      this.refusalJournal.record(underWay.service, error);
+    if (inFlight.service !== undefined)
+      this.refusalJournal.record(inFlight.service, error);
     if (error.kind === ErrorKind.Internal) {
       logger.error(LogEvent.RequestInternalError, {error: error.message});
     } else {
@@ -188,19 +189,19 @@
         detail: error.message,
       });
     }
-    // The caller may or may not send the body that it was not asked for: only a new
-    // connection makes clear where the next request begins.
-    const unasked = underWay.expectsContinue && !underWay.bodyReader;
-    if (unasked) underWay.isConnectionClosing = true;
+    // The caller got no `100 Continue` and may or may not send the body: only a new connection
+    // makes clear where the next request begins.
+    const awaitsContinue = inFlight.expectsContinue && !inFlight.bodyReader;
+    if (awaitsContinue) inFlight.isConnectionClosing = true;
     sendErrorResponse(
-      underWay.response,
+      inFlight.response,
       error,
-      underWay.decideConnectionClose(),
+      inFlight.decideConnectionClose(),
     );
   }
 }
 
-/** Refusals that an earlier, well-formed try of the same request need not have met. */
+/** Refusals that an earlier, well-formed attempt at the same request may not have met. */
 const TRANSIENT_REFUSALS: ReadonlySet<ErrorKind> = new Set([
   ErrorKind.NoBundle,
   ErrorKind.UnknownService,
@@ -209,18 +210,18 @@
 ]);
 
 /**
- * A caller that hears "not run" of a key may send the work under a new key. A daemon that has
- * just started refuses a retry before it knows the key, while the first try was run elsewhere:
- * the work would run twice. So it says "unknown" of a key that it has not looked up.
+ * Changes "not run" to "unknown" for a key that has not been looked up. A caller that is told
+ * "not run" may send the work under a new key. A daemon that has just started refuses a retry
+ * before it knows the key, although the first attempt ran elsewhere: the work would run twice.
  */
 function withUnknownOutcomeBeforeKeyLookup(
   error: RequestError,
-  underWay: InFlightRequest,
+  inFlight: InFlightRequest,
 ): RequestError {
   const isCertain =
-    error.run !== RequestExecution.NotRun || underWay.isKeyLookedUp;
+    error.run !== RequestExecution.NotRun || inFlight.isKeyLookedUp;
   if (isCertain || !TRANSIENT_REFUSALS.has(error.kind)) return error;
-  if (!isKeyed(underWay.request)) return error;
+  if (!isKeyed(inFlight.request)) return error;
   return new RequestError(error.kind, error.message, {
     run: RequestExecution.Unknown,
     retryAfterSeconds: error.retryAfterSeconds,
--- a/packages/plugin-caller-http/src/response-forwarder.ts
+++ b/packages/plugin-caller-http/src/response-forwarder.ts
@@ -8,25 +8,25 @@
 import {endToEndHeaders, headerValues} from './headers.js';
 import type {HeldAnswerRecorder} from './held-answer-recorder.js';
 
-/** A target's word that it is leaving: it gets no new work from then on. */
+/** Response header of a target that is leaving: it gets no new work from then on. */
 export const LEAVING_HEADER = 'gentiandoor-leaving';
 const SERVICE_UNAVAILABLE = 503;
 
-/** A target's own word that it did not run the request. */
+/** A target's own statement that it did not run the request. */
 export interface TargetRefusal {
-  /** From the target's `Retry-After`; undefined where it gave none. */
+  /** From the target's `Retry-After`; undefined when it sent none. */
   readonly retryAfterSeconds: number | undefined;
 }
 
-/** Passes one target's answer to the caller, unless the target says that it ran nothing. */
+/** Forwards a target's response to the caller, unless the target says that it ran nothing. */
 export class ResponseForwarder implements ResponseSink {
-  /** Set when the target answered that it did not run the request. */
+  /** Set when the target responded that it did not run the request. */
   refusal: TargetRefusal | undefined;
-  /** Status of the answer; 0 before its head. */
+  /** Status of the response; 0 until its head arrives. */
   status = 0;
-  /** Monotonic milliseconds at which the head came. */
+  /** Monotonic milliseconds at which the head arrived. */
   headReceivedAt: number | undefined;
-  /** Whether the target said that it takes no new work any more. */
+  /** Whether the target announced that it takes no more new work. */
   isTargetLeaving = false;
 
   constructor(
@@ -41,13 +41,13 @@
     this.isTargetLeaving = headerValues(headers, LEAVING_HEADER).includes(
       'yes',
     );
-    if (status === SERVICE_UNAVAILABLE && saysNotRun(headers)) {
+    if (status === SERVICE_UNAVAILABLE && declaresNotRun(headers)) {
       this.refusal = {retryAfterSeconds: parseRetryAfter(headers)};
       return;
     }
-    const kept = endToEndHeaders(headers);
-    this.recorder?.recordHead(status, kept);
-    this.responseWriter.writeHead(status, kept);
+    const forwardedHeaders = endToEndHeaders(headers);
+    this.recorder?.recordHead(status, forwardedHeaders);
+    this.responseWriter.writeHead(status, forwardedHeaders);
   }
 
   onData(chunk: Buffer): boolean {
@@ -61,7 +61,7 @@
   }
 }
 
-function saysNotRun(headers: readonly string[]): boolean {
+function declaresNotRun(headers: readonly string[]): boolean {
   const values = headerValues(headers, RUN_HEADER);
   return values.length === 1 && values[0].trim() === RequestExecution.NotRun;
 }
--- a/packages/plugin-caller-http/src/router-drain.ts
+++ b/packages/plugin-caller-http/src/router-drain.ts
@@ -8,7 +8,7 @@
 
 const POLL_MILLISECONDS = 20;
 
-/** What the drain needs. */
+/** Services that `RouterDrain` depends on. */
 export interface RouterDrainDependencies {
   readonly clock: Clock;
   readonly sharedState: SharedState;
@@ -16,9 +16,10 @@
 }
 
 /**
- * Says when this daemon has let go of a VM. A move or reboot that went on earlier would cut
- * exchanges, or let two pools use one VM. Three things must hold together: the folded state
- * drains the VM, no pool of the router has it among its targets, and no exchange is in flight.
+ * Reports when this daemon has stopped routing to a VM. A move or reboot that started earlier
+ * would cut exchanges, or let two pools use one VM. Three conditions must hold together: the VM is
+ * draining in the folded state, no pool of the router has it among its targets, and no exchange
+ * with it is in flight.
  */
 export class RouterDrain implements RoutingDrain, VmHealth {
   constructor(private readonly dependencies: RouterDrainDependencies) {}
--- a/packages/plugin-caller-http/src/routing-events.ts
+++ b/packages/plugin-caller-http/src/routing-events.ts
@@ -11,7 +11,7 @@
   type EjectionStateChange,
 } from '@gentiandoor/decisions';
 
-/** A spill is noted again after this long without one. */
+/** A spill is recorded in the journal again after this long without one. */
 const SPILL_QUIET_MILLISECONDS = 10_000;
 
 const CAUSE_BY_SPILL_REASON: Readonly<Record<SpillReason, string>> = {
@@ -20,7 +20,7 @@
   [SpillReason.DataCentreUnavailable]: 'no VM in this data centre can be used',
 };
 
-/** Tells metrics and `explain` what one pool's routing decided. */
+/** Reports one pool's routing decisions to the metrics and to `explain`. */
 export class RoutingEvents {
   private lastSpillAt = -Infinity;
 
@@ -31,13 +31,13 @@
     private readonly journal: DecisionJournal,
   ) {}
 
-  /** Work went to another data centre: counted each time, in the journal when it begins. */
+  /** Counts each request sent to another data centre; the journal records only when this starts. */
   onSpill(reason: SpillReason): void {
     this.metrics.increment(MetricName.Spills, {reason});
     const now = this.clock.monotonicMilliseconds();
-    const begins = now - this.lastSpillAt > SPILL_QUIET_MILLISECONDS;
+    const isFirstSpill = now - this.lastSpillAt > SPILL_QUIET_MILLISECONDS;
     this.lastSpillAt = now;
-    if (!begins) return;
+    if (!isFirstSpill) return;
     this.journal.record({
       subject: SubjectKind.Pool,
       id: this.pool,
@@ -48,25 +48,20 @@
     });
   }
 
-  /** A VM was ejected, or came back. */
+  /** Counts and records that a VM was ejected or is in use again. */
   onEjectionStateChange(change: EjectionStateChange): void {
-    const {
-      to,
-      from,
-      ejectionMilliseconds: outMilliseconds,
-      failuresInARow,
-      failureShare,
-    } = change;
+    const {to, from, ejectionMilliseconds, failuresInARow, failureShare} =
+      change;
     this.metrics.increment(MetricName.StandingChanges, {standing: to});
-    const isOut = to === EjectionState.Ejected;
+    const isEjected = to === EjectionState.Ejected;
     this.journal.record({
       subject: SubjectKind.Vm,
       id: change.target,
-      decision: isOut
-        ? `send it nothing for ${outMilliseconds} ms`
+      decision: isEjected
+        ? `send it nothing for ${ejectionMilliseconds} ms`
         : 'use it again',
       rule: 'bounded-ejection',
-      cause: isOut ? 'its exchanges fail' : 'its probes were answered',
+      cause: isEjected ? 'its exchanges fail' : 'its probes were answered',
       evidence: {pool: this.pool, from, failuresInARow, failureShare},
     });
   }
--- a/packages/plugin-caller-http/src/service-router.ts
+++ b/packages/plugin-caller-http/src/service-router.ts
@@ -30,40 +30,41 @@
 import {VmExchangeCounter} from './vm-exchange-counter.js';
 import {PoolTable, type PoolTableDependencies} from './pool-table.js';
 
-/** A request that asks for a target. */
+/** A request that needs a target. */
 export interface AcquireRequest {
   readonly service: string;
   /** Authenticated caller; undefined for one that the bundle does not name. */
   readonly caller?: string;
-  /** Team of the authenticated caller; the caller's own in the bundle when undefined. */
+  /** Team of the authenticated caller; when undefined, the team that the bundle gives the caller. */
   readonly team?: string;
   readonly idempotent?: boolean;
-  /** Ids of targets that failed this request already; they are chosen only when no other is left. */
+  /** Ids of targets that already failed this request; chosen only when no other is left. */
   readonly tried?: ReadonlySet<string>;
-  /** Monotonic milliseconds; the service's longest wait counts as well. */
+  /** Monotonic milliseconds; the service's maximum wait applies as well. */
   readonly deadline?: number;
-  /** Aborts when the caller is gone: the place in the queue is given up and `CallerGone` thrown. */
+  /** Aborts when the caller disconnects: the request leaves the queue with `CallerGone`. */
   readonly signal?: AbortSignal;
 }
 
 /**
  * A target with a slot held for one exchange.
- * Use: `acquire`, then directly before the first byte `isRoutable`, then the exchange, then
- * `report` once with what it showed, then `release`.
+ * Usage: `acquire`, check `isRoutable` directly before the first byte, run the exchange, `report`
+ * its outcome once, then `release`.
  */
 export interface HeldSlot extends TargetAddress {
   /**
-   * Whether the target may still get new work. Asked directly before the first byte goes out: the
-   * list or a drain may have changed since the choice. When false: `release` and `acquire` again.
+   * Returns whether the target may still get new work. To be checked directly before the first
+   * byte is sent: the VM list or a drain may have changed since the target was chosen. When false,
+   * `release` and `acquire` again.
    */
   isRoutable(): boolean;
-  /** What the exchange showed; feeds choice, ejection and slot share. Once an exchange. */
+  /** Reports the exchange's outcome, once: target choice, ejection and slot share depend on it. */
   report(outcome: TargetOutcome): void;
-  /** Gives the slot back; a second call does nothing. */
+  /** Releases the slot; a second call does nothing. */
   release(): void;
 }
 
-/** What the router needs. */
+/** Services that `ServiceRouter` depends on. */
 export interface ServiceRouterDependencies extends PoolTableDependencies {
   readonly peerLinks: PeerLinks;
 }
@@ -72,7 +73,7 @@
   [WorkClass.Short]: WorkLength.Short,
   [WorkClass.Long]: WorkLength.Long,
 };
-/** All callers that the bundle does not name are one team and one caller together. */
+/** All callers that the bundle does not name share one team and one caller name. */
 const ANONYMOUS_TEAM: TeamPolicy = {
   name: '',
   weight: 1,
@@ -80,23 +81,27 @@
   urgent: false,
 };
 const ANONYMOUS_CALLER = '';
-/** A quota of less than one slot a daemon leaves some daemons none. */
+/** A quota of less than one slot per daemon leaves some daemons without any. */
 const MINIMUM_QUOTA_SLOTS = 0;
 
-/** Finds a target with a free slot for a request, or makes the request wait. */
+/** Finds a target with a free slot for a request, or queues the request. */
 export class ServiceRouter {
   private readonly pools: PoolTable;
   private readonly loadSummaryBroadcaster: LoadSummaryBroadcaster;
   private readonly retryBudgets = new Map<string, RetryBudget>();
   private readonly exchangesByVm = new VmExchangeCounter();
-  /** Exchanges in flight by service. */
+  /** Exchanges in flight by service, for the gauges. */
   private readonly inFlightByService = new Map<string, number>();
 
   constructor(private readonly dependencies: ServiceRouterDependencies) {
     const {clock, identity, peerLinks} = dependencies;
-    const self = identity.incarnation;
-    const quotaShare = new PeerAwareLimiter(clock, self, MINIMUM_QUOTA_SLOTS);
-    const quota = new SharedTeamQuota(quotaShare);
+    const incarnation = identity.incarnation;
+    const quotaLimiter = new PeerAwareLimiter(
+      clock,
+      incarnation,
+      MINIMUM_QUOTA_SLOTS,
+    );
+    const quota = new SharedTeamQuota(quotaLimiter);
     this.pools = new PoolTable(dependencies, quota, () =>
       this.loadSummaryBroadcaster.sendEarly(),
     );
@@ -105,48 +110,52 @@
       peerLinks,
       this.pools,
       quota,
-      quotaShare,
+      quotaLimiter,
       () => this.writeGauges(),
     );
   }
 
-  /** The service's entry in the bundle in force; throws `RequestError`. */
+  /** Returns the service's entry in the bundle in force; throws `RequestError` without one. */
   service(name: string): ServiceEntry {
     const service = this.bundle().services[name];
     if (!service)
-      throw new RequestError(ErrorKind.UnknownService, `no service ${name}`);
+      throw new RequestError(
+        ErrorKind.UnknownService,
+        `the bundle in force has no service ${name}`,
+      );
     return service;
   }
 
   /**
-   * Whether a failed attempt may go to another target; counts the retry. On `Retry` call `acquire`
-   * again with the failed target in `tried`.
+   * Decides whether a failed attempt may be retried on another target, and counts the decision. On
+   * `Retry`, call `acquire` again with the failed target in `tried`.
    */
-  judgeRetry(service: string, question: FailedAttempt): RetryDecision {
+  judgeRetry(service: string, failedAttempt: FailedAttempt): RetryDecision {
     const {metrics} = this.dependencies;
-    const verdict = this.retryBudgetOf(service).decide(question);
-    if (verdict === RetryDecision.Retry) {
-      metrics.increment(MetricName.Retries, {reason: question.kind});
+    const decision = this.retryBudgetOf(service).decide(failedAttempt);
+    if (decision === RetryDecision.Retry) {
+      metrics.increment(MetricName.Retries, {reason: failedAttempt.kind});
     } else {
-      metrics.increment(MetricName.RetriesDenied, {reason: verdict});
+      metrics.increment(MetricName.RetriesDenied, {reason: decision});
     }
-    return verdict;
+    return decision;
   }
 
-  /** Resolves with a slot, or rejects with the `RequestError` that turned the request away. */
+  /** Resolves with a slot, or rejects with the `RequestError` that refused the request. */
   acquire(request: AcquireRequest): Promise<HeldSlot> {
     const service = this.service(request.service);
     const pool = this.pools.getOrCreate(service.pool);
     if (!request.tried) this.retryBudgetOf(request.service).onFirstAttempt();
     this.loadSummaryBroadcaster.start();
     return new Promise((resolve, reject) => {
-      const ask = new PendingSlotRequest(
+      const pendingRequest = new PendingSlotRequest(
         this.slotRequestFieldsOf(request, service),
         slot => resolve(this.toHeldSlot(request.service, slot)),
         reject,
       );
-      pool.acquire(ask);
-      if (ask.isWaiting) ask.cancelOnAbort(request.signal, pool);
+      pool.acquire(pendingRequest);
+      if (pendingRequest.isWaiting)
+        pendingRequest.cancelOnAbort(request.signal, pool);
     });
   }
 
@@ -192,13 +201,13 @@
     });
   }
 
-  /** Whether a pool has the VM among its targets, or an exchange is in flight there. */
+  /** Returns whether a pool has the VM among its targets, or an exchange with it is in flight. */
   isRouting(vm: string): boolean {
     if (this.exchangesByVm.countOf(vm) > 0) return true;
     return [...this.pools.entries()].some(([, pool]) => pool.has(vm));
   }
 
-  /** VMs that get no work because of their failures. */
+  /** Returns the VMs that get no work because of their failures. */
   ejectedVms(): string[] {
     return [...this.pools.entries()].flatMap(([, pool]) =>
       pool.ejectedTargets(),
@@ -206,8 +215,8 @@
   }
 
   private retryBudgetOf(service: string): RetryBudget {
-    const known = this.retryBudgets.get(service);
-    if (known) return known;
+    const existing = this.retryBudgets.get(service);
+    if (existing) return existing;
     const budget = new RetryBudget(this.dependencies.clock);
     this.retryBudgets.set(service, budget);
     return budget;
--- a/packages/plugin-caller-http/src/vm-exchange-counter.ts
+++ b/packages/plugin-caller-http/src/vm-exchange-counter.ts
@@ -1,4 +1,4 @@
-/** Exchanges that this daemon has in flight on each VM, whatever pool they came from. */
+/** Counts this daemon's in-flight exchanges by VM, across all pools. */
 export class VmExchangeCounter {
   private readonly counts = new Map<string, number>();
 
