--- a/packages/plugin-target-http/src/__tests__/complete-responses.test.ts
+++ b/packages/plugin-target-http/src/__tests__/complete-responses.test.ts
@@ -8,7 +8,7 @@
 } from '@gentiandoor/stand-ins';
 import {POST, TransportFixture, outgoingRequest} from './transport-fixture.js';
 
-describe('an answer is whole or told as not whole', () => {
+describe('a response is complete or reported as incomplete', () => {
   const target = new RawTarget();
   let fixture: TransportFixture;
 
@@ -39,9 +39,9 @@
       [RawTargetBehaviour.AnnouncedClose, ExchangeEnd.Complete],
     ];
   for (const [fault, end] of endOfFault) {
-    // The target's answer is cut, doubled or framed in two ways. Only an answer that is
-    // provably whole may end as whole; all others end with the connection destroyed.
-    it(`ends as ${end} when the target does ${fault}`, async () => {
+    // The target's response is truncated, duplicated or framed in two ways. Only a response
+    // that is provably complete may end as such; all others end with a destroyed connection.
+    it(`ends as ${end} for target behaviour ${fault}`, async () => {
       target.behaviour = fault;
       const {result, sink} = await fixture.send(target.address, POST);
       assert.equal(result.end, end);
@@ -55,10 +55,10 @@
     RawTargetBehaviour.LongBody,
     RawTargetBehaviour.TwoAnswers,
   ]) {
-    describe(`when the target does ${fault}`, () => {
-      // More bytes follow the answer on its connection. Were the connection used again, the
-      // next caller would get them as the beginning of its own answer.
-      it('nobody gets the rest', async () => {
+    describe(`with target behaviour ${fault}`, () => {
+      // More bytes follow the response on its connection. If the connection were reused, the
+      // next caller would get them as the start of its own response.
+      it('the extra bytes reach no caller', async () => {
         target.behaviour = fault;
         const first = await fixture.send(target.address, outgoingRequest());
         assert.equal(first.sink.body, 'whole');
@@ -72,10 +72,10 @@
     });
   }
 
-  describe('when bytes come on an unused connection', () => {
-    // A late second answer arrives after the first exchange ended and before the next one
-    // begins. The connection must not carry another exchange.
-    it('the next request does not get them as its answer', async () => {
+  describe('when bytes arrive on an idle connection', () => {
+    // A late second response arrives after the first exchange ended and before the next one
+    // starts. The connection must not carry another exchange.
+    it('the next request does not get them as its response', async () => {
       await fixture.send(target.address, outgoingRequest());
       target.writeUnasked('HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwrong');
       for (let turn = 0; turn < 5; turn++)
@@ -86,10 +86,10 @@
     });
   });
 
-  describe('when the answer comes before the request\u2019s body has ended', () => {
-    // The target answers on the head alone, as for a body it will not take. The caller gets
-    // this answer; the connection, with half a request on it, is not used again.
-    it('is whole and its connection is not used again', async () => {
+  describe('when the response arrives before the request\u2019s body has ended', () => {
+    // The target responds to the head alone, as for a body that it rejects. The caller gets this
+    // response; the connection, with half a request on it, is not reused.
+    it('is complete and its connection is not reused', async () => {
       target.behaviour = RawTargetBehaviour.EarlyAnswer;
       const {result, sink} = await fixture.send(
         target.address,
@@ -104,8 +104,8 @@
     });
   });
 
-  describe('when the answer comes after the deadline', () => {
-    it('ends as timed out and the late answer reaches nobody', async () => {
+  describe('when the response arrives after the deadline', () => {
+    it('ends as timed out and the late response reaches no caller', async () => {
       target.behaviour = RawTargetBehaviour.Silent;
       const {result} = await fixture.send(
         target.address,
@@ -120,7 +120,7 @@
   });
 });
 
-describe('when the path forgets all open connections', () => {
+describe('when the network silently drops all open connections', () => {
   const target = new RawTarget();
   let path: SilentDropProxy;
   let fixture: TransportFixture;
@@ -137,10 +137,9 @@
     await target.stop();
   });
 
-  // Five connections are open and unused when the path forgets them. The first idempotent
-  // request takes one and waits for its deadline. That silence closes the other four, so
-  // the second request already goes over a new connection. Without it, five callers in turn
-  // would each wait for a whole deadline.
+  // Five idle connections are open when the network drops them. The first idempotent request takes
+  // one and waits for its deadline. That timeout closes the other four, so the second request uses
+  // a new connection. Otherwise five callers in turn would each wait for a whole deadline.
   it('one caller waits for its deadline and the next does not', async () => {
     await Promise.all(
       Array.from({length: 5}, () =>
--- a/packages/plugin-target-http/src/__tests__/sent-once.test.ts
+++ b/packages/plugin-target-http/src/__tests__/sent-once.test.ts
@@ -23,16 +23,16 @@
   });
 
   describe('when nothing listens', () => {
-    it('is told as not sent', async () => {
+    it('is reported as not sent', async () => {
       const {result} = await fixture.send(UNUSED_ADDRESS, POST);
       assert.equal(result.end, ExchangeEnd.NotSent);
     });
   });
 
   describe('when the connection cannot be opened in time', () => {
-    // The caller gives up while the connection is still opening: it is told at once, and
+    // The caller aborts while the connection is still opening: the exchange ends at once, and
     // nothing is written when the connection opens later.
-    it('is told as not sent', async () => {
+    it('is reported as not sent', async () => {
       const sink = {onHead() {}, onData: () => true, onEnd() {}};
       const exchange = fixture.transport.startExchange(
         {id: 'a', address: target.address},
@@ -56,10 +56,10 @@
       outgoingRequest(),
       outgoingRequest({method: 'PUT'}),
     ]) {
-      describe(`when the target does ${fault} to a ${request.method}`, () => {
-        // The target reads the request and then the connection ends without an answer. It
-        // may have run: a library that sends it again by itself would run it twice.
-        it('reaches the target once and is told as broken', async () => {
+      describe(`with target behaviour ${fault} on a ${request.method}`, () => {
+        // The target reads the request and then the connection ends without a response. The
+        // request may have run: a library that resends it by itself would run it twice.
+        it('reaches the target once and is reported as connection lost', async () => {
           target.behaviour = fault;
           const {result} = await fixture.send(target.address, request);
           assert.equal(result.end, ExchangeEnd.ConnectionLost);
@@ -73,9 +73,9 @@
   }
 
   describe('when the target closes an idle connection as the request is written', () => {
-    // One request has been answered and its connection is kept. The target closes it; before
-    // that is seen here, the next request takes it. The request either goes to a new
-    // connection, unwritten so far, or ends as broken: never on both.
+    // The target closes a kept connection, and before that is noticed here, the next request
+    // takes it. The request either moves to a new connection, still unwritten, or ends as
+    // connection lost; it must never be written to both.
     for (let round = 0; round < 5; round++) {
       it(`reaches the target at most once, round ${round}`, async () => {
         await fixture.send(target.address, outgoingRequest());
@@ -94,8 +94,8 @@
     }
   });
 
-  describe('when a connection was idle for longer than it is proven', () => {
-    it('a non-idempotent request takes a new one, an idempotent one does not', async () => {
+  describe('when a connection was idle for longer than proven_milliseconds', () => {
+    it('a non-idempotent request opens a new one, an idempotent one does not', async () => {
       const clock = new VirtualClock();
       const timed = new TransportFixture(
         {idle_milliseconds: 3000, proven_milliseconds: 500},
@@ -116,7 +116,7 @@
   });
 
   describe('when the target announced that the connection closes', () => {
-    it('it counts no more and the next request takes a new one', async () => {
+    it('it is no longer counted and the next request opens a new one', async () => {
       target.behaviour = RawTargetBehaviour.AnnouncedClose;
       await fixture.send(target.address, outgoingRequest());
       assert.equal(fixture.transport.openConnections(target.address), 0);
@@ -126,8 +126,8 @@
     });
   });
 
-  describe('when a target gives a keep-alive time', () => {
-    it('its connection is not used after that, less a margin', async () => {
+  describe('when a target announces a keep-alive timeout', () => {
+    it('its connection closes after that time, less a margin', async () => {
       const hinted = new TransportFixture({idle_milliseconds: 60_000});
       target.behaviour = RawTargetBehaviour.KeepAliveHint;
       await hinted.send(target.address, outgoingRequest());
@@ -139,7 +139,7 @@
   });
 
   describe('when all connections that a target may have are in use', () => {
-    it('is refused as not sent, and an unused one makes room', async () => {
+    it('ends as not sent, and a later request succeeds once one is free', async () => {
       target.behaviour = RawTargetBehaviour.Silent;
       const first = fixture.send(
         target.address,
--- a/packages/plugin-target-http/src/__tests__/target-exchange.test.ts
+++ b/packages/plugin-target-http/src/__tests__/target-exchange.test.ts
@@ -26,10 +26,10 @@
 }
 
 describe('TargetExchange', () => {
-  describe('when the library begins to write the request a second time', () => {
+  describe('when the library starts to write the request a second time', () => {
     // The library announces the request's first byte, loses the connection, and announces it
-    // again on another one. Letting it go on would run a non-idempotent request twice.
-    it('stops it before the first byte and is told as broken', async () => {
+    // again on another one. Letting it continue would run a non-idempotent request twice.
+    it('aborts it before the first byte and ends as connection lost', async () => {
       const exchange = new TargetExchange(POST, new CollectingSink(), {
         destroy() {},
       });
@@ -44,8 +44,8 @@
     });
   });
 
-  describe('when it is given up before the connection is open', () => {
-    it('closes the connection and is told as not sent', async () => {
+  describe('when it is aborted before the connection is open', () => {
+    it('closes the connection and ends as not sent', async () => {
       let destroyed = false;
       const exchange = new TargetExchange(POST, new CollectingSink(), {
         destroy: () => {
--- a/packages/plugin-target-http/src/__tests__/transport-fixture.ts
+++ b/packages/plugin-target-http/src/__tests__/transport-fixture.ts
@@ -12,7 +12,7 @@
 
 const LONG_MILLISECONDS = 60_000;
 
-/** Keeps an answer as it came. */
+/** Collects a response as received. */
 export class CollectingSink implements ResponseSink {
   status = 0;
   headers: readonly string[] = [];
@@ -36,7 +36,7 @@
   }
 }
 
-/** A request with the parts that matter to a test. */
+/** Returns a request with defaults for the parts that a test does not set. */
 export function outgoingRequest(
   parts: Partial<OutgoingRequest> = {},
 ): OutgoingRequest {
@@ -51,21 +51,21 @@
   };
 }
 
-/** A POST: it must not run twice. */
+/** A non-idempotent request: it must not run twice. */
 export const POST = outgoingRequest({
   method: 'POST',
   body: Buffer.from('crest'),
   idempotent: false,
 });
 
-/** What became of one request. */
+/** The exchange of one request, its result and the collected response. */
 export interface SendResult {
   readonly exchange: Exchange;
   readonly result: ExchangeResult;
   readonly sink: CollectingSink;
 }
 
-/** The transport with settings for tests, and one target's address to send to. */
+/** Runs the transport with test settings and sends requests to an address. */
 export class TransportFixture {
   readonly transport: HttpTargetTransport;
 
--- a/packages/plugin-target-http/src/http-target-transport.ts
+++ b/packages/plugin-target-http/src/http-target-transport.ts
@@ -16,7 +16,7 @@
 import {TargetConnections} from './target-connections.js';
 import type {TargetHttpOptions} from './target-http-options.js';
 
-/** What the transport needs. */
+/** Services that `HttpTargetTransport` depends on. */
 export interface HttpTargetTransportDependencies {
   readonly clock: Clock;
   readonly logger: Logger;
@@ -27,7 +27,7 @@
   readonly isConnectionReusable: boolean;
 }
 
-/** Carries requests to targets over HTTP, and keeps idle connections for the next one. */
+/** Sends requests to targets over HTTP and keeps idle connections for later requests. */
 export class HttpTargetTransport implements TargetTransport, Plugin {
   private readonly connectionsByAddress = new Map<string, TargetConnections>();
 
@@ -50,7 +50,7 @@
     this.connectionsByAddress.clear();
   }
 
-  /** Connections open to a target's address. */
+  /** Returns the number of connections to a target's address, open or opening. */
   openConnections(address: string): number {
     return this.connectionsByAddress.get(address)?.size ?? 0;
   }
@@ -120,7 +120,7 @@
   }
 }
 
-/** An exchange that was never begun: the target has all the connections it may have. */
+/** An exchange that was never started, because the target is at its connection limit. */
 class RefusedExchange implements Exchange {
   readonly done: Promise<ExchangeResult>;
 
--- a/packages/plugin-target-http/src/index.ts
+++ b/packages/plugin-target-http/src/index.ts
@@ -6,7 +6,7 @@
 export {HttpTargetTransport} from './http-target-transport.js';
 export {targetHttpOptions} from './target-http-options.js';
 
-/** Registers the edge to targets. */
+/** Registers the HTTP transport to targets. */
 export function registerTargetHttp(registry: PluginRegistry): void {
   registry.add({
     name: 'target-http',
--- a/packages/plugin-target-http/src/response-framing.ts
+++ b/packages/plugin-target-http/src/response-framing.ts
@@ -4,11 +4,12 @@
 const NOT_MODIFIED = 304;
 
 /**
- * Says why the end of an answer could not be told from its breaking off; undefined when it can.
+ * Returns why a complete response could not be distinguished from a truncated one, or undefined
+ * when it can be.
  *
- * An answer without a length and without chunks ends with its connection. A target that
- * dies in the middle closes the connection as well, and the caller would take half an
- * answer for a whole one. Such an answer is refused, since nothing can prove it whole.
+ * A response with neither a length nor chunks ends with its connection. A target that crashes
+ * halfway closes the connection as well, and the caller would take half a response for a complete
+ * one. Such a response is rejected, since nothing can prove it complete.
  */
 export function framingProblem(
   method: string,
@@ -21,7 +22,7 @@
   for (let index = 0; index + 1 < headers.length; index += 2) {
     if (delimitsBody(headers[index], headers[index + 1])) return undefined;
   }
-  return 'the answer has neither a length nor chunks, so its end cannot be told';
+  return 'the response has neither a content-length nor chunks, so its end is unknown';
 }
 
 function delimitsBody(name: string, value: string): boolean {
@@ -31,7 +32,7 @@
   return name.toLowerCase() === TRANSFER_ENCODING && /chunked\s*$/i.test(value);
 }
 
-/** Whether the answer's head says that its connection closes. */
+/** Returns whether the response head says that the connection closes. */
 export function announcesClose(headers: readonly string[]): boolean {
   for (let index = 0; index + 1 < headers.length; index += 2) {
     const name = headers[index];
@@ -46,7 +47,7 @@
 const CONTENT_LENGTH = 'content-length';
 const TRANSFER_ENCODING = 'transfer-encoding';
 
-/** Whether the library ended an exchange because of what the target sent. */
+/** Returns whether the HTTP library ended an exchange because of what the target sent. */
 export function isMalformed(error: Error): boolean {
   return (
     error instanceof errors.HTTPParserError ||
--- a/packages/plugin-target-http/src/target-connection.ts
+++ b/packages/plugin-target-http/src/target-connection.ts
@@ -3,13 +3,13 @@
 import {TargetExchange} from './target-exchange.js';
 import type {TargetHttpOptions} from './target-http-options.js';
 
-/** The target's `Keep-Alive: timeout` is taken shorter by this, for the time on the way. */
+/** Subtracted from the target's `Keep-Alive: timeout` to allow for time in transit. */
 const KEEP_ALIVE_MARGIN_MILLISECONDS = 1000;
 
-/** One connection to a target; carries one exchange at a time and is never pipelined. */
+/** One connection to a target; it carries one exchange at a time, without pipelining. */
 export class TargetConnection {
   private readonly client: Client;
-  /** Monotonic milliseconds of the last end of an exchange. */
+  /** Monotonic milliseconds at which the last exchange ended. */
   idleSince = 0;
   private isClosed = false;
 
@@ -26,9 +26,9 @@
       // The exchange has its own deadline for the head.
       headersTimeout: 0,
       bodyTimeout: options.progress_milliseconds,
-      // The library closes the connection when it was idle this long, or as long as the
-      // target's `Keep-Alive: timeout` says, whichever is less: closing first, before the
-      // target does, keeps a request from being written to a connection about to close.
+      // The library closes a connection that has been idle for this long, or for the target's
+      // `Keep-Alive: timeout`, whichever is less. Closing before the target does prevents a
+      // request from being written to a connection that is about to close.
       keepAliveTimeout: idle,
       keepAliveMaxTimeout: idle,
       keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MILLISECONDS,
@@ -43,12 +43,12 @@
     });
   }
 
-  /** False once the connection has closed: it is not used again. */
+  /** False once the connection has closed; it must not be used again. */
   get isUsable(): boolean {
     return !this.isClosed && !this.client.destroyed;
   }
 
-  /** Sends one request. */
+  /** Sends one request; the response goes to the sink. */
   begin(request: OutgoingRequest, sink: ResponseSink): TargetExchange {
     const exchange = new TargetExchange(request, sink, this);
     this.client.dispatch(
--- a/packages/plugin-target-http/src/target-connections.ts
+++ b/packages/plugin-target-http/src/target-connections.ts
@@ -4,9 +4,9 @@
 /**
  * This daemon's connections to one target.
  *
- * Load pattern: a steady mix of idempotent and non-idempotent requests with pauses.
- * Without these rules a request is written to a connection that the target is closing or
- * that the network has forgotten; a non-idempotent one then ends with an unknown outcome.
+ * Load pattern: a steady mix of idempotent and non-idempotent requests with pauses. Without these
+ * rules a request is written to a connection that the target is closing or whose state the network
+ * has dropped; the outcome of a non-idempotent one is then unknown.
  */
 export class TargetConnections {
   private readonly idleConnections: TargetConnection[] = [];
@@ -23,8 +23,8 @@
   }
 
   /**
-   * The most recently used connection that is fit, a new one, or undefined at the limit.
-   * `now` in monotonic milliseconds.
+   * Returns the most recently used connection that is suitable, a new one, or undefined at the
+   * limit. `now` is in monotonic milliseconds.
    */
   acquire(
     idempotent: boolean,
@@ -34,7 +34,7 @@
     return this.acquireIdle(idempotent, now) ?? this.openConnection(limit);
   }
 
-  /** Keeps a connection whose exchange ended whole for the next one. */
+  /** Keeps a connection whose exchange completed for the next exchange. */
   release(connection: TargetConnection, now: number): void {
     if (!connection.isUsable) {
       this.discard(connection);
@@ -50,12 +50,12 @@
   }
 
   /**
-   * Closes all connections that wait unused; returns how many.
+   * Closes all idle connections; returns how many.
    *
-   * After one connection went silent, something between the two ends may have forgotten
-   * its siblings as well. Each would make one more caller wait for its whole deadline. A
-   * new connection is known to work once it is open, so closing the unused ones is enough;
-   * those in use prove themselves by their own answer.
+   * After one connection has timed out, the network may have dropped the state of the others as
+   * well. Each of them would make one more caller wait for its whole deadline. A new connection is
+   * known to work once it is open, so closing the idle ones is enough; those in use are proven by
+   * their own responses.
    */
   closeIdle(): number {
     const closed = this.idleConnections.splice(0);
@@ -70,21 +70,21 @@
   }
 
   /**
-   * A non-idempotent request takes only a connection that carried an answer a moment ago:
-   * that is proof that both ends still know it. Otherwise it pays for a new connection, one
-   * round trip, as much as a probe would cost and without asking anything of the target.
+   * Returns the last idle connection if it is recent enough. A non-idempotent request takes only
+   * one that has just carried a response, which proves that both ends still know it. Otherwise it
+   * pays one round trip for a new connection: as much as a probe, and nothing extra for the target.
    */
   private acquireIdle(
     idempotent: boolean,
     now: number,
   ): TargetConnection | undefined {
     const {idle_milliseconds: idle, proven_milliseconds: proven} = this.options;
-    const longest = idempotent ? idle : Math.min(idle, proven);
+    const maximumIdle = idempotent ? idle : Math.min(idle, proven);
     for (;;) {
       const connection = this.idleConnections.at(-1);
       if (!connection) return undefined;
-      // The last one was used last: when it is too old, all are.
-      if (connection.isUsable && now - connection.idleSince >= longest) {
+      // The last one is the most recently used: when it is too old, all are.
+      if (connection.isUsable && now - connection.idleSince >= maximumIdle) {
         return undefined;
       }
       this.idleConnections.pop();
--- a/packages/plugin-target-http/src/target-exchange.ts
+++ b/packages/plugin-target-http/src/target-exchange.ts
@@ -14,18 +14,18 @@
   framingProblem,
 } from './response-framing.js';
 
-/** Status codes below are interim answers: the final one follows. */
+/** Lower status codes are interim responses: the final one follows. */
 const FIRST_FINAL_STATUS = 200;
 
-/** What an exchange asks of its connection. */
+/** The part of a connection that an exchange uses. */
 export interface ExchangeConnection {
-  /** Closes the connection; what waits on it ends with an error. */
+  /** Closes the connection; a pending exchange on it ends with an error. */
   destroy(): void;
 }
 
 /**
- * Follows one exchange from the events of its connection.
- * The only place that decides whether a request was sent: it was not, as long as the
+ * Tracks one exchange through the events of its connection.
+ * This is the only place that decides whether a request was sent: it was not, as long as the
  * library has not announced (`onRequestStart`) that it is about to write the first byte.
  */
 export class TargetExchange implements Dispatcher.DispatchHandler, Exchange {
@@ -50,18 +50,21 @@
     this.isBodySent = !isStream(request.body);
     this.headTimer = setTimeout(
       () =>
-        this.abortWith(ExchangeEnd.TimedOut, 'no head of an answer in time'),
+        this.abortWith(
+          ExchangeEnd.TimedOut,
+          'the response head did not arrive in time',
+        ),
       request.responseHeadTimeoutMilliseconds,
     );
   }
 
-  /** The body to hand to the library. */
+  /** The body to pass to the library; the end of a streamed one is tracked. */
   get body(): OutgoingBody {
     const {body} = this.request;
     return isStream(body) ? this.trackBody(body) : body;
   }
 
-  /** True when both sides may use the connection for another exchange. */
+  /** True when the connection may carry another exchange. */
   get isConnectionReusable(): boolean {
     return this.isBodySent && !this.isConnectionClosing;
   }
@@ -69,8 +72,8 @@
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.controller = controller;
     if (this.isSent) {
-      // A library that sends again by itself would run the request twice, unseen by all
-      // counters here. This event comes before the first byte, so ending it here is enough.
+      // A library that resends by itself would run the request twice, unnoticed by all counters
+      // here. This event precedes the first byte, so aborting here is enough.
       this.abortWith(
         ExchangeEnd.ConnectionLost,
         'refused to send the request twice',
@@ -96,7 +99,7 @@
       return;
     }
     this.hasHead = true;
-    // The library closes a connection after HEAD, in case a body follows all the same.
+    // The library closes a connection after HEAD, in case a body follows nevertheless.
     this.isConnectionClosing =
       this.request.method === 'HEAD' || announcesClose(headers);
     clearTimeout(this.headTimer);
@@ -131,7 +134,7 @@
   }
 
   abort(): void {
-    this.abortWith(ExchangeEnd.Aborted, 'given up by the caller\u2019s side');
+    this.abortWith(ExchangeEnd.Aborted, 'aborted by the caller\u2019s side');
   }
 
   private async *trackBody(
@@ -145,11 +148,12 @@
     const error = new Error(detail);
     this.failure ??= {end, error};
     if (this.controller) this.controller.abort(error);
-    // Still connecting: nothing to abort yet, and the caller must not wait for the connect timeout.
+    // Still connecting: there is nothing to abort, and the caller must not wait for the connect
+    // timeout.
     else this.connection.destroy();
   }
 
-  /** A sink that throws (a header that cannot be passed on) ends the exchange, not the daemon. */
+  /** A sink that throws (a header that cannot be forwarded) ends the exchange, not the daemon. */
   private abortOnError(action: () => void): void {
     try {
       action();
--- a/packages/plugin-target-http/src/target-http-options.ts
+++ b/packages/plugin-target-http/src/target-http-options.ts
@@ -29,5 +29,5 @@
     .describe('Longest head of an answer.'),
 });
 
-/** Checked settings of the target edge. */
+/** Validated settings of section [target-http]. */
 export type TargetHttpOptions = z.output<typeof targetHttpOptions>;
