--- a/packages/plugin-once-only/src/__tests__/held-answers.test.ts
+++ b/packages/plugin-once-only/src/__tests__/held-answers.test.ts
@@ -8,8 +8,8 @@
   return {holder: 'entry-1.1', attempt, end: ClaimOutcome.Finished, answer};
 }
 
-describe('answers held for replay', () => {
-  it('keep to their number, the oldest go first', () => {
+describe('HeldAnswers', () => {
+  it('evicts the oldest answers above the maximum number of entries', () => {
     const held = new HeldAnswers({
       maximumEntries: 2,
       maximumBytes: 1e6,
@@ -20,7 +20,7 @@
     assert.equal(held.get('entry-1.1', 3)?.answer?.body.length, 10);
   });
 
-  it('keep to their bytes and count them right over any puts', () => {
+  it('stays within the maximum bytes and counts bytes correctly when entries are replaced', () => {
     const held = new HeldAnswers({
       maximumEntries: 100,
       maximumBytes: 5000,
@@ -35,7 +35,7 @@
     assert.equal(held.bytes, empty);
   });
 
-  it('say that a request was run whose answer is too large to hold', () => {
+  it('keeps the outcome without the answer when the answer is too large', () => {
     const held = new HeldAnswers({
       maximumEntries: 2,
       maximumBytes: 1e6,
--- a/packages/plugin-once-only/src/answer-hand-over.ts
+++ b/packages/plugin-once-only/src/answer-hand-over.ts
@@ -20,12 +20,15 @@
 } from './held-answers.js';
 import type {OwnClaims} from './own-claims.js';
 
-/** Bytes of answers in one message: small enough to leave a link free for other traffic. */
+/**
+ * Maximum bytes of answers in one message, small enough not to block other traffic on the
+ * link.
+ */
 const MAXIMUM_MESSAGE_BYTES = 262_144;
 const MAXIMUM_MESSAGE_ENDS = 500;
 const POLL_INTERVAL_MILLISECONDS = 10;
 
-/** What the hand-over needs. */
+/** Dependencies of `AnswerHandOver`. */
 export interface AnswerHandOverDependencies {
   readonly clock: Clock;
   readonly logger: Logger;
@@ -37,20 +40,20 @@
 }
 
 /**
- * Hands held answers to another daemon before a planned stop, so that a retry after a
- * rolling restart still gets its whole answer. Without it every stop leaves keys whose
- * answer is gone. The heir takes them first, then the log says who it is.
+ * Hands held answers over to another daemon before a planned stop, so that a retry after a
+ * rolling restart still gets its complete answer. Without it, every stop leaves keys whose
+ * answer is lost. The successor accepts the answers first; only then does the log name it.
  */
 export class AnswerHandOver {
   constructor(private readonly dependencies: AnswerHandOverDependencies) {}
 
-  /** Ends within `milliseconds`, whatever the peers and the log do. */
+  /** Runs the hand-over. Returns within `milliseconds` even if peers or the log don't respond. */
   async run(milliseconds: number): Promise<void> {
-    const {clock, ownClaims: own, writer} = this.dependencies;
+    const {clock, ownClaims, writer} = this.dependencies;
     const deadline = clock.monotonicMilliseconds() + milliseconds;
-    await this.waitUntil(() => own.runningCount === 0, deadline);
-    const heir = await this.sendToFirstAccepting(deadline);
-    if (heir !== undefined) writer.setSuccessor(heir);
+    await this.waitUntil(() => ownClaims.runningCount === 0, deadline);
+    const successor = await this.sendToFirstAccepting(deadline);
+    if (successor !== undefined) writer.setSuccessor(successor);
     writer.flush();
     await this.waitUntil(() => writer.isEmpty, deadline);
   }
@@ -58,8 +61,8 @@
   private async sendToFirstAccepting(
     deadline: number,
   ): Promise<string | undefined> {
-    const {logger, heldAnswers: held} = this.dependencies;
-    if (held.size === 0) return undefined;
+    const {logger, heldAnswers} = this.dependencies;
+    if (heldAnswers.size === 0) return undefined;
     for (const peer of this.candidates()) {
       try {
         const answers = await this.sendTo(peer, deadline);
@@ -72,11 +75,14 @@
         });
       }
     }
-    logger.warn(LogEvent.AnswersNotHandedOver, {answers: held.size});
+    logger.warn(LogEvent.AnswersNotHandedOver, {answers: heldAnswers.size});
     return undefined;
   }
 
-  /** Peers of the own data centre first: a cut between data centres leaves them in reach. */
+  /**
+   * Returns the peers, own data centre first: they stay reachable in a partition between data
+   * centres.
+   */
   private candidates(): Peer[] {
     const {identity, peerLinks} = this.dependencies;
     const distance = ({dataCentre}: Peer) =>
@@ -90,42 +96,48 @@
 
   private async sendTo(peer: Peer, deadline: number): Promise<number> {
     const {clock, peerLinks} = this.dependencies;
-    let handed = 0;
-    for (const ends of this.messageBatches()) {
-      const left = deadline - clock.monotonicMilliseconds();
-      // What is left out was run and says so: the log has its outcome.
-      if (left <= 0 && handed > 0) break;
-      const message: HandOverMessage = {kind: ClaimMessageKind.HandOver, ends};
-      const answer = await peerLinks.request(
+    let acceptedCount = 0;
+    for (const outcomes of this.messageBatches()) {
+      const remainingMilliseconds = deadline - clock.monotonicMilliseconds();
+      // The remaining answers are dropped. Their keys still count as run: the log has the outcomes.
+      if (remainingMilliseconds <= 0 && acceptedCount > 0) break;
+      const message: HandOverMessage = {
+        kind: ClaimMessageKind.HandOver,
+        ends: outcomes,
+      };
+      const response = await peerLinks.request(
         peer.incarnation,
         PeerTopic.KeyedAnswer,
         message,
-        Math.max(1, left),
+        Math.max(1, remainingMilliseconds),
       );
-      handed += parseHandOverResponse(answer).taken;
+      acceptedCount += parseHandOverResponse(response).taken;
     }
-    return handed;
+    return acceptedCount;
   }
 
-  /** Newest first: they are the likeliest to be asked for, should time run out. */
+  /**
+   * Splits the answers into batches, newest first: those are the most likely to be requested
+   * if time runs out.
+   */
   private messageBatches(): AttemptOutcome[][] {
-    const messages: AttemptOutcome[][] = [];
-    let ends: AttemptOutcome[] = [];
+    const batches: AttemptOutcome[][] = [];
+    let batch: AttemptOutcome[] = [];
     let bytes = 0;
-    for (const named of [...this.dependencies.heldAnswers.all()].reverse()) {
-      const size = named.answer ? answerSizeBytes(named.answer) : 0;
+    for (const outcome of [...this.dependencies.heldAnswers.all()].reverse()) {
+      const size = outcome.answer ? answerSizeBytes(outcome.answer) : 0;
       const isFull =
         bytes + size > MAXIMUM_MESSAGE_BYTES ||
-        ends.length >= MAXIMUM_MESSAGE_ENDS;
-      if (isFull && ends.length > 0) {
-        messages.push(ends);
-        ends = [];
+        batch.length >= MAXIMUM_MESSAGE_ENDS;
+      if (isFull && batch.length > 0) {
+        batches.push(batch);
+        batch = [];
         bytes = 0;
       }
-      ends.push(named);
+      batch.push(outcome);
       bytes += size;
     }
-    return ends.length > 0 ? [...messages, ends] : messages;
+    return batch.length > 0 ? [...batches, batch] : batches;
   }
 
   private async waitUntil(
--- a/packages/plugin-once-only/src/claim-messages.ts
+++ b/packages/plugin-once-only/src/claim-messages.ts
@@ -1,17 +1,17 @@
 import {z} from 'zod';
 import {ClaimOutcome, type HeldAnswer} from '@gentiandoor/shared-state';
 
-/** Where a try stands at the daemon that has it. */
+/** Status of an attempt at the daemon that holds its claim. */
 export enum ClaimStatus {
-  /** It runs, or waits to run. */
+  /** Running, or waiting to run. */
   Running = 'running',
-  /** A target ran it. */
+  /** A target has run the request. */
   Finished = 'finished',
-  /** It may have been run. */
+  /** The outcome is unknown: the request may have been run. */
   Lost = 'lost',
-  /** It was not run, and its claim is being given back. */
+  /** Not run; the claim is being released. */
   Released = 'released',
-  /** The daemon knows nothing of it. */
+  /** The daemon has no record of the attempt. */
   Unknown = 'unknown',
 }
 
@@ -39,7 +39,7 @@
   holder: z.string(),
   key: z.string(),
   attempt: z.number(),
-  /** Longest wait for the end of a running request, in milliseconds. */
+  /** Maximum time to wait for a running request to finish, in milliseconds. */
   waitMilliseconds: z.number(),
 });
 
@@ -60,37 +60,37 @@
 
 const handOverResponseSchema = z.object({taken: z.number()});
 
-/** Asks where a try stands. */
+/** Requests the status of an attempt. */
 export type ClaimStatusRequest = z.output<typeof claimStatusRequestSchema>;
 
-/** Hands ends and answers over before a planned stop. */
+/** Hands outcomes and answers over before a planned stop. */
 export type HandOverMessage = z.output<typeof handOverSchema>;
 
-/** A message of one daemon to another about claims. */
+/** A message about claims from one daemon to another. */
 export type ClaimMessage = ClaimStatusRequest | HandOverMessage;
 
-/** The answer to `AskMessage`. */
+/** The response to `ClaimStatusRequest`. */
 export interface ClaimStatusResponse {
   readonly standing: ClaimStatus;
   readonly answer?: HeldAnswer;
 }
 
-/** The answer to `HandOverMessage`: how many ends were taken in. */
+/** The response to `HandOverMessage`: the number of outcomes accepted. */
 export type HandOverResponse = z.output<typeof handOverResponseSchema>;
 
-/** Checks a message; throws `ZodError`. */
+/** Validates a message. Throws `ZodError` when it is invalid. */
 export function parseClaimMessage(message: unknown): ClaimMessage {
   return messageSchema.parse(message);
 }
 
-/** Checks an answer to `AskMessage`; throws `ZodError`. */
+/** Validates a response to `ClaimStatusRequest`. Throws `ZodError` when it is invalid. */
 export function parseClaimStatusResponse(
   message: unknown,
 ): ClaimStatusResponse {
   return claimStatusResponseSchema.parse(message);
 }
 
-/** Checks an answer to `HandOverMessage`; throws `ZodError`. */
+/** Validates a response to `HandOverMessage`. Throws `ZodError` when it is invalid. */
 export function parseHandOverResponse(message: unknown): HandOverResponse {
   return handOverResponseSchema.parse(message);
 }
--- a/packages/plugin-once-only/src/claim-status-lookup.ts
+++ b/packages/plugin-once-only/src/claim-status-lookup.ts
@@ -18,10 +18,10 @@
 import type {KeyWaiters} from './key-waiters.js';
 import type {OwnClaims} from './own-claims.js';
 
-/** Time for the way there and back, on top of the wait that is asked for, in milliseconds. */
+/** Time allowed for the network round trip, in addition to the requested wait. */
 const ROUND_TRIP_MILLISECONDS = 1000;
 
-/** What the search for an answer needs. */
+/** Dependencies of `ClaimStatusLookup`. */
 export interface ClaimStatusLookupDependencies {
   readonly holder: string;
   readonly clock: Clock;
@@ -32,35 +32,45 @@
   readonly peerLinks: PeerLinks;
 }
 
-/** A try, as its holder names it. */
+/** Identifies an attempt across daemons: its claim and the incarnation that holds it. */
 export interface AttemptReference extends ClaimReference {
   readonly holder: string;
 }
 
-/** Where a claimed try stands, and whether whoever has its answer could be asked. */
+/** Status of a claimed attempt, and whether the daemon that holds its answer was reachable. */
 export interface ResolvedClaimStatus extends ClaimStatusResponse {
   readonly isAnswerHolderReached: boolean;
 }
 
-/** Finds out where a claimed key stands: here, or at the daemon that has its answer. */
+/** Looks up the status of a claimed key, here or at the daemon that holds its answer. */
 export class ClaimStatusLookup {
   constructor(private readonly dependencies: ClaimStatusLookupDependencies) {}
 
-  /** Waits up to `milliseconds` for the end of a running request. */
+  /** Returns the status; waits up to `milliseconds` for a running request to finish. */
   async findStatus(
     entry: ClaimEntry,
     milliseconds: number,
     signal?: AbortSignal,
   ): Promise<ResolvedClaimStatus> {
     const {holder, table} = this.dependencies;
-    const keeper = table.answerHolderOf(entry.holder);
-    if (keeper === holder) {
-      const here = await this.localStatus(entry, milliseconds, signal);
-      return applyLoggedOutcome({...here, isAnswerHolderReached: true}, entry);
+    const answerHolder = table.answerHolderOf(entry.holder);
+    if (answerHolder === holder) {
+      const localStatus = await this.localStatus(entry, milliseconds, signal);
+      return applyLoggedOutcome(
+        {...localStatus, isAnswerHolderReached: true},
+        entry,
+      );
     }
     try {
-      const there = await this.remoteStatus(keeper, entry, milliseconds);
-      return applyLoggedOutcome({...there, isAnswerHolderReached: true}, entry);
+      const remoteStatus = await this.remoteStatus(
+        answerHolder,
+        entry,
+        milliseconds,
+      );
+      return applyLoggedOutcome(
+        {...remoteStatus, isAnswerHolderReached: true},
+        entry,
+      );
     } catch {
       return applyLoggedOutcome(
         {standing: ClaimStatus.Unknown, isAnswerHolderReached: false},
@@ -69,35 +79,35 @@
     }
   }
 
-  /** Where a try stands at this daemon; waits up to `milliseconds` while it runs. */
+  /**
+   * Returns the status of an attempt at this daemon; waits up to `milliseconds` while it runs.
+   */
   async localStatus(
-    named: AttemptReference,
+    reference: AttemptReference,
     milliseconds: number,
     signal?: AbortSignal,
   ): Promise<ClaimStatusResponse> {
-    const {
-      holder,
-      clock,
-      heldAnswers: held,
-      ownClaims: own,
-      keyWaiters: waiters,
-    } = this.dependencies;
+    const {holder, clock, heldAnswers, ownClaims, keyWaiters} =
+      this.dependencies;
     const deadline = clock.monotonicMilliseconds() + milliseconds;
     for (;;) {
-      const ended = held.get(named.holder, named.attempt);
-      if (ended)
-        return {standing: STATUS_BY_OUTCOME[ended.end], answer: ended.answer};
-      if (named.holder !== holder) return {standing: ClaimStatus.Unknown};
-      const standing = own.statusOf(named);
+      const heldOutcome = heldAnswers.get(reference.holder, reference.attempt);
+      if (heldOutcome)
+        return {
+          standing: STATUS_BY_OUTCOME[heldOutcome.end],
+          answer: heldOutcome.answer,
+        };
+      if (reference.holder !== holder) return {standing: ClaimStatus.Unknown};
+      const standing = ownClaims.statusOf(reference);
       if (standing !== ClaimStatus.Running) return {standing};
-      const left = deadline - clock.monotonicMilliseconds();
-      if (left <= 0 || signal?.aborted) return {standing};
-      await waiters.wait(named.key, left, signal);
+      const remainingMilliseconds = deadline - clock.monotonicMilliseconds();
+      if (remainingMilliseconds <= 0 || signal?.aborted) return {standing};
+      await keyWaiters.wait(reference.key, remainingMilliseconds, signal);
     }
   }
 
   private async remoteStatus(
-    keeper: string,
+    answerHolder: string,
     {holder, key, attempt}: AttemptReference,
     waitMilliseconds: number,
   ): Promise<ClaimStatusResponse> {
@@ -108,13 +118,13 @@
       attempt,
       waitMilliseconds,
     };
-    const answer = await this.dependencies.peerLinks.request(
-      keeper,
+    const response = await this.dependencies.peerLinks.request(
+      answerHolder,
       PeerTopic.KeyedAnswer,
       message,
       waitMilliseconds + ROUND_TRIP_MILLISECONDS,
     );
-    return parseClaimStatusResponse(answer);
+    return parseClaimStatusResponse(response);
   }
 }
 
@@ -123,11 +133,15 @@
   [ClaimOutcome.Lost]: ClaimStatus.Lost,
 };
 
-/** Where the keeper knows nothing, what the log says of the end stands. */
+/**
+ * Uses the outcome from the log when the daemon that holds the answer has no record of the
+ * attempt.
+ */
 function applyLoggedOutcome(
-  found: ResolvedClaimStatus,
+  status: ResolvedClaimStatus,
   {end}: ClaimEntry,
 ): ResolvedClaimStatus {
-  if (found.standing !== ClaimStatus.Unknown || end === undefined) return found;
-  return {...found, standing: STATUS_BY_OUTCOME[end]};
+  if (status.standing !== ClaimStatus.Unknown || end === undefined)
+    return status;
+  return {...status, standing: STATUS_BY_OUTCOME[end]};
 }
--- a/packages/plugin-once-only/src/claim-writer.ts
+++ b/packages/plugin-once-only/src/claim-writer.ts
@@ -20,7 +20,7 @@
 const BACKOFF_BASE_MILLISECONDS = 100;
 const BACKOFF_MAXIMUM_MILLISECONDS = 5000;
 
-/** What the writer needs. */
+/** Dependencies of `ClaimWriter`. */
 export interface ClaimWriterDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -30,20 +30,20 @@
 }
 
 /**
- * Group commit of claims, releases and outcomes. One append is under way at a time and the
- * next takes everything that has gathered, so a burst makes larger appends, not more; two
- * appends stand `append_interval_milliseconds` apart, so that seven daemons at 25 ms stay
- * under 280 appends a second of the several hundred that the log takes. Without it, each
+ * Group commit of claims, releases and outcomes. One append is in flight at a time and the
+ * next one takes everything queued meanwhile, so a burst leads to larger appends, not more.
+ * Appends start at least `append_interval_milliseconds` apart: seven daemons at 25 ms stay
+ * under 280 appends a second, of the several hundred that the log accepts. Without it, each
  * keyed request is an append and the log's limit is the limit of keyed requests.
  *
- * An append that failed may still land. Whatever it held is sent again under the next
- * sequence; once that one is read back, the fold has dropped the first for good.
+ * An append that failed may still be applied later. Its items are sent again under the next
+ * sequence; once that batch is read back, the fold ignores the earlier one permanently.
  */
 export class ClaimWriter {
   private readonly claims = new Map<number, ClaimRequest>();
   private readonly releases = new Map<number, ClaimReference>();
   private readonly outcomes = new Map<number, ClaimOutcomeReport>();
-  /** Sequence under which a claim was sent last. */
+  /** Sequence of the last batch that contained the claim, by attempt. */
   private readonly lastSequenceByAttempt = new Map<number, number>();
   private successor = '';
   private sequence = 0;
@@ -69,10 +69,11 @@
     return Math.max(0, this.nextAttemptAt - this.now());
   }
 
-  /** True when everything handed in stands in the log. */
+  /** True when everything queued is in the log. */
   get isEmpty(): boolean {
-    const left = this.claims.size + this.releases.size + this.outcomes.size;
-    return left === 0 && this.successor === '' && !this.mustAppend;
+    const queuedCount =
+      this.claims.size + this.releases.size + this.outcomes.size;
+    return queuedCount === 0 && this.successor === '' && !this.mustAppend;
   }
 
   queueClaim(item: ClaimRequest): void {
@@ -80,7 +81,7 @@
     this.onQueued();
   }
 
-  /** Takes a claim back that nobody waits for; false when it may be in the log already. */
+  /** Withdraws a claim that no request waits for; false when it may already be in the log. */
   withdraw(attempt: number): boolean {
     this.claims.delete(attempt);
     return !this.lastSequenceByAttempt.has(attempt);
@@ -91,33 +92,39 @@
     this.onQueued();
   }
 
-  /** Travels with the next append; alone only after `outcome_lag_milliseconds`. */
+  /**
+   * Queues an outcome for the next append; alone it is appended only after
+   * `outcome_lag_milliseconds`.
+   */
   queueOutcome(item: ClaimOutcomeReport): void {
     this.outcomes.set(item.attempt, item);
     this.onQueued();
   }
 
-  setSuccessor(heir: string): void {
-    this.successor = heir;
+  setSuccessor(successor: string): void {
+    this.successor = successor;
     this.onQueued();
   }
 
-  /** Sends what is left without waiting for company. */
+  /** Appends queued outcomes without waiting for a claim or a release to send them with. */
   flush(): void {
     if (this.outcomes.size > 0) this.mustAppend = true;
     this.onQueued();
   }
 
-  /** Hears of an own batch that the fold took; returns claims that can no longer land. */
+  /**
+   * Handles an own batch that was folded; returns the attempts whose claims can no longer be
+   * applied.
+   */
   confirmReadBack(batch: ClaimBatch): number[] {
     this.removeWritten(batch);
-    const dead: number[] = [];
+    const supersededAttempts: number[] = [];
     for (const [attempt, sequence] of this.lastSequenceByAttempt) {
       if (sequence > batch.sequence) continue;
       this.lastSequenceByAttempt.delete(attempt);
-      if (sequence < batch.sequence) dead.push(attempt);
+      if (sequence < batch.sequence) supersededAttempts.push(attempt);
     }
-    return dead;
+    return supersededAttempts;
   }
 
   /** Writes until `signal` aborts. */
@@ -154,8 +161,8 @@
   }
 
   private hasUrgentItems(): boolean {
-    const waited = this.claims.size + this.releases.size;
-    return waited > 0 || this.successor !== '' || this.mustAppend;
+    const urgentCount = this.claims.size + this.releases.size;
+    return urgentCount > 0 || this.successor !== '' || this.mustAppend;
   }
 
   private async appendOnce(signal: AbortSignal): Promise<void> {
@@ -163,13 +170,13 @@
     const startedAt = this.now();
     const batch = this.nextBatch();
     metrics.increment(MetricName.LogAppends, {stream: StreamName.Claims});
-    const limit = this.startAppendTimeout(signal);
+    const timeout = this.startAppendTimeout(signal);
     try {
-      await limit.race(
+      await timeout.race(
         platformLog.append(
           StreamName.Claims,
           [encodeClaimBatch(batch)],
-          limit.signal,
+          timeout.signal,
         ),
       );
       this.noteSuccess(batch);
@@ -181,7 +188,7 @@
       });
       this.noteFailure();
     } finally {
-      limit.end();
+      timeout.end();
     }
   }
 
@@ -190,7 +197,7 @@
     const limit = this.dependencies.onceOnlyOptions.batch_limit;
     const claims = firstItems(this.claims, limit);
     const releases = firstItems(this.releases, limit - claims.length);
-    const room = limit - claims.length - releases.length;
+    const remaining = limit - claims.length - releases.length;
     for (const {attempt} of claims)
       this.lastSequenceByAttempt.set(attempt, sequence);
     return {
@@ -198,7 +205,7 @@
       sequence,
       claims,
       releases,
-      outcomes: firstItems(this.outcomes, room),
+      outcomes: firstItems(this.outcomes, remaining),
       heir: this.successor,
     };
   }
@@ -217,8 +224,8 @@
     this.mustAppend = false;
   }
 
-  // What the lost append held may land for hours. An append that follows it, even an empty
-  // one, settles that, and tells at the same time whether the log takes appends again.
+  // The items of a failed append may still be applied hours later. A later append, even an
+  // empty one, rules that out, and also shows whether the log accepts appends again.
   private noteFailure(): void {
     this.mustAppend = true;
     this.failingSince ??= this.now();
@@ -231,8 +238,11 @@
     this.nextAttemptAt = this.now() + delay;
   }
 
-  /** Ends an append that the log does not answer, whether or not it heeds its signal. */
-  private startAppendTimeout(outer: AbortSignal) {
+  /**
+   * Times out an append that gets no response, even if the log client ignores its abort
+   * signal.
+   */
+  private startAppendTimeout(parentSignal: AbortSignal) {
     const {clock, onceOnlyOptions} = this.dependencies;
     const controller = new AbortController();
     const abort = () => controller.abort();
@@ -240,10 +250,10 @@
       onceOnlyOptions.append_timeout_milliseconds,
       abort,
     );
-    outer.addEventListener('abort', abort, {once: true});
+    parentSignal.addEventListener('abort', abort, {once: true});
     const aborted = new Promise<never>((_, reject) => {
       controller.signal.addEventListener('abort', () =>
-        reject(new Error('no answer to the append')),
+        reject(new Error('the log did not respond to the append in time')),
       );
     });
     aborted.catch(() => undefined);
@@ -252,7 +262,7 @@
       race: <Value>(work: Promise<Value>) => Promise.race([work, aborted]),
       end: () => {
         timer.cancel();
-        outer.removeEventListener('abort', abort);
+        parentSignal.removeEventListener('abort', abort);
       },
     };
   }
--- a/packages/plugin-once-only/src/claims-follower.ts
+++ b/packages/plugin-once-only/src/claims-follower.ts
@@ -24,13 +24,13 @@
 const BACKOFF_BASE_MILLISECONDS = 100;
 const BACKOFF_MAXIMUM_MILLISECONDS = 5000;
 
-/** Beyond any offset: a read there tells where the stream starts and ends, and no record. */
+/** Above any offset: a read there returns the start and end of the stream and no records. */
 const BEYOND_END = Number.MAX_SAFE_INTEGER;
 
-/** Batches applied before the event loop gets a turn: 256 claims each, about a millisecond. */
+/** Batches applied before yielding to the event loop: 256 claims each, about a millisecond. */
 const BATCHES_PER_SLICE = 8;
 
-/** What the follower needs. */
+/** Dependencies of `ClaimsFollower`. */
 export interface ClaimsFollowerDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -40,14 +40,14 @@
   readonly onceOnlyOptions: OnceOnlyOptions;
 }
 
-/** Hears what the fold made of the stream. */
+/** Is notified of the results of folding the stream. */
 export interface ClaimsListener {
-  onBatch(batch: ClaimBatch, verdict: AppliedClaimBatch): void;
-  /** Batches between what was read and what is kept are lost to this daemon. */
+  onBatch(batch: ClaimBatch, appliedBatch: AppliedClaimBatch): void;
+  /** The log has expired batches that this daemon has not read. */
   onGap(): void;
 }
 
-/** Follows the claims stream and keeps the table of claims. */
+/** Follows the claims stream and applies it to the table of claims. */
 export class ClaimsFollower {
   private isPositioned = false;
   private endOffsetAtStart = Infinity;
@@ -61,7 +61,7 @@
     private readonly listener: ClaimsListener,
   ) {}
 
-  /** True once everything is read that stood in the log when this daemon started. */
+  /** True once everything that was in the log when this daemon started has been read. */
   get isCaughtUp(): boolean {
     return this.table.nextOffset >= this.endOffsetAtStart;
   }
@@ -73,7 +73,7 @@
     return clock.monotonicMilliseconds() - this.failingSince;
   }
 
-  /** True when the log has said after `moment` that nothing is left to read. */
+  /** True when a read started at or after `moment` reached the end of the log. */
   isCurrentAsOf(moment: number): boolean {
     return this.caughtUpAsOf >= moment;
   }
@@ -95,14 +95,14 @@
 
   private async seekToOldest(signal: AbortSignal): Promise<void> {
     const {platformLog} = this.dependencies;
-    const edge = await platformLog.read(
+    const range = await platformLog.read(
       StreamName.Claims,
       BEYOND_END,
       {limit: 1, waitMilliseconds: 0},
       signal,
     );
-    this.endOffsetAtStart = edge.end;
-    this.table.skipToOffset(edge.oldest);
+    this.endOffsetAtStart = range.end;
+    this.table.skipToOffset(range.oldest);
     this.isPositioned = true;
   }
 
@@ -142,10 +142,10 @@
       metrics.increment(MetricName.RecordsRejected, {reason: 'unreadable'});
       return;
     }
-    const verdict = this.table.apply(batch);
-    if (verdict.stale)
+    const appliedBatch = this.table.apply(batch);
+    if (appliedBatch.stale)
       metrics.increment(MetricName.RecordsRejected, {reason: 'stale_batch'});
-    this.listener.onBatch(batch, verdict);
+    this.listener.onBatch(batch, appliedBatch);
   }
 
   private async noteFailure(error: Error, signal: AbortSignal): Promise<void> {
--- a/packages/plugin-once-only/src/held-answers.ts
+++ b/packages/plugin-once-only/src/held-answers.ts
@@ -1,31 +1,32 @@
 import type {ClaimOutcome, HeldAnswer} from '@gentiandoor/shared-state';
 
-/** Bytes that an entry takes besides its answer, roughly. */
+/** Approximate bytes of an entry without its answer. */
 const ENTRY_OVERHEAD_BYTES = 200;
 
-/** How a request ended, with its whole answer where it is still held. */
+/** How a request ended, with its complete answer if that is still held. */
 export interface HeldOutcome {
   readonly end: ClaimOutcome;
   readonly answer?: HeldAnswer;
 }
 
-/** Bounds of what is held. */
+/** Limits on held answers. */
 export interface HeldAnswerLimits {
   readonly maximumEntries: number;
   readonly maximumBytes: number;
-  /** Of one answer. */
+  /** Maximum size of a single answer. */
   readonly maximumAnswerBytes: number;
 }
 
-/** An end with the name of its try. */
+/** An outcome with the attempt it belongs to. */
 export interface AttemptOutcome extends HeldOutcome {
   readonly holder: string;
   readonly attempt: number;
 }
 
 /**
- * Ends and answers of finished requests, for replay. Bounded in entries and bytes, the
- * oldest go first; an answer over its own bound is left out and "already run" is said.
+ * Outcomes and answers of finished requests, for replay. Limited in entries and bytes; the
+ * oldest are evicted first. An answer above the size limit is not kept: retries get "already
+ * run".
  */
 export class HeldAnswers {
   private readonly outcomes = new Map<string, AttemptOutcome>();
@@ -45,21 +46,21 @@
     return this.outcomes.get(attemptKey(holder, attempt));
   }
 
-  /** All ends, oldest first. */
+  /** Returns all outcomes, oldest first. */
   all(): IterableIterator<AttemptOutcome> {
     return this.outcomes.values();
   }
 
-  put(named: AttemptOutcome): void {
-    const {holder, attempt, end, answer} = named;
-    const name = attemptKey(holder, attempt);
-    this.remove(name);
+  put(outcome: AttemptOutcome): void {
+    const {holder, attempt, end, answer} = outcome;
+    const key = attemptKey(holder, attempt);
+    this.remove(key);
     const fits =
       answer !== undefined &&
       answerSizeBytes(answer) <= this.limits.maximumAnswerBytes;
-    const kept = {holder, attempt, end, answer: fits ? answer : undefined};
-    this.outcomes.set(name, kept);
-    this.heldBytes += entrySizeBytes(kept);
+    const entry = {holder, attempt, end, answer: fits ? answer : undefined};
+    this.outcomes.set(key, entry);
+    this.heldBytes += entrySizeBytes(entry);
     while (this.exceedsLimits())
       this.remove(this.outcomes.keys().next().value!);
   }
@@ -70,15 +71,15 @@
     return this.outcomes.size > entries || this.heldBytes > bytes;
   }
 
-  private remove(name: string): void {
-    const held = this.outcomes.get(name);
-    if (!held) return;
-    this.outcomes.delete(name);
-    this.heldBytes -= entrySizeBytes(held);
+  private remove(key: string): void {
+    const entry = this.outcomes.get(key);
+    if (!entry) return;
+    this.outcomes.delete(key);
+    this.heldBytes -= entrySizeBytes(entry);
   }
 }
 
-/** Bytes of an answer. */
+/** Returns the size of the headers and body of an answer. */
 export function answerSizeBytes(answer: HeldAnswer): number {
   const text = answer.headers.reduce((sum, word) => sum + word.length, 0);
   return text + answer.body.byteLength;
--- a/packages/plugin-once-only/src/issued-keys.ts
+++ b/packages/plugin-once-only/src/issued-keys.ts
@@ -10,9 +10,10 @@
 const RADIX = 36;
 
 /**
- * Keys that tell their age without a clock: each carries the offset of the claims stream
- * at which it was issued, marked with a secret that all daemons share. A key born below
- * the horizon of the claims that are kept may have been run and forgotten: it is refused.
+ * Issues and verifies keys whose age can be determined without a clock: each carries the
+ * offset of the claims stream at which it was issued, authenticated with a secret that all
+ * daemons share. A key issued below the oldest retained claim may already have been run and
+ * evicted, so it is refused.
  */
 export class IssuedKeys {
   private readonly secrets: readonly string[];
@@ -22,25 +23,25 @@
     this.secrets = [current, previous].filter(secret => secret !== undefined);
   }
 
-  /** A new key of `caller`, born at `offset`; undefined without a secret. */
+  /**
+   * Returns a new key for `caller`, issued at `offset`; undefined when no secret is
+   * configured.
+   */
   issue(caller: string, offset: number): string | undefined {
     if (this.secrets.length === 0) return undefined;
-    const head = `${offset.toString(RADIX)}-${randomBytes(RANDOM_BYTES).toString('hex')}`;
-    return `${ISSUED_KEY_PREFIX}${head}-${computeMac(this.secrets[0], caller, head).toString('hex')}`;
+    const signedPart = `${offset.toString(RADIX)}-${randomBytes(RANDOM_BYTES).toString('hex')}`;
+    return `${ISSUED_KEY_PREFIX}${signedPart}-${computeMac(this.secrets[0], caller, signedPart).toString('hex')}`;
   }
 
   /**
-   * The offset at which a key was issued; undefined for a key of the caller's own.
-   * Throws `RequestError` for one that looks issued and is not.
+   * Returns the offset at which a key was issued; undefined for a key chosen by the caller.
+   * Throws `RequestError` for a key with the prefix of issued keys but no valid MAC.
    */
   issueOffsetOf(caller: string, key: string): number | undefined {
     if (this.secrets.length === 0 || !key.startsWith(ISSUED_KEY_PREFIX))
       return undefined;
-    const [, offset, random, given] = ISSUED_KEY_PATTERN.exec(key) ?? [];
-    if (
-      given === undefined ||
-      !this.hasValidMac(caller, offset, random, given)
-    ) {
+    const [, offset, random, mac] = ISSUED_KEY_PATTERN.exec(key) ?? [];
+    if (mac === undefined || !this.hasValidMac(caller, offset, random, mac)) {
       throw new RequestError(
         ErrorKind.KeyInvalid,
         `keys that begin with ${ISSUED_KEY_PREFIX} are issued by the daemons, to one caller`,
@@ -53,18 +54,25 @@
     caller: string,
     offset: string,
     random: string,
-    given: string,
+    mac: string,
   ): boolean {
-    const bytes = Buffer.from(given, 'hex');
+    const macBytes = Buffer.from(mac, 'hex');
     return this.secrets.some(secret =>
-      timingSafeEqual(computeMac(secret, caller, `${offset}-${random}`), bytes),
+      timingSafeEqual(
+        computeMac(secret, caller, `${offset}-${random}`),
+        macBytes,
+      ),
     );
   }
 }
 
-function computeMac(secret: string, caller: string, head: string): Buffer {
+function computeMac(
+  secret: string,
+  caller: string,
+  signedPart: string,
+): Buffer {
   return createHmac('sha256', secret)
-    .update(JSON.stringify([caller, head]))
+    .update(JSON.stringify([caller, signedPart]))
     .digest()
     .subarray(0, MAC_BYTES);
 }
--- a/packages/plugin-once-only/src/key-waiters.ts
+++ b/packages/plugin-once-only/src/key-waiters.ts
@@ -1,13 +1,13 @@
 import type {Clock} from '@gentiandoor/kernel';
 
-/** Requests that wait for something to change about a key, each with its own bound. */
+/** Requests that wait for the status of a key to change, each with its own timeout. */
 export class KeyWaiters {
   private readonly waiters = new Map<string, Set<() => void>>();
   private waitingCount = 0;
 
   constructor(private readonly clock: Clock) {}
 
-  /** How many wait. */
+  /** Number of waiting requests. */
   get size(): number {
     return this.waitingCount;
   }
@@ -20,27 +20,27 @@
   ): Promise<void> {
     if (signal?.aborted || milliseconds <= 0) return;
     this.waitingCount++;
-    const set = this.waiters.get(key) ?? new Set();
-    this.waiters.set(key, set);
+    const keyWaiters = this.waiters.get(key) ?? new Set();
+    this.waiters.set(key, keyWaiters);
     await new Promise<void>(resolve => {
       const end = () => {
         timer.cancel();
         signal?.removeEventListener('abort', end);
-        set.delete(end);
+        keyWaiters.delete(end);
         resolve();
       };
       const timer = this.clock.schedule(milliseconds, end);
       signal?.addEventListener('abort', end, {once: true});
-      set.add(end);
+      keyWaiters.add(end);
     });
     this.waitingCount--;
-    if (set.size === 0 && this.waiters.get(key) === set)
+    if (keyWaiters.size === 0 && this.waiters.get(key) === keyWaiters)
       this.waiters.delete(key);
   }
 
   wake(key: string): void {
-    const set = this.waiters.get(key);
-    if (!set) return;
-    for (const end of [...set]) end();
+    const keyWaiters = this.waiters.get(key);
+    if (!keyWaiters) return;
+    for (const end of [...keyWaiters]) end();
   }
 }
--- a/packages/plugin-once-only/src/local-idempotency-guard.ts
+++ b/packages/plugin-once-only/src/local-idempotency-guard.ts
@@ -20,7 +20,10 @@
   answer?: HeldAnswer;
 }
 
-/** Recognises keys at one daemon only: the baseline of the claims in the log. */
+/**
+ * Detects repeated keys at one daemon only: the baseline to which claims in the log are
+ * compared.
+ */
 export class LocalIdempotencyGuard implements IdempotencyGuard, Plugin {
   private readonly claims = new Map<string, Claim>();
 
@@ -35,10 +38,14 @@
   async stop(): Promise<void> {}
 
   async begin(request: KeyedRequest): Promise<KeyedRequestDecision> {
-    const name = JSON.stringify([request.caller, request.service, request.key]);
-    const claim = this.claims.get(name);
+    const claimKey = JSON.stringify([
+      request.caller,
+      request.service,
+      request.key,
+    ]);
+    const claim = this.claims.get(claimKey);
     if (!claim)
-      return {run: true, claim: this.claim(name, request.fingerprint)};
+      return {run: true, claim: this.claim(claimKey, request.fingerprint)};
     if (claim.fingerprint !== request.fingerprint) {
       throw new RequestError(
         ErrorKind.KeyReused,
@@ -52,16 +59,16 @@
     );
   }
 
-  private claim(name: string, fingerprint: string): ClaimHandle {
+  private claim(claimKey: string, fingerprint: string): ClaimHandle {
     const claim: Claim = {state: ClaimState.Running, fingerprint};
-    this.claims.set(name, claim);
+    this.claims.set(claimKey, claim);
     this.evictOldest();
     return {
       finish: answer => {
         claim.state = ClaimState.Finished;
         claim.answer = answer;
       },
-      release: () => this.claims.delete(name),
+      release: () => this.claims.delete(claimKey),
       lose: () => {
         claim.state = ClaimState.Lost;
       },
--- a/packages/plugin-once-only/src/log-backed-idempotency-guard.ts
+++ b/packages/plugin-once-only/src/log-backed-idempotency-guard.ts
@@ -45,12 +45,12 @@
 import {ClaimResult, OwnClaims} from './own-claims.js';
 
 const MILLISECONDS_PER_SECOND = 1000;
-/** Refused callers come back spread over so many seconds. */
+/** Retries of refused callers are spread over this many seconds. */
 const RETRY_JITTER_SECONDS = 3;
-/** When to ask again for a key whose holder is cut off, in seconds. */
+/** Seconds after which to retry a key whose holder is unreachable. */
 const UNREACHABLE_RETRY_SECONDS = 2;
 
-/** What the claims need. */
+/** Dependencies of `LogBackedIdempotencyGuard`. */
 export interface LogBackedIdempotencyGuardDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -63,7 +63,7 @@
   readonly onceOnlyOptions: OnceOnlyOptions;
 }
 
-/** A keyed request while it is decided. */
+/** A keyed request that has no decision yet. */
 interface PendingKeyedRequest {
   readonly request: KeyedRequest;
   readonly key: string;
@@ -74,9 +74,10 @@
 }
 
 /**
- * Recognises keyed requests at any daemon by claims in the log: the first claim of a key
- * in log order runs, and only after its daemon has read it back. docs/design/once-only.md
- * weighs the ways; packages/specification checks the protocol.
+ * Detects repeated keyed requests across all daemons by claims in the log: the first claim of
+ * a key in log order runs, and only after its daemon has read it back.
+ * docs/design/once-only.md compares the alternatives; packages/specification checks the
+ * protocol.
  */
 export class LogBackedIdempotencyGuard
   implements IdempotencyGuard, KeyIssuer, Plugin
@@ -124,8 +125,8 @@
       holder,
       table,
       writer,
-      heldAnswers: heldAnswers,
-      keyWaiters: keyWaiters,
+      heldAnswers,
+      keyWaiters,
     });
     this.follower = new ClaimsFollower(dependencies, table, this);
     const {ownClaims} = this;
@@ -133,9 +134,9 @@
       holder,
       clock,
       table,
-      ownClaims: ownClaims,
-      heldAnswers: heldAnswers,
-      keyWaiters: keyWaiters,
+      ownClaims,
+      heldAnswers,
+      keyWaiters,
       peerLinks,
     });
     this.issuedKeys = new IssuedKeys(onceOnlyOptions);
@@ -154,8 +155,9 @@
   }
 
   /**
-   * Whether keyed requests may be sent here. A daemon that has just started refuses every key
-   * until it has read the claims; while the log is out it is ready for all other requests.
+   * Whether this daemon should receive traffic. A daemon that has just started refuses every
+   * key until it has read the claims. During an outage of the log it counts as ready, because
+   * it can still handle all requests without a key.
    */
   get isReady(): boolean {
     return this.follower.isCaughtUp || this.follower.failingMilliseconds > 0;
@@ -163,12 +165,12 @@
 
   async drain(): Promise<void> {
     this.isDraining = true;
-    const {writer, ownClaims: own, heldAnswers: held} = this;
+    const {writer, ownClaims, heldAnswers} = this;
     const handOver = new AnswerHandOver({
       ...this.handOverDependencies(),
       writer,
-      ownClaims: own,
-      heldAnswers: held,
+      ownClaims,
+      heldAnswers,
     });
     await handOver.run(
       this.dependencies.onceOnlyOptions.hand_over_milliseconds,
@@ -203,13 +205,13 @@
     }
   }
 
-  onBatch(batch: ClaimBatch, verdict: AppliedClaimBatch): void {
+  onBatch(batch: ClaimBatch, appliedBatch: AppliedClaimBatch): void {
     const {identity, metrics} = this.dependencies;
-    for (const {key} of verdict.released) this.keyWaiters.wake(key);
+    for (const {key} of appliedBatch.released) this.keyWaiters.wake(key);
     metrics.gauge(MetricName.ClaimsKept, this.table.size);
     metrics.gauge(MetricName.HeldAnswerBytes, this.heldAnswers.bytes);
-    if (batch.holder === identity.incarnation && !verdict.stale)
-      this.ownClaims.onOwnBatch(batch, verdict);
+    if (batch.holder === identity.incarnation && !appliedBatch.stale)
+      this.ownClaims.onOwnBatch(batch, appliedBatch);
   }
 
   onGap(): void {
@@ -222,46 +224,50 @@
   ): PendingKeyedRequest {
     const {clock, onceOnlyOptions: options} = this.dependencies;
     const arrivedAt = clock.monotonicMilliseconds();
-    const longest =
+    const maximumWaitMilliseconds =
       options.claim_wait_milliseconds + options.answer_wait_milliseconds;
     return {
       request,
       key: claimKeyDigest(request),
       fingerprint: claimFingerprintDigest(request),
       arrivedAt,
-      deadline: arrivedAt + longest,
+      deadline: arrivedAt + maximumWaitMilliseconds,
       signal,
     };
   }
 
   private async decide(
-    asked: PendingKeyedRequest,
+    pending: PendingKeyedRequest,
   ): Promise<KeyedRequestDecision> {
     if (this.isDraining) throw drainingError();
-    const bornAt = this.issuedKeys.issueOffsetOf(
-      asked.request.caller,
-      asked.request.key,
+    const issueOffset = this.issuedKeys.issueOffsetOf(
+      pending.request.caller,
+      pending.request.key,
     );
     do {
-      const entry = this.table.get(asked.key);
+      const entry = this.table.get(pending.key);
       const decision = entry
-        ? await this.answerTakenKey(asked, entry)
-        : await this.claimFreeKey(asked, bornAt);
+        ? await this.answerTakenKey(pending, entry)
+        : await this.claimFreeKey(pending, issueOffset);
       if (decision) return decision;
-    } while (this.remainingMilliseconds(asked) > 0);
-    throw this.unavailableError(asked, 'the key did not come free in time');
+    } while (this.remainingMilliseconds(pending) > 0);
+    throw this.unavailableError(pending, 'the key was not released in time');
   }
 
-  /** Claims a free key; undefined when another try came first. */
+  /** Claims a free key; undefined when another attempt claimed it first. */
   private async claimFreeKey(
-    asked: PendingKeyedRequest,
-    bornAt: number | undefined,
+    pending: PendingKeyedRequest,
+    issueOffset: number | undefined,
   ): Promise<KeyedRequestDecision | undefined> {
-    this.refuseForgotten(bornAt);
-    this.refuseUnavailable(asked);
-    const {key, fingerprint, signal} = asked;
-    const longest = this.dependencies.onceOnlyOptions.claim_wait_milliseconds;
-    const deadline = Math.min(asked.deadline, this.now() + longest);
+    this.refuseForgotten(issueOffset);
+    this.refuseUnavailable(pending);
+    const {key, fingerprint, signal} = pending;
+    const maximumWaitMilliseconds =
+      this.dependencies.onceOnlyOptions.claim_wait_milliseconds;
+    const deadline = Math.min(
+      pending.deadline,
+      this.now() + maximumWaitMilliseconds,
+    );
     if (this.ownClaims.isPending(key)) {
       await this.keyWaiters.wait(key, deadline - this.now(), signal);
       return undefined;
@@ -277,97 +283,107 @@
     if (claim.result === ClaimResult.Taken) return undefined;
     if (claim.result === ClaimResult.Forgotten) throw forgottenError();
     throw this.unavailableError(
-      asked,
-      'the log did not take the claim in time',
+      pending,
+      'the log did not accept the claim in time',
     );
   }
 
-  /** Finds the answer of a taken key; undefined when the key is coming free. */
+  /** Finds the answer of a claimed key; undefined when the key is being released. */
   private async answerTakenKey(
-    asked: PendingKeyedRequest,
+    pending: PendingKeyedRequest,
     entry: ClaimEntry,
   ): Promise<KeyedRequestDecision | undefined> {
-    if (entry.fingerprint !== asked.fingerprint) {
+    if (entry.fingerprint !== pending.fingerprint) {
       throw new RequestError(
         ErrorKind.KeyReused,
         'the key belongs to another request',
       );
     }
-    const found = await this.statusLookup.findStatus(
+    const status = await this.statusLookup.findStatus(
       entry,
-      this.answerWaitMilliseconds(asked),
-      asked.signal,
+      this.answerWaitMilliseconds(pending),
+      pending.signal,
     );
-    if (found.answer) return {run: false, answer: found.answer};
-    if (found.standing === ClaimStatus.Released) {
+    if (status.answer) return {run: false, answer: status.answer};
+    if (status.standing === ClaimStatus.Released) {
       await this.keyWaiters.wait(
-        asked.key,
-        this.remainingMilliseconds(asked),
-        asked.signal,
+        pending.key,
+        this.remainingMilliseconds(pending),
+        pending.signal,
       );
       return undefined;
     }
-    const kind = ERROR_KIND_BY_STATUS[found.standing];
-    throw new RequestError(kind, `the key is ${found.standing}`, {
-      retryAfterSeconds: found.isAnswerHolderReached
+    const kind = ERROR_KIND_BY_STATUS[status.standing];
+    throw new RequestError(kind, `the key is ${status.standing}`, {
+      retryAfterSeconds: status.isAnswerHolderReached
         ? undefined
         : this.unreachableRetrySeconds(entry),
     });
   }
 
-  // A key born below the horizon may have been claimed by a batch that is forgotten. The
-  // offset in the key tells, whatever the clocks say.
-  private refuseForgotten(bornAt: number | undefined): void {
-    if (bornAt !== undefined && bornAt < this.table.retainedFromOffset)
+  // A key issued below the oldest retained claim may have been claimed by a batch that was
+  // evicted. The offset in the key shows this independently of clocks.
+  private refuseForgotten(issueOffset: number | undefined): void {
+    if (
+      issueOffset !== undefined &&
+      issueOffset < this.table.retainedFromOffset
+    )
       throw forgottenError();
   }
 
-  private refuseUnavailable(asked: PendingKeyedRequest): void {
+  private refuseUnavailable(pending: PendingKeyedRequest): void {
     const {follower, writer} = this;
     const {onceOnlyOptions: options} = this.dependencies;
     if (!follower.isCaughtUp)
-      throw this.unavailableError(asked, 'the claims are still being read');
-    const failing = Math.max(
+      throw this.unavailableError(pending, 'the claims are still being read');
+    const failingMilliseconds = Math.max(
       follower.failingMilliseconds,
       writer.failingMilliseconds,
     );
-    if (failing > 0 && failing >= options.outage_milliseconds)
+    if (
+      failingMilliseconds > 0 &&
+      failingMilliseconds >= options.outage_milliseconds
+    )
       throw this.unavailableError(
-        asked,
-        'the log has not answered for a while',
+        pending,
+        'the log has not responded for a while',
       );
     if (this.keyWaiters.size >= options.waiting_limit)
       throw this.unavailableError(
-        asked,
-        'too many requests wait for their claims',
+        pending,
+        'too many requests are waiting for their claims',
       );
   }
 
-  // This request will not run. Whether an earlier one of the same key did is known only
-  // when the log has said, since this one came, that nothing is left to read: a caller who
-  // was cut off from a request that ran must not hear "not run" from its retry.
+  // This request will not run. Whether an earlier one with the same key ran is known only if
+  // the log has reported, after this one arrived, that there is nothing left to read. A caller
+  // that lost its connection to a request that ran must not get "not run" for its retry.
   private unavailableError(
-    asked: PendingKeyedRequest,
+    pending: PendingKeyedRequest,
     detail: string,
   ): RequestError {
-    const isProven =
-      this.follower.isCurrentAsOf(asked.arrivedAt) &&
-      this.table.get(asked.key) === undefined;
-    const soonest = Math.ceil(
+    const isProvenNotRun =
+      this.follower.isCurrentAsOf(pending.arrivedAt) &&
+      this.table.get(pending.key) === undefined;
+    const backoffSeconds = Math.ceil(
       this.writer.nextAttemptMilliseconds / MILLISECONDS_PER_SECOND,
     );
-    const spread = this.dependencies.random.nextInteger(RETRY_JITTER_SECONDS);
+    const jitterSeconds =
+      this.dependencies.random.nextInteger(RETRY_JITTER_SECONDS);
     return new RequestError(ErrorKind.ClaimUnavailable, detail, {
-      run: isProven ? RequestExecution.NotRun : RequestExecution.Unknown,
-      retryAfterSeconds: Math.max(1, soonest) + spread,
+      run: isProvenNotRun ? RequestExecution.NotRun : RequestExecution.Unknown,
+      retryAfterSeconds: Math.max(1, backoffSeconds) + jitterSeconds,
     });
   }
 
-  /** A holder that is a member still may be cut off only: its answer may come back. */
+  /**
+   * A holder that is still a member may only be unreachable for now, so its answer may become
+   * available.
+   */
   private unreachableRetrySeconds({holder}: ClaimEntry): number | undefined {
     const {members} = this.dependencies.sharedState.state;
-    const keeper = this.table.answerHolderOf(holder);
-    return members.has(keeper) ? UNREACHABLE_RETRY_SECONDS : undefined;
+    const answerHolder = this.table.answerHolderOf(holder);
+    return members.has(answerHolder) ? UNREACHABLE_RETRY_SECONDS : undefined;
   }
 
   private async handlePeerMessage(message: unknown): Promise<unknown> {
@@ -378,16 +394,20 @@
   }
 
   private claimStatusResponse(message: ClaimStatusRequest): Promise<unknown> {
-    const {answer_wait_milliseconds: longest, waiting_limit: limit} =
-      this.dependencies.onceOnlyOptions;
-    const isFull = this.keyWaiters.size >= limit;
-    const wait = isFull ? 0 : Math.min(longest, message.waitMilliseconds);
-    return this.statusLookup.localStatus(message, wait);
+    const {
+      answer_wait_milliseconds: maximumWaitMilliseconds,
+      waiting_limit: waitingLimit,
+    } = this.dependencies.onceOnlyOptions;
+    const isFull = this.keyWaiters.size >= waitingLimit;
+    const waitMilliseconds = isFull
+      ? 0
+      : Math.min(maximumWaitMilliseconds, message.waitMilliseconds);
+    return this.statusLookup.localStatus(message, waitMilliseconds);
   }
 
   private acceptHandOver({ends}: HandOverMessage): {taken: number} {
     if (this.isDraining) throw new Error('this daemon is stopping itself');
-    for (const named of ends) this.heldAnswers.put(named);
+    for (const outcome of ends) this.heldAnswers.put(outcome);
     return {taken: ends.length};
   }
 
@@ -396,11 +416,16 @@
     return {clock, logger, identity, peerLinks};
   }
 
-  private answerWaitMilliseconds(asked: PendingKeyedRequest): number {
-    const {answer_wait_milliseconds: longest, waiting_limit: limit} =
-      this.dependencies.onceOnlyOptions;
-    if (this.keyWaiters.size >= limit) return 0;
-    return Math.max(0, Math.min(longest, this.remainingMilliseconds(asked)));
+  private answerWaitMilliseconds(pending: PendingKeyedRequest): number {
+    const {
+      answer_wait_milliseconds: maximumWaitMilliseconds,
+      waiting_limit: waitingLimit,
+    } = this.dependencies.onceOnlyOptions;
+    if (this.keyWaiters.size >= waitingLimit) return 0;
+    return Math.max(
+      0,
+      Math.min(maximumWaitMilliseconds, this.remainingMilliseconds(pending)),
+    );
   }
 
   private remainingMilliseconds({
@@ -424,7 +449,7 @@
   [ClaimStatus.Unknown]: ErrorKind.KeyOutcomeUnknown,
 };
 
-/** Says nothing of the key's earlier requests, which this daemon no longer looks for. */
+/** Reports `run` as unknown: a draining daemon does not look up earlier requests with the key. */
 function drainingError(): RequestError {
   return new RequestError(ErrorKind.Draining, 'this daemon is stopping', {
     run: RequestExecution.Unknown,
--- a/packages/plugin-once-only/src/once-only-options.ts
+++ b/packages/plugin-once-only/src/once-only-options.ts
@@ -86,5 +86,5 @@
     .describe('The secret before the last change, still taken.'),
 });
 
-/** Checked settings of the once-only plug-in. */
+/** Validated settings of the once-only plug-in. */
 export type OnceOnlyOptions = z.output<typeof onceOnlyOptions>;
--- a/packages/plugin-once-only/src/own-claims.ts
+++ b/packages/plugin-once-only/src/own-claims.ts
@@ -14,28 +14,31 @@
 import type {HeldAnswers} from './held-answers.js';
 import type {KeyWaiters} from './key-waiters.js';
 
-/** How the wait for a claim ended. */
+/** Result of waiting for a claim. */
 export enum ClaimResult {
   /** Still waiting. */
   Pending = 'pending',
-  /** It stands in the log: the request may run. */
+  /** The claim is the first for its key in the log: the request may run. */
   Won = 'won',
-  /** Another try was first. */
+  /** Another attempt claimed the key first. */
   Taken = 'taken',
-  /** Nobody waits any more; it must not run, whatever the log says later. */
+  /** No request is waiting any more; it must not run even if the log shows the claim later. */
   GivenUp = 'given_up',
-  /** So much came in between that an older claim of the key may be forgotten. */
+  /**
+   * So many claims were applied meanwhile that an older claim of the key may have been
+   * evicted.
+   */
   Forgotten = 'forgotten',
 }
 
-/** A claim on its way. Its result changes once, from `Pending`. */
+/** A claim that was queued but not yet read back. Its result changes once, from `Pending`. */
 export interface PendingClaim extends ClaimRequest {
   /** Every claim of the key at or above this offset is known to this daemon. */
   readonly startOffset: number;
   result: ClaimResult;
 }
 
-/** What the tries of this incarnation need. */
+/** Dependencies of `OwnClaims`. */
 export interface OwnClaimsDependencies {
   readonly holder: string;
   readonly table: ClaimTable;
@@ -44,7 +47,7 @@
   readonly keyWaiters: KeyWaiters;
 }
 
-/** The tries of this incarnation, from the claim to the end of the request. */
+/** Tracks the attempts of this incarnation, from the claim to the end of the request. */
 export class OwnClaims {
   private lastAttempt = 0;
   private readonly pending = new Map<number, PendingClaim>();
@@ -55,17 +58,17 @@
 
   constructor(private readonly dependencies: OwnClaimsDependencies) {}
 
-  /** Requests that hold a claim and have not ended. */
+  /** Number of requests that hold a claim and have not finished. */
   get runningCount(): number {
     return this.running.size;
   }
 
-  /** True while a claim of the key is on its way and somebody waits for it. */
+  /** True while a claim of the key is pending and a request waits for it. */
   isPending(key: string): boolean {
     return this.pendingKeys.has(key);
   }
 
-  /** Sends a claim on its way. */
+  /** Queues a claim for the log. */
   begin(key: string, fingerprint: string, startOffset: number): PendingClaim {
     const attempt = ++this.lastAttempt;
     const result: ClaimResult = ClaimResult.Pending;
@@ -76,18 +79,19 @@
     return claim;
   }
 
-  /** Ends the wait for a claim; what is won later is given back. */
+  /** Stops waiting for a claim. If the claim is won later, it is released. */
   giveUp(claim: PendingClaim): void {
     if (claim.result !== ClaimResult.Pending) return;
     this.setResult(claim, ClaimResult.GivenUp);
     const {key, attempt} = claim;
-    // An append under way may land after the caller was told. It must neither run nor keep
-    // the key: it stays here until the log shows it, or shows that it can land no more.
+    // An append in flight may succeed after the caller got its response. The claim must then
+    // neither run nor keep the key, so it is remembered until the log shows it or shows that
+    // it can no longer be applied.
     if (!this.dependencies.writer.withdraw(attempt))
       this.givenUp.set(attempt, {key, attempt});
   }
 
-  /** The right to run a won claim. */
+  /** Creates the handle with which the request of a won claim reports how it ended. */
   createHandle(claim: PendingClaim): ClaimHandle {
     const {key, attempt} = claim;
     return {
@@ -100,7 +104,7 @@
     };
   }
 
-  /** Where a try of this incarnation stands. */
+  /** Returns the status of an attempt of this incarnation. */
   statusOf({key, attempt}: ClaimReference): ClaimStatus {
     if (this.running.has(attempt)) return ClaimStatus.Running;
     if (this.pending.get(attempt)?.key === key) return ClaimStatus.Running;
@@ -109,9 +113,9 @@
     return ClaimStatus.Unknown;
   }
 
-  /** Hears what the fold made of a batch of this incarnation. */
-  onOwnBatch(batch: ClaimBatch, verdict: AppliedClaimBatch): void {
-    for (const {item, entry} of verdict.appliedClaims)
+  /** Handles the result of folding a batch of this incarnation. */
+  onOwnBatch(batch: ClaimBatch, appliedBatch: AppliedClaimBatch): void {
+    for (const {item, entry} of appliedBatch.appliedClaims)
       this.applyClaim(item, entry);
     for (const item of batch.releases) {
       this.releasing.delete(item.attempt);
@@ -121,7 +125,7 @@
       this.givenUp.delete(attempt);
   }
 
-  /** Gives back whatever is on its way: the batches that told its fate are lost. */
+  /** Gives up and releases all pending claims: the batches that showed their results are lost. */
   giveUpAll(): void {
     for (const claim of [...this.pending.values()]) this.giveUp(claim);
     for (const claim of [...this.givenUp.values()]) {
@@ -140,10 +144,10 @@
 
   private resolvePending(claim: PendingClaim, isOwn: boolean): void {
     if (!isOwn) return this.setResult(claim, ClaimResult.Taken);
-    const {key, attempt, startOffset: knownFrom} = claim;
-    // While the claim was on its way, older claims may have been forgotten above the bound,
-    // one of this key among them; the symptom would be a second run.
-    if (this.dependencies.table.retainedFromOffset > knownFrom) {
+    const {key, attempt, startOffset} = claim;
+    // While the claim was pending, claims above its start offset may have been evicted, among
+    // them one of this key. Without this check the request could be run a second time.
+    if (this.dependencies.table.retainedFromOffset > startOffset) {
       this.setResult(claim, ClaimResult.Forgotten);
       return this.release(claim);
     }
@@ -165,19 +169,14 @@
 
   private recordOutcome(
     reference: ClaimReference,
-    end: ClaimOutcome,
+    outcome: ClaimOutcome,
     answer?: HeldAnswer,
   ): void {
-    const {
-      holder,
-      heldAnswers: held,
-      writer,
-      keyWaiters: waiters,
-    } = this.dependencies;
+    const {holder, heldAnswers, writer, keyWaiters} = this.dependencies;
     const {key, attempt} = reference;
     if (!this.running.delete(attempt)) return;
-    held.put({holder, attempt, end, answer});
-    writer.queueOutcome({key, attempt, end});
-    waiters.wake(key);
+    heldAnswers.put({holder, attempt, end: outcome, answer});
+    writer.queueOutcome({key, attempt, end: outcome});
+    keyWaiters.wake(key);
   }
 }
