--- a/packages/plugin-peers/src/__tests__/frame-authentication.test.ts
+++ b/packages/plugin-peers/src/__tests__/frame-authentication.test.ts
@@ -8,27 +8,27 @@
 } from '../frame-authentication.js';
 
 const KEY = 'a key for tests only';
-const HELLO = Buffer.from('hello');
-const OTHER = Buffer.from('other');
+const DIALER_HELLO = Buffer.from('hello');
+const LISTENER_HELLO = Buffer.from('other');
 
-describe('proofs and seals of a link', () => {
-  it('differ by side, so that a proof sent back proves nothing', () => {
-    const transcript = handshakeTranscript(HELLO, OTHER);
+describe('frame authentication', () => {
+  it('gives each side a different proof, so that a reflected proof is not valid', () => {
+    const transcript = handshakeTranscript(DIALER_HELLO, LISTENER_HELLO);
     assert.notDeepEqual(
       handshakeProof(KEY, LinkSide.Dialer, transcript),
       handshakeProof(KEY, LinkSide.Listener, transcript),
     );
   });
 
-  it('are bound to where one hello ends and the other begins', () => {
+  it('binds the transcript to the boundary between the two hellos', () => {
     assert.notDeepEqual(
       handshakeTranscript(Buffer.from('ab'), Buffer.from('c')),
       handshakeTranscript(Buffer.from('a'), Buffer.from('bc')),
     );
   });
 
-  it('open frames in order and refuse changed, repeated and foreign ones', () => {
-    const transcript = handshakeTranscript(HELLO, OTHER);
+  it('accepts frames in order and rejects modified, repeated and foreign ones', () => {
+    const transcript = handshakeTranscript(DIALER_HELLO, LISTENER_HELLO);
     const sender = new FrameAuthenticator(KEY, LinkSide.Dialer, transcript);
     const receiver = new FrameAuthenticator(KEY, LinkSide.Dialer, transcript);
     const first = sender.prependTag(Buffer.from('one'));
--- a/packages/plugin-peers/src/__tests__/peer-choice.test.ts
+++ b/packages/plugin-peers/src/__tests__/peer-choice.test.ts
@@ -12,7 +12,7 @@
   }));
 }
 
-/** Daemons reached from the first by links in either direction. */
+/** Number of daemons reachable from the first one over links in either direction. */
 function countReachable(all: readonly PeerCandidate[]): number {
   const links = new Map<string, Set<string>>(
     all.map(({name}) => [name, new Set<string>()]),
@@ -25,10 +25,10 @@
     }
   });
   const seen = new Set([all[0].name]);
-  const next = [all[0].name];
-  for (let name = next.pop(); name !== undefined; name = next.pop()) {
+  const stack = [all[0].name];
+  for (let name = stack.pop(); name !== undefined; name = stack.pop()) {
     for (const other of links.get(name) ?? []) {
-      if (!seen.has(other)) next.push(other);
+      if (!seen.has(other)) stack.push(other);
       seen.add(other);
     }
   }
@@ -36,12 +36,12 @@
 }
 
 describe('choosePeers', () => {
-  it('links a deployment of today to everyone', () => {
+  it('links every daemon to all others in a deployment of the present size', () => {
     const all = makeDaemons(4, 2);
     assert.equal(choosePeers(all[0], all, LIMITS, 0.5).length, 7);
   });
 
-  it('keeps to its bounds with thousands of daemons, and leaves none out', () => {
+  it('stays within its limits with over a thousand daemons and leaves none unreachable', () => {
     const all = makeDaemons(12, 100);
     for (const self of all.slice(0, 50)) {
       const chosen = choosePeers(self, all, LIMITS, 0.5);
@@ -51,7 +51,7 @@
     assert.equal(countReachable(all), all.length);
   });
 
-  it('deals its remote links out over data centres', () => {
+  it('spreads its remote links over the data centres', () => {
     const all = makeDaemons(5, 50);
     const remote = choosePeers(all[0], all, LIMITS, 0.5).filter(
       peer => peer.dataCentre !== 'dc-0',
--- a/packages/plugin-peers/src/__tests__/peer-frames-fuzz.test.ts
+++ b/packages/plugin-peers/src/__tests__/peer-frames-fuzz.test.ts
@@ -28,21 +28,21 @@
 const TRANSCRIPT = Buffer.from('both hellos');
 const packr = new Packr({useRecords: false});
 
-const valid = encodeFrame({
+const validFrame = encodeFrame({
   kind: FrameKind.Request,
   topic: PeerTopic.TargetSummary,
   id: 1,
   body: {pools: {desk: {waiting: true}}},
 });
 /** A valid frame with bytes replaced. */
-const mutated = fc
-  .tuple(fc.nat({max: valid.length - 1}), fc.uint8Array({maxLength: 8}))
+const mutatedFrame = fc
+  .tuple(fc.nat({max: validFrame.length - 1}), fc.uint8Array({maxLength: 8}))
   .map(([from, bytes]) => {
-    const frame = Uint8Array.from(valid);
-    frame.set(bytes.subarray(0, valid.length - from), from);
+    const frame = Uint8Array.from(validFrame);
+    frame.set(bytes.subarray(0, validFrame.length - from), from);
     return frame;
   });
-const strange = fc
+const unusualFrame = fc
   .record(
     {
       kind: fc.oneof(fc.constantFrom(...Object.values(FrameKind)), fc.string()),
@@ -57,9 +57,13 @@
     {requiredKeys: []},
   )
   .map(frame => Uint8Array.from(packr.pack(frame)));
-const anyFrame = fc.oneof(fc.uint8Array({maxLength: 80}), mutated, strange);
+const anyFrame = fc.oneof(
+  fc.uint8Array({maxLength: 80}),
+  mutatedFrame,
+  unusualFrame,
+);
 
-/** The ends of a connection that a link meets, without a network. */
+/** The part of a WebSocket that a link uses, without a network. */
 class FakeSocket extends EventEmitter {
   readonly OPEN = 1;
   readonly readyState = 1;
@@ -103,9 +107,9 @@
   return {socket, metrics, ended: link.run()};
 }
 
-describe('frames of a peer', () => {
+describe('frames from a peer', () => {
   for (const decode of [decodeFrame, decodeHello, decodeProof]) {
-    it(`are read or end in a MalformedFrameError: ${decode.name}`, () => {
+    it(`are decoded or rejected with a MalformedFrameError: ${decode.name}`, () => {
       fc.assert(
         fc.property(anyFrame, frame => {
           try {
@@ -119,7 +123,7 @@
     });
   }
 
-  it('without the seal of the key end the link before they are read', async () => {
+  it('without a valid authentication tag close the link before they are decoded', async () => {
     await fc.assert(
       fc.asyncProperty(anyFrame, async frame => {
         const {socket, metrics, ended} = startLink();
@@ -132,15 +136,19 @@
     );
   });
 
-  // A peer of a faulty version holds the key and sends frames that this one cannot read. The
-  // link ends with a reason that is counted; no error leaves the link's task.
-  it('with the seal are handled, or end the link', async () => {
+  // A peer running a faulty version has the key and sends frames that this daemon cannot
+  // decode. The link must close with a counted reason, and no error may escape its task.
+  it('with a valid authentication tag are handled or close the link', async () => {
     await fc.assert(
       fc.asyncProperty(fc.array(anyFrame, {maxLength: 5}), async frames => {
         const {socket, ended} = startLink();
-        const seal = new FrameAuthenticator(KEY, LinkSide.Dialer, TRANSCRIPT);
+        const authenticator = new FrameAuthenticator(
+          KEY,
+          LinkSide.Dialer,
+          TRANSCRIPT,
+        );
         for (const frame of frames)
-          socket.emit('message', seal.prependTag(frame));
+          socket.emit('message', authenticator.prependTag(frame));
         setImmediate(() => socket.emit('close'));
         const end = await ended;
         assert.ok(
--- a/packages/plugin-peers/src/__tests__/peer-links.test.ts
+++ b/packages/plugin-peers/src/__tests__/peer-links.test.ts
@@ -63,7 +63,7 @@
   }
 }
 
-/** Waits for a condition that the run must bring about; the test's own timeout bounds it. */
+/** Polls until the condition holds; the timeout of the test is the limit. */
 async function waitUntil(condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise(resolve => setTimeout(resolve, 5));
 }
@@ -85,8 +85,8 @@
     return daemon;
   }
 
-  describe('between two daemons with one key', () => {
-    it('carries messages and answers both ways over one link', async () => {
+  describe('between two daemons with the same key', () => {
+    it('carries a request and its response over a single link', async () => {
       const left = await startDaemon('entry-1');
       const right = await startDaemon('entry-2');
       right.links.setHandler(
@@ -109,7 +109,7 @@
       assert.deepEqual(answer, {from: 'entry-1', message: {load: 3}});
     });
 
-    it('comes back after the link was lost', async () => {
+    it('reconnects after the link was lost', async () => {
       const left = await startDaemon('entry-1');
       const right = await startDaemon('entry-2');
       left.setKnownPeers(right);
@@ -120,14 +120,14 @@
       await waitUntil(() => again.links.connected().length === 1);
     });
 
-    it('finds a daemon that the log has not named by its seed', async () => {
+    it('finds a daemon by its seed address when the log has not named it', async () => {
       const left = await startDaemon('entry-1');
       const right = await startDaemon('entry-2', {seeds: left.address});
       await waitUntil(() => right.links.connected().length === 1);
       assert.equal(right.links.connected()[0].name, 'entry-1');
     });
 
-    it('opens a link for one request outside the fan-out', async () => {
+    it('opens an extra link for a request to a daemon that is not a chosen peer', async () => {
       const left = await startDaemon('entry-1', {local_links: 0});
       const right = await startDaemon('entry-2', {local_links: 0});
       right.links.setHandler(PeerTopic.KeyedAnswer, async () => 'held');
@@ -142,7 +142,7 @@
       assert.equal(answer, 'held');
     });
 
-    it('tells the asker that a handler failed', async () => {
+    it('rejects the request when the handler of the peer failed', async () => {
       const left = await startDaemon('entry-1');
       const right = await startDaemon('entry-2');
       left.setKnownPeers(right);
@@ -154,8 +154,8 @@
     });
   });
 
-  describe('with another key', () => {
-    it('refuses the link and counts it', async () => {
+  describe('with a different key', () => {
+    it('refuses the link and counts the refusal', async () => {
       const left = await startDaemon('entry-1');
       const right = await startDaemon('entry-2', {key: 'quite another key'});
       left.setKnownPeers(right);
@@ -165,8 +165,8 @@
     });
   });
 
-  describe('with frames that break the protocol', () => {
-    it('closes and counts, and goes on serving others', async () => {
+  describe('with frames that violate the protocol', () => {
+    it('closes and counts the link and still accepts others', async () => {
       const left = await startDaemon('entry-1');
       const socket = new WebSocket(`ws://${left.address}`);
       socket.on('open', () => socket.send(Buffer.from([0xc1, 0xff, 0x00])));
@@ -175,7 +175,7 @@
       await waitUntil(() => right.links.connected().length === 1);
     });
 
-    it('closes a connection that never says hello', async () => {
+    it('closes a connection that never sends a hello', async () => {
       const left = await startDaemon('entry-1', {handshake_milliseconds: 100});
       const socket = new WebSocket(`ws://${left.address}`);
       await waitUntil(() => left.disconnects('handshake_timeout') === 1);
@@ -184,10 +184,10 @@
   });
 
   describe('over a connection that goes silent', () => {
-    // The caller sees nothing: both ends keep an open connection, and something between them
-    // drops every byte. Each end hears nothing for the silent time, cuts the link for itself,
-    // and a fresh connection through the same path works, so the link comes back.
-    it('cuts it at both ends and links afresh', async () => {
+    // A device between the daemons drops every byte while both connections stay open. Each end
+    // must detect the silence and close the link by itself. A new connection over the same path
+    // works, so the link must be re-established.
+    it('closes the link at both ends and reconnects', async () => {
       const quick = {ping_milliseconds: 50, silent_milliseconds: 300};
       const right = await startDaemon('entry-2', quick);
       const relay = await Relay.start(right.address);
@@ -205,11 +205,11 @@
     });
   });
 
-  describe('with a peer that takes nothing', () => {
-    // A peer's event loop hangs: its kernel takes some bytes, then none. The sender's queue
-    // fills to its bound, further messages are dropped and counted, and after the slow time
-    // the link is cut; the sender's memory stays bounded all the while.
-    it('drops, then cuts', async () => {
+  describe('with a peer that stops reading', () => {
+    // The event loop of a peer hangs: its kernel accepts some bytes, then none. The send queue
+    // must fill only to its limit, with further messages dropped and counted, and the link must
+    // be closed after `slow_milliseconds`. Otherwise the sender's memory would grow without limit.
+    it('drops messages, then closes the link', async () => {
       const left = await startDaemon('entry-1', {
         ping_milliseconds: 50,
         silent_milliseconds: 60_000,
@@ -237,7 +237,7 @@
   });
 });
 
-/** A TCP relay that can lose track of the connections it carries. */
+/** A TCP relay that can silently drop or stall the connections it carries. */
 class Relay {
   private readonly pairs: Array<{client: Socket; server: Socket}> = [];
 
@@ -258,7 +258,7 @@
     return relay;
   }
 
-  /** Drops all bytes of the connections open now; new ones work. */
+  /** Drops all bytes of the connections that are open now; new connections work. */
   silence(): void {
     for (const {client, server} of this.pairs.splice(0)) {
       client.unpipe(server);
@@ -268,7 +268,7 @@
     }
   }
 
-  /** Stops taking bytes from either end. */
+  /** Stops reading from either end. */
   stall(): void {
     for (const {client, server} of this.pairs) {
       client.unpipe(server);
--- a/packages/plugin-peers/src/extra-links.ts
+++ b/packages/plugin-peers/src/extra-links.ts
@@ -5,38 +5,41 @@
 
 const IDLE_TIMEOUT_MILLISECONDS = 30_000;
 
-/** Dials an address and carries the link until it ends; `onUp` is told of the link. */
+/** Dials an address and runs the link until it closes; calls `onUp` once it is established. */
 export type Dial = (
   address: string,
   signal: AbortSignal,
   onUp: (link: PeerLink) => void,
 ) => Promise<void>;
 
-/** What extra links need. */
+/** Dependencies of `ExtraLinks`. */
 export interface ExtraLinksDependencies {
   readonly clock: Clock;
   readonly peerDirectory: PeerDirectory;
-  /** Links at one time. */
+  /** Maximum number of extra links open at the same time. */
   readonly maximumLinks: number;
   readonly dial: Dial;
-  /** Keeps a task until it ends. */
+  /** Tracks a task until it completes, so that a stop can wait for it. */
   readonly trackTask: (task: Promise<void>) => void;
 }
 
-/** Links for requests to daemons outside the fan-out: opened for a request, closed when idle. */
+/**
+ * Links to daemons that are not among the chosen peers: opened for a request, closed when
+ * idle.
+ */
 export class ExtraLinks {
   private openCount = 0;
 
   constructor(private readonly dependencies: ExtraLinksDependencies) {}
 
-  /** A link to one incarnation; rejects when it cannot be opened. */
+  /** Opens a link to an incarnation; rejects when that fails. */
   async openTo(incarnation: string): Promise<PeerLink> {
-    const {peerDirectory, maximumLinks: limit} = this.dependencies;
+    const {peerDirectory, maximumLinks} = this.dependencies;
     const entry = peerDirectory
       .entries()
       .find(known => known.incarnation === incarnation);
     if (!entry) throw new Error(`no link to ${incarnation}`);
-    if (this.openCount >= limit)
+    if (this.openCount >= maximumLinks)
       throw new Error(`no link to ${entry.name}: too many extra links`);
     const link = await this.dialEntry(entry.name, entry.address);
     if (link.peer.incarnation === incarnation) return link;
@@ -44,31 +47,31 @@
   }
 
   private dialEntry(name: string, address: string): Promise<PeerLink> {
-    const {dial, trackTask: spawn} = this.dependencies;
-    const done = new AbortController();
+    const {dial, trackTask} = this.dependencies;
+    const linkEnded = new AbortController();
     this.openCount++;
     return new Promise<PeerLink>((resolve, reject) => {
-      const dialling = dial(address, done.signal, link => {
+      const dialling = dial(address, linkEnded.signal, link => {
         resolve(link);
-        spawn(this.closeWhenIdle(link, done.signal));
+        trackTask(this.closeWhenIdle(link, linkEnded.signal));
       }).finally(() => {
-        done.abort();
+        linkEnded.abort();
         this.openCount--;
         reject(new Error(`no link to ${name}`));
       });
-      spawn(dialling);
+      trackTask(dialling);
     });
   }
 
   private async closeWhenIdle(
     link: PeerLink,
-    done: AbortSignal,
+    linkEnded: AbortSignal,
   ): Promise<void> {
     const {clock} = this.dependencies;
-    while (!done.aborted) {
-      await sleep(clock, IDLE_TIMEOUT_MILLISECONDS / 2, done);
-      const idle = clock.monotonicMilliseconds() - link.lastUsedAt;
-      if (idle > IDLE_TIMEOUT_MILLISECONDS)
+    while (!linkEnded.aborted) {
+      await sleep(clock, IDLE_TIMEOUT_MILLISECONDS / 2, linkEnded);
+      const idleMilliseconds = clock.monotonicMilliseconds() - link.lastUsedAt;
+      if (idleMilliseconds > IDLE_TIMEOUT_MILLISECONDS)
         link.close(PeerDisconnectReason.NotNeeded);
     }
   }
--- a/packages/plugin-peers/src/frame-authentication.ts
+++ b/packages/plugin-peers/src/frame-authentication.ts
@@ -4,13 +4,13 @@
 const COUNTER_BYTES = 8;
 const LENGTH_BYTES = 4;
 
-/** Which end of a link speaks. */
+/** The side of a link that sends a proof or frame. */
 export enum LinkSide {
   Dialer = 'dialer',
   Listener = 'listener',
 }
 
-/** Both hellos as sent: what the proofs and the keys of one link are bound to. */
+/** Returns both hellos as sent; the proofs and keys of a link are bound to this transcript. */
 export function handshakeTranscript(
   dialerHello: Uint8Array,
   listenerHello: Uint8Array,
@@ -20,7 +20,10 @@
   return Buffer.concat([length, dialerHello, listenerHello]);
 }
 
-/** Proof of the key by one side: fresh challenges of both sides keep an old one from being used again. */
+/**
+ * Returns one side's proof that it holds the key. Fresh challenges of both sides prevent
+ * replay of an old proof.
+ */
 export function handshakeProof(
   key: string,
   side: LinkSide,
@@ -32,17 +35,21 @@
     .digest();
 }
 
-/** Compares in constant time, so that a proof cannot be guessed byte by byte. */
+/**
+ * Compares in constant time, so that timing doesn't let an attacker guess a proof byte by
+ * byte.
+ */
 export function equalInConstantTime(
   expected: Buffer,
-  given: Uint8Array,
+  actual: Uint8Array,
 ): boolean {
-  return given.length === expected.length && timingSafeEqual(expected, given);
+  return actual.length === expected.length && timingSafeEqual(expected, actual);
 }
 
 /**
- * Seals frames of one direction of a link. A link without it could be taken over after its
- * handshake by whoever can write into the connection; the count keeps frames in order.
+ * Authenticates the frames of one direction of a link. Without it, anyone who can write to
+ * the connection could take the link over after its handshake. A frame counter in the MAC
+ * detects reordered and repeated frames.
  */
 export class FrameAuthenticator {
   private readonly key: Buffer;
@@ -55,16 +62,16 @@
       .digest();
   }
 
-  /** The frame with its seal in front. */
+  /** Returns the frame prefixed with its authentication tag. */
   prependTag(frame: Uint8Array): Buffer {
     return Buffer.concat([this.nextTag(frame), frame]);
   }
 
-  /** The frame without its seal; undefined when the seal is wrong. */
-  verifyAndStripTag(sealed: Uint8Array): Uint8Array | undefined {
-    const seal = sealed.subarray(0, TAG_BYTES);
-    const frame = sealed.subarray(TAG_BYTES);
-    return equalInConstantTime(this.nextTag(frame), seal) ? frame : undefined;
+  /** Returns the frame without its tag; undefined when the tag is wrong. */
+  verifyAndStripTag(taggedFrame: Uint8Array): Uint8Array | undefined {
+    const tag = taggedFrame.subarray(0, TAG_BYTES);
+    const frame = taggedFrame.subarray(TAG_BYTES);
+    return equalInConstantTime(this.nextTag(frame), tag) ? frame : undefined;
   }
 
   private nextTag(frame: Uint8Array): Buffer {
--- a/packages/plugin-peers/src/frame-inbox.ts
+++ b/packages/plugin-peers/src/frame-inbox.ts
@@ -1,9 +1,12 @@
 import type {RawData, WebSocket} from 'ws';
 
-/** Frames that may wait to be handled before the connection is paused. */
+/** Maximum queued frames before the connection is paused. */
 const MAXIMUM_QUEUED_FRAMES = 64;
 
-/** Frames of a connection in order, as something to await; pauses the sender when it falls behind. */
+/**
+ * Queues the frames of a connection for an awaiting reader; applies back-pressure when the
+ * reader falls behind.
+ */
 export class FrameInbox {
   private readonly frames: Uint8Array[] = [];
   private ended = false;
@@ -18,7 +21,7 @@
     socket.once('close', () => this.end());
   }
 
-  /** The next frame; undefined when the connection has ended. */
+  /** Returns the next frame; undefined once the connection is closed and the queue is empty. */
   async next(): Promise<Uint8Array | undefined> {
     while (this.frames.length === 0 && !this.ended) {
       await new Promise<void>(resolve => (this.notifyReader = resolve));
--- a/packages/plugin-peers/src/link-table.ts
+++ b/packages/plugin-peers/src/link-table.ts
@@ -2,7 +2,7 @@
 import type {PeerLink} from './peer-link.js';
 import {LinkSide} from './frame-authentication.js';
 
-/** The links that are up, one a daemon. */
+/** The established links, one per daemon. */
 export class LinkTable {
   private readonly links = new Map<string, PeerLink>();
 
@@ -16,36 +16,42 @@
     return this.links.get(incarnation);
   }
 
-  /** Whether a daemon of that name is linked. */
+  /** Returns whether a daemon with this name is linked. */
   hasName(name: string): boolean {
     return this.all().some(link => link.peer.name === name);
   }
 
   /**
-   * Adds a link; false when another to the same daemon stays in its place. Two daemons that dial each
-   * other at one time must cut the same link of the two, or both would be cut: the one
-   * dialled by the lesser incarnation stays.
+   * Adds a link; false when an existing link to the same daemon is kept instead. Two daemons
+   * that dial each other at the same time must close the same one of the two links, otherwise
+   * both would be closed. The link dialled by the lesser incarnation is kept.
    */
   add(link: PeerLink): boolean {
-    const other = this.links.get(link.peer.incarnation);
-    if (other && other.side !== link.side && !this.takesPrecedence(link)) {
+    const existing = this.links.get(link.peer.incarnation);
+    if (
+      existing &&
+      existing.side !== link.side &&
+      !this.takesPrecedence(link)
+    ) {
       link.retire();
       return false;
     }
     this.links.set(link.peer.incarnation, link);
-    other?.retire();
+    existing?.retire();
     return true;
   }
 
-  /** Takes a link out, unless another has taken its place. */
+  /** Removes a link, unless another one has replaced it. */
   remove(link: PeerLink): void {
     if (this.links.get(link.peer.incarnation) === link)
       this.links.delete(link.peer.incarnation);
   }
 
   private takesPrecedence(link: PeerLink): boolean {
-    const own = this.identity.incarnation;
-    const peer = link.peer.incarnation;
-    return link.side === LinkSide.Dialer ? own < peer : peer < own;
+    const ownIncarnation = this.identity.incarnation;
+    const peerIncarnation = link.peer.incarnation;
+    return link.side === LinkSide.Dialer
+      ? ownIncarnation < peerIncarnation
+      : peerIncarnation < ownIncarnation;
   }
 }
--- a/packages/plugin-peers/src/peer-choice.ts
+++ b/packages/plugin-peers/src/peer-choice.ts
@@ -1,36 +1,37 @@
-/** A daemon that may be linked to. */
+/** A daemon to which a link may be opened. */
 export interface PeerCandidate {
   readonly name: string;
   readonly dataCentre: string;
   readonly address: string;
 }
 
-/** How many links to keep up. */
+/** Number of links to maintain. */
 export interface LinkLimits {
   readonly local: number;
   readonly remote: number;
 }
 
 /**
- * Which daemons to link to. Answers growth: with every daemon linked to every other, control
- * traffic grows with their square. All of the own data centre while they are few, else the
- * next ones round a ring of names, which keeps the data centre connected, and one at random,
- * which keeps paths short. Links to other data centres are dealt out one data centre at a
- * time, so that none is reached over one link only while another has many. `fraction` in
- * [0, 1) is drawn once a daemon, so that a change of members does not move links about.
+ * Chooses the daemons to link to. With every daemon linked to every other, control traffic
+ * grows with the square of their number, so links are limited. Within the own data centre all
+ * daemons are chosen while they are few. Otherwise the next ones on a ring of names are
+ * chosen, which keeps the data centre connected, and one at random, which keeps paths short.
+ * Links to other data centres are assigned round robin, one data centre at a time, so that
+ * none is reached over a single link while another has many. `fraction` in [0, 1) is drawn
+ * once per daemon, so that a change of members does not change which links are kept.
  */
 export function choosePeers(
   self: PeerCandidate,
   candidates: readonly PeerCandidate[],
-  bounds: LinkLimits,
+  limits: LinkLimits,
   fraction: number,
 ): PeerCandidate[] {
   const others = candidates.filter(candidate => candidate.name !== self.name);
   const local = others.filter(other => other.dataCentre === self.dataCentre);
   const remote = others.filter(other => other.dataCentre !== self.dataCentre);
   return [
-    ...chooseOnRing(self, local, bounds.local, fraction),
-    ...chooseRoundRobinByDataCentre(self, remote, bounds.remote),
+    ...chooseOnRing(self, local, limits.local, fraction),
+    ...chooseRoundRobinByDataCentre(self, remote, limits.remote),
   ];
 }
 
@@ -43,9 +44,9 @@
   if (peers.length <= count) return [...peers];
   if (count === 0) return [];
   const ring = ringOrderAfter(self, peers);
-  const next = ring.slice(0, count - 1);
-  const rest = ring.slice(count - 1);
-  return [...next, rest[Math.floor(fraction * rest.length)]];
+  const neighbours = ring.slice(0, count - 1);
+  const remaining = ring.slice(count - 1);
+  return [...neighbours, remaining[Math.floor(fraction * remaining.length)]];
 }
 
 function chooseRoundRobinByDataCentre(
@@ -53,22 +54,25 @@
   peers: readonly PeerCandidate[],
   count: number,
 ): PeerCandidate[] {
-  const centres = new Map<string, PeerCandidate[]>();
+  const peersByDataCentre = new Map<string, PeerCandidate[]>();
   for (const peer of ringOrderAfter(self, peers)) {
-    const known = centres.get(peer.dataCentre) ?? [];
-    centres.set(peer.dataCentre, [...known, peer]);
+    const peersOfDataCentre = peersByDataCentre.get(peer.dataCentre) ?? [];
+    peersByDataCentre.set(peer.dataCentre, [...peersOfDataCentre, peer]);
   }
   const chosen: PeerCandidate[] = [];
   for (let round = 0; chosen.length < Math.min(count, peers.length); round++) {
-    for (const list of centres.values()) {
-      if (list.length > round && chosen.length < count)
-        chosen.push(list[round]);
+    for (const peersOfDataCentre of peersByDataCentre.values()) {
+      if (peersOfDataCentre.length > round && chosen.length < count)
+        chosen.push(peersOfDataCentre[round]);
     }
   }
   return chosen;
 }
 
-/** Peers by name, from the one after `self` on: each daemon starts elsewhere. */
+/**
+ * Returns the peers sorted by name, starting after `self`, so that each daemon starts at
+ * another one.
+ */
 function ringOrderAfter(
   self: PeerCandidate,
   peers: readonly PeerCandidate[],
--- a/packages/plugin-peers/src/peer-disconnect.ts
+++ b/packages/plugin-peers/src/peer-disconnect.ts
@@ -1,26 +1,26 @@
-/** Why a link ended; the reason tag of `MetricName.PeerDisconnects`. */
+/** Why a link was closed; the reason tag of `MetricName.PeerDisconnects`. */
 export enum PeerDisconnectReason {
-  /** The other side closed it, or the connection broke. */
+  /** The peer closed the link, or the connection broke. */
   Closed = 'closed',
-  /** Nothing came for too long. */
+  /** Nothing was received for `silent_milliseconds`. */
   Silent = 'silent',
-  /** Its queue stayed full. */
+  /** The send queue stayed full for `slow_milliseconds`. */
   Slow = 'slow',
-  /** A frame broke the protocol or its seal was wrong. */
+  /** A frame violated the protocol or its authentication tag was wrong. */
   Malformed = 'malformed',
   /** Wrong key or no common protocol version. */
   Refused = 'refused',
-  /** No handshake in time. */
+  /** The handshake did not complete in time. */
   HandshakeTimeout = 'handshake_timeout',
-  /** Another link to the same daemon stays. */
+  /** Another link to the same daemon is kept. */
   Duplicate = 'doubled',
   /** No longer among the chosen peers. */
   NotNeeded = 'not_needed',
-  /** This daemon stops. */
+  /** This daemon is stopping. */
   Stopped = 'stopped',
 }
 
-/** Ends a link with a reason. */
+/** Closes the link on which it is thrown, with a reason. */
 export class PeerDisconnectError extends Error {
   constructor(
     readonly reason: PeerDisconnectReason,
--- a/packages/plugin-peers/src/peer-frames.ts
+++ b/packages/plugin-peers/src/peer-frames.ts
@@ -2,7 +2,7 @@
 import {z} from 'zod';
 import {PeerTopic} from '@gentiandoor/shared-state';
 
-/** Versions of the link protocol that this program speaks. */
+/** Range of versions of the link protocol that this program supports. */
 export const OLDEST_PROTOCOL_VERSION = 1;
 export const NEWEST_PROTOCOL_VERSION = 1;
 
@@ -25,7 +25,7 @@
 const topic = z.enum(PeerTopic);
 const requestIdSchema = z.number().int().min(0);
 
-/** Kinds of frames on a link that is up. */
+/** Kinds of frames on an established link. */
 export enum FrameKind {
   Message = 'message',
   Request = 'request',
@@ -53,13 +53,13 @@
   }),
 ]);
 
-/** First words of each side. */
+/** First frame that each side sends in the handshake. */
 export type Hello = z.output<typeof helloSchema>;
 
-/** One frame of a link that is up. */
+/** A frame on an established link. */
 export type Frame = z.output<typeof frameSchema>;
 
-/** A frame that breaks the protocol; ends the link. */
+/** Thrown for a frame that violates the protocol; closes the link. */
 export class MalformedFrameError extends Error {}
 
 /** Encodes a frame of any kind. */
@@ -67,17 +67,17 @@
   return packr.pack(frame);
 }
 
-/** Reads a hello; throws `MalformedFrameError`. */
+/** Decodes and validates a hello. Throws `MalformedFrameError`. */
 export function decodeHello(payload: Uint8Array): Hello {
   return decode(helloSchema, payload);
 }
 
-/** Reads a proof; throws `MalformedFrameError`. */
+/** Decodes and validates a proof. Throws `MalformedFrameError`. */
 export function decodeProof(payload: Uint8Array): Uint8Array {
   return decode(proofSchema, payload).proof;
 }
 
-/** Reads a frame; throws `MalformedFrameError`. */
+/** Decodes and validates a frame. Throws `MalformedFrameError`. */
 export function decodeFrame(payload: Uint8Array): Frame {
   return decode(frameSchema, payload);
 }
@@ -87,7 +87,7 @@
   try {
     value = packr.unpack(payload);
   } catch {
-    throw new MalformedFrameError('not MessagePack');
+    throw new MalformedFrameError('the frame is not valid MessagePack');
   }
   const result = schema.safeParse(value);
   if (result.success) return result.data;
--- a/packages/plugin-peers/src/peer-handshake.ts
+++ b/packages/plugin-peers/src/peer-handshake.ts
@@ -22,14 +22,17 @@
 
 const CHALLENGE_BYTES = 32;
 
-/** What the handshake settled. */
+/** Result of a handshake: the peer, and how frames of both directions are authenticated. */
 export interface HandshakeResult {
   readonly peer: Peer;
   readonly outgoing: FrameAuthenticator;
   readonly incoming: FrameAuthenticator;
 }
 
-/** Names both sides and proves that both hold the key; throws `PeerEndError`. */
+/**
+ * Exchanges names and proves to each side that the other holds the key. Throws
+ * `PeerDisconnectError` or `MalformedFrameError`.
+ */
 export async function performHandshake(
   socket: WebSocket,
   inbox: FrameInbox,
@@ -40,29 +43,29 @@
   const ownHello = encodeFrame(helloOf(identity));
   const isDialer = side === LinkSide.Dialer;
   if (isDialer) socket.send(ownHello);
-  const otherHello = await receive(inbox);
-  const hello = decodeHello(otherHello);
+  const peerHello = await receive(inbox);
+  const hello = decodeHello(peerHello);
   checkHello(hello, identity);
   if (!isDialer) socket.send(ownHello);
   const transcript = isDialer
-    ? handshakeTranscript(ownHello, otherHello)
-    : handshakeTranscript(otherHello, ownHello);
-  const otherSide = isDialer ? LinkSide.Listener : LinkSide.Dialer;
-  const prove = () =>
+    ? handshakeTranscript(ownHello, peerHello)
+    : handshakeTranscript(peerHello, ownHello);
+  const peerSide = isDialer ? LinkSide.Listener : LinkSide.Dialer;
+  const sendProof = () =>
     socket.send(encodeFrame({proof: handshakeProof(key, side, transcript)}));
-  if (isDialer) prove();
+  if (isDialer) sendProof();
   const proof = decodeProof(await receive(inbox));
-  if (!equalInConstantTime(handshakeProof(key, otherSide, transcript), proof))
+  if (!equalInConstantTime(handshakeProof(key, peerSide, transcript), proof))
     throw new PeerDisconnectError(
       PeerDisconnectReason.Refused,
-      `${hello.name} holds another peer key`,
+      `${hello.name} has a different peer key`,
     );
-  if (!isDialer) prove();
+  if (!isDialer) sendProof();
   const {name, incarnation, dataCentre} = hello;
   return {
     peer: {name, incarnation, dataCentre},
     outgoing: new FrameAuthenticator(key, side, transcript),
-    incoming: new FrameAuthenticator(key, otherSide, transcript),
+    incoming: new FrameAuthenticator(key, peerSide, transcript),
   };
 }
 
@@ -82,7 +85,7 @@
   if (hello.incarnation === identity.incarnation)
     throw new PeerDisconnectError(
       PeerDisconnectReason.Duplicate,
-      'the link leads to this daemon',
+      'the link connects to this daemon itself',
     );
   if (
     hello.newest < OLDEST_PROTOCOL_VERSION ||
@@ -99,6 +102,6 @@
   if (frame) return frame;
   throw new PeerDisconnectError(
     PeerDisconnectReason.Closed,
-    'closed during the handshake',
+    'the connection was closed during the handshake',
   );
 }
--- a/packages/plugin-peers/src/peer-link.ts
+++ b/packages/plugin-peers/src/peer-link.ts
@@ -20,12 +20,15 @@
 import type {LinkSide} from './frame-authentication.js';
 import type {PeersOptions} from './peers-options.js';
 
-/** Messages of one peer handled at one time; more are refused, so that one peer cannot fill the daemon. */
+/**
+ * Maximum messages of one peer handled concurrently; more are refused, so that one peer cannot
+ * overload the daemon.
+ */
 const MAXIMUM_HANDLERS_IN_FLIGHT = 32;
-/** Requests to one peer that may wait for their answers. */
+/** Maximum requests to one peer that wait for a response. */
 const MAXIMUM_PENDING_REQUESTS = 1000;
 
-/** What a link needs besides its connection. */
+/** Dependencies of `PeerLink` besides its connection. */
 export interface LinkDependencies {
   readonly clock: Clock;
   readonly metrics: Metrics;
@@ -41,7 +44,10 @@
 /** A link to one peer, after the handshake. */
 export class PeerLink {
   readonly peer: Peer;
-  /** Monotonic milliseconds of the last message either way; for closing idle extra links. */
+  /**
+   * Monotonic milliseconds of the last message in either direction, used to close idle extra
+   * links.
+   */
   lastUsedAt: number;
   private lastReceivedAt: number;
   private queueFullSince: number | undefined;
@@ -55,29 +61,30 @@
     private readonly socket: WebSocket,
     private readonly inbox: FrameInbox,
     private readonly handshake: HandshakeResult,
-    /** Which side this daemon is. */
+    /** The side of the link that this daemon is on. */
     readonly side: LinkSide,
     private readonly dependencies: LinkDependencies,
   ) {
     this.peer = handshake.peer;
     this.lastReceivedAt = dependencies.clock.monotonicMilliseconds();
     this.lastUsedAt = this.lastReceivedAt;
-    const heard = () =>
+    const onReceived = () =>
       (this.lastReceivedAt = dependencies.clock.monotonicMilliseconds());
-    socket.on('ping', heard);
-    socket.on('pong', heard);
-    socket.on('message', heard);
+    socket.on('ping', onReceived);
+    socket.on('pong', onReceived);
+    socket.on('message', onReceived);
   }
 
-  /** Handles frames until the link ends; resolves with the reason. */
+  /** Handles frames until the link closes; resolves with the reason. */
   async run(): Promise<PeerDisconnectReason> {
     const done = new AbortController();
-    const watching = this.monitorConnection(done.signal);
+    const monitoring = this.monitorConnection(done.signal);
     try {
       for (;;) {
-        const sealed = await this.inbox.next();
-        if (!sealed) return this.closeReason ?? PeerDisconnectReason.Closed;
-        this.receiveFrame(sealed);
+        const taggedFrame = await this.inbox.next();
+        if (!taggedFrame)
+          return this.closeReason ?? PeerDisconnectReason.Closed;
+        this.receiveFrame(taggedFrame);
       }
     } catch (error) {
       return error instanceof PeerDisconnectError
@@ -85,24 +92,25 @@
         : PeerDisconnectReason.Malformed;
     } finally {
       done.abort();
-      await watching;
+      await monitoring;
       this.close(PeerDisconnectReason.Closed);
     }
   }
 
-  /** Cuts the link; the first reason stays. */
+  /** Closes the link and rejects pending requests. The first reason given is kept. */
   close(reason: PeerDisconnectReason): void {
     this.closeReason ??= reason;
     this.retirementTimer?.cancel();
     this.socket.terminate();
     for (const {reject} of this.pendingRequests.values())
-      reject(new Error(`the link to ${this.peer.name} ended`));
+      reject(new Error(`the link to ${this.peer.name} was closed`));
     this.pendingRequests.clear();
   }
 
   /**
-   * Gives way to another link to the same peer. Requests under way on either side get the
-   * time of a handshake to end: cut at once, each meeting of two dials would fail some.
+   * Closes this link in favour of another link to the same peer, after a delay. Requests in
+   * flight on either side get `handshake_milliseconds` to finish: closed at once, some would
+   * fail each time two daemons dial each other.
    */
   retire(): void {
     const {clock, options} = this.dependencies;
@@ -111,51 +119,51 @@
     );
   }
 
-  /** Sends without an answer; false when the message was dropped. */
+  /** Sends a message without a response; false when it was dropped. */
   send(topic: PeerTopic, body: unknown): boolean {
     return this.sendFrame({kind: FrameKind.Message, topic, body});
   }
 
-  /** Sends and waits for the answer. */
+  /** Sends a request and waits for the response. */
   async request(
     topic: PeerTopic,
     body: unknown,
     timeoutMilliseconds: number,
   ): Promise<unknown> {
     if (this.pendingRequests.size >= MAXIMUM_PENDING_REQUESTS)
-      throw new Error(`too many requests wait for ${this.peer.name}`);
+      throw new Error(`too many requests are waiting for ${this.peer.name}`);
     const id = this.nextRequestId++;
-    const answered = new Promise<unknown>((resolve, reject) =>
+    const response = new Promise<unknown>((resolve, reject) =>
       this.pendingRequests.set(id, {resolve, reject}),
     );
     const timer = this.dependencies.clock.schedule(timeoutMilliseconds, () =>
       this.pendingRequests
         .get(id)
-        ?.reject(new Error(`${this.peer.name} did not answer in time`)),
+        ?.reject(new Error(`${this.peer.name} did not respond in time`)),
     );
     if (!this.sendFrame({kind: FrameKind.Request, topic, id, body}))
       this.pendingRequests
         .get(id)
-        ?.reject(new Error(`the queue to ${this.peer.name} is full`));
+        ?.reject(new Error(`the send queue to ${this.peer.name} is full`));
     try {
-      return await answered;
+      return await response;
     } finally {
       timer.cancel();
       this.pendingRequests.delete(id);
     }
   }
 
-  private receiveFrame(sealed: Uint8Array): void {
-    const bytes = this.handshake.incoming.verifyAndStripTag(sealed);
-    if (!bytes)
+  private receiveFrame(taggedFrame: Uint8Array): void {
+    const payload = this.handshake.incoming.verifyAndStripTag(taggedFrame);
+    if (!payload)
       throw new PeerDisconnectError(
         PeerDisconnectReason.Malformed,
-        'wrong seal',
+        'the authentication tag of a frame is wrong',
       );
     const {clock, metrics} = this.dependencies;
     this.lastUsedAt = clock.monotonicMilliseconds();
     metrics.increment(MetricName.PeerMessages, {direction: 'in'});
-    const frame = decodeFrame(bytes);
+    const frame = decodeFrame(payload);
     if (frame.kind === FrameKind.Answer)
       this.pendingRequests.get(frame.id)?.resolve(frame.body);
     else if (frame.kind === FrameKind.Failure)
@@ -204,8 +212,9 @@
   }
 
   /**
-   * Pings, and cuts a link that went silent or stays full. Both ends do this for themselves:
-   * a connection that something between them has forgotten looks open at both ends.
+   * Sends pings, and closes a link that went silent or whose queue stays full. Both ends do
+   * this independently: a connection that a device between them has dropped still looks open
+   * at both ends.
    */
   private async monitorConnection(done: AbortSignal): Promise<void> {
     const {clock, options} = this.dependencies;
--- a/packages/plugin-peers/src/peers-options.ts
+++ b/packages/plugin-peers/src/peers-options.ts
@@ -60,5 +60,5 @@
     error: 'expected the key of the peer links beside listen',
   });
 
-/** Checked settings of the peer links. */
+/** Validated settings of the peer links. */
 export type PeersOptions = z.output<typeof peersOptions>;
--- a/packages/plugin-peers/src/web-socket-peer-links.ts
+++ b/packages/plugin-peers/src/web-socket-peer-links.ts
@@ -32,10 +32,13 @@
 
 const BACKOFF_BASE_MILLISECONDS = 200;
 const BACKOFF_MAXIMUM_MILLISECONDS = 10_000;
-/** Connections that may be in their handshake; more are closed at once. */
+/**
+ * Maximum incoming and outgoing handshakes in flight; further incoming connections are closed
+ * at once.
+ */
 const MAXIMUM_HANDSHAKES_IN_FLIGHT = 64;
 
-/** What the links need. */
+/** Dependencies of `WebSocketPeerLinks`. */
 export interface PeerLinksDependencies {
   readonly identity: DaemonIdentity;
   readonly clock: Clock;
@@ -46,7 +49,10 @@
   readonly peersOptions: PeersOptions;
 }
 
-/** Links to other daemons over WebSocket: one task for each peer dialled and each connection taken. */
+/**
+ * Links to other daemons over WebSocket, with one task per dialled peer and per accepted
+ * connection.
+ */
 export class WebSocketPeerLinks implements PeerLinks, Plugin {
   private readonly handlers = new Map<PeerTopic, PeerHandler>();
   private readonly linkTable: LinkTable;
@@ -55,7 +61,10 @@
   private readonly tasks = new Set<Promise<void>>();
   private readonly stopping = new AbortController();
   private readonly selectionFraction: number;
-  /** Which daemon answered at an address: a seed names no daemon before that. */
+  /**
+   * Name of the daemon that answered at an address: the name behind a seed is unknown before
+   * that.
+   */
   private readonly nameByAddress = new Map<string, string>();
   private server: WebSocketServer | undefined;
   private handshakesInFlight = 0;
@@ -103,7 +112,7 @@
 
   async stop(): Promise<void> {
     this.stopping.abort();
-    for (const dialling of this.dialAbortByAddress.values()) dialling.abort();
+    for (const dialAbort of this.dialAbortByAddress.values()) dialAbort.abort();
     for (const link of this.linkTable.all())
       link.close(PeerDisconnectReason.Stopped);
     for (const socket of this.server?.clients ?? []) socket.terminate();
@@ -143,36 +152,41 @@
     return Promise.reject(new Error(`no link to ${incarnation}`));
   }
 
-  /** Starts a task for each peer that is chosen now, and ends those of the others. */
+  /** Starts a task for each newly chosen peer and aborts those of peers no longer chosen. */
   private updateDialledPeers(): void {
     if (!this.server || this.stopping.signal.aborted) return;
     const chosen = new Map(
       this.chosenPeers().map(candidate => [candidate.address, candidate]),
     );
-    for (const [address, dialling] of this.dialAbortByAddress) {
+    for (const [address, dialAbort] of this.dialAbortByAddress) {
       if (chosen.has(address)) continue;
-      dialling.abort();
+      dialAbort.abort();
       this.dialAbortByAddress.delete(address);
     }
     for (const candidate of chosen.values()) {
       if (this.dialAbortByAddress.has(candidate.address)) continue;
-      const dialling = new AbortController();
-      this.dialAbortByAddress.set(candidate.address, dialling);
-      this.trackTask(this.maintainLink(candidate, dialling.signal));
+      const dialAbort = new AbortController();
+      this.dialAbortByAddress.set(candidate.address, dialAbort);
+      this.trackTask(this.maintainLink(candidate, dialAbort.signal));
     }
   }
 
   private chosenPeers(): PeerCandidate[] {
     const {identity, peerDirectory, peersOptions: options} = this.dependencies;
-    const known = peerDirectory.entries();
+    const knownPeers = peerDirectory.entries();
     const self = {
       name: identity.name,
       dataCentre: identity.dataCentre,
       address: peerDirectory.ownAddress ?? '',
     };
-    const bounds = {local: options.local_links, remote: options.remote_links};
-    const chosen = choosePeers(self, known, bounds, this.selectionFraction);
-    const knownAddresses = new Set(known.map(entry => entry.address));
+    const limits = {local: options.local_links, remote: options.remote_links};
+    const chosen = choosePeers(
+      self,
+      knownPeers,
+      limits,
+      this.selectionFraction,
+    );
+    const knownAddresses = new Set(knownPeers.map(entry => entry.address));
     const seeds = options.seeds.filter(
       address => address !== self.address && !knownAddresses.has(address),
     );
@@ -182,7 +196,10 @@
     ];
   }
 
-  /** The task of one chosen peer: dials, carries the link, and comes back with growing pauses. */
+  /**
+   * Keeps a link to one chosen peer: dials, runs the link, and retries with exponential
+   * backoff.
+   */
   private async maintainLink(
     candidate: PeerCandidate,
     signal: AbortSignal,
@@ -194,10 +211,11 @@
         await sleep(clock, options.ping_milliseconds, signal);
         continue;
       }
-      const before = clock.monotonicMilliseconds();
+      const dialledAt = clock.monotonicMilliseconds();
       await this.dial(candidate.address, signal);
-      const lasted = clock.monotonicMilliseconds() - before;
-      attempt = lasted > BACKOFF_MAXIMUM_MILLISECONDS ? 0 : attempt + 1;
+      const durationMilliseconds = clock.monotonicMilliseconds() - dialledAt;
+      attempt =
+        durationMilliseconds > BACKOFF_MAXIMUM_MILLISECONDS ? 0 : attempt + 1;
       const pause = backoff(
         random,
         attempt - 1,
@@ -228,8 +246,8 @@
       handshakeTimeout: options.handshake_milliseconds,
     });
     const inbox = new FrameInbox(socket);
-    const cut = () => socket.terminate();
-    signal.addEventListener('abort', cut, {once: true});
+    const terminate = () => socket.terminate();
+    signal.addEventListener('abort', terminate, {once: true});
     try {
       if (!(await waitForOpen(socket))) return;
       await this.runLink(socket, inbox, LinkSide.Dialer, link => {
@@ -237,12 +255,12 @@
         onUp?.(link);
       });
     } finally {
-      signal.removeEventListener('abort', cut);
+      signal.removeEventListener('abort', terminate);
       socket.terminate();
     }
   }
 
-  /** The task of one connection that another daemon opened. */
+  /** Runs the link over a connection that another daemon opened. */
   private async acceptConnection(socket: WebSocket): Promise<void> {
     socket.on('error', () => undefined);
     if (this.handshakesInFlight >= MAXIMUM_HANDSHAKES_IN_FLIGHT) {
@@ -271,11 +289,11 @@
     if (this.linkTable.add(link))
       logger.info(LogEvent.PeerConnected, {...link.peer, side});
     onUp?.(this.linkTable.get(link.peer.incarnation) ?? link);
-    const end = await link.run();
+    const disconnectReason = await link.run();
     this.linkTable.remove(link);
-    this.countDisconnect(end);
+    this.countDisconnect(disconnectReason);
     if (!this.linkTable.get(link.peer.incarnation))
-      logger.info(LogEvent.PeerLost, {...link.peer, reason: end});
+      logger.info(LogEvent.PeerLost, {...link.peer, reason: disconnectReason});
   }
 
   private async establishLink(
@@ -284,28 +302,34 @@
     side: LinkSide,
   ): Promise<PeerLink> {
     const {identity, clock, metrics, peersOptions: options} = this.dependencies;
-    let isLate = false;
-    const deadline = clock.schedule(options.handshake_milliseconds, () => {
-      isLate = true;
+    let hasTimedOut = false;
+    const timer = clock.schedule(options.handshake_milliseconds, () => {
+      hasTimedOut = true;
       socket.terminate();
     });
     this.handshakesInFlight++;
     try {
       const key = options.key ?? '';
-      const terms = await performHandshake(socket, inbox, side, identity, key);
+      const handshake = await performHandshake(
+        socket,
+        inbox,
+        side,
+        identity,
+        key,
+      );
       const {handlers} = this;
-      const needs = {clock, metrics, options, handlers};
-      return new PeerLink(socket, inbox, terms, side, needs);
+      const dependencies = {clock, metrics, options, handlers};
+      return new PeerLink(socket, inbox, handshake, side, dependencies);
     } catch (error) {
-      if (isLate)
+      if (hasTimedOut)
         throw new PeerDisconnectError(
           PeerDisconnectReason.HandshakeTimeout,
-          'no handshake in time',
+          'the handshake did not complete in time',
         );
       throw error;
     } finally {
       this.handshakesInFlight--;
-      deadline.cancel();
+      timer.cancel();
     }
   }
 
