--- a/packages/plugin-shared-state/src/__tests__/golden/sessions.test.ts
+++ b/packages/plugin-shared-state/src/__tests__/golden/sessions.test.ts
@@ -25,7 +25,7 @@
   await session.advance(3 * SECOND);
 }
 
-/** No daemon ever went back to an older version. */
+/** Asserts that no daemon went back to an older version. */
 function assertVersionsNeverDecrease(session: Session): void {
   for (const [name, {servedVersions: served}] of session.daemons)
     assert.deepEqual(
@@ -36,17 +36,17 @@
 }
 
 describe('golden sessions of the shared state', {timeout: 120_000}, () => {
-  // Two operators build version 2 on version 1 at the same time and both are signed off.
-  // The log orders the sign-offs: the first is in force everywhere, the second operator is
-  // told what to build on, and builds version 3.
-  it('a race of two bundles', async () => {
+  // Two operators base a version 2 on version 1 at the same time and both are signed off. By
+  // log order the first sign-off must come into force everywhere. The second operator must get
+  // an error that names the base to use, and then succeeds with version 3.
+  it('two concurrent bundles based on the same version', async () => {
     const session = new Session();
     await startKingston(session);
     session.addHeading('version 1');
     const first = {version: 1, base: 0, author: 'moana'} as const;
-    const rolled = session.proposeAndSignOff('entry-1', first, 'kerry');
+    const rollOut = session.proposeAndSignOff('entry-1', first, 'kerry');
     await session.advance(SECOND);
-    await rolled;
+    await rollOut;
     session.addHeading('two versions 2 at once');
     const left = {version: 2, base: 1, author: 'moana', slots: 4} as const;
     const right = {version: 2, base: 1, author: 'kerry', slots: 6} as const;
@@ -57,8 +57,8 @@
     await session.advance(SECOND);
     await Promise.all(race);
     session.addHeading('the loser builds on the winner');
-    const again = {version: 3, base: 2, author: 'kerry', slots: 6} as const;
-    const third = session.proposeAndSignOff('entry-3', again, 'tui');
+    const rebased = {version: 3, base: 2, author: 'kerry', slots: 6} as const;
+    const third = session.proposeAndSignOff('entry-3', rebased, 'tui');
     await session.advance(SECOND);
     await third;
     session.addServedVersions();
@@ -67,16 +67,16 @@
     assertGolden(goldenFile('bundle-race'), session.transcript);
   });
 
-  // The log takes a drain and its answer is lost. The daemon reads its own record back and
-  // tells the operator that it took effect. Then every answer is lost and reading hangs too:
-  // the fate is unknown and said so; when reading works again, the drain shows once.
-  it('a lost answer', async () => {
+  // The log accepts a drain but its response is lost. The daemon must read its own record back
+  // and report success. Then all responses are lost, those to reads too: the outcome must be
+  // reported as unknown, and once reads work again the drain must appear exactly once.
+  it('a lost response of the log', async () => {
     const session = new Session();
     await startKingston(session);
     const first = {version: 1, base: 0, author: 'moana'} as const;
-    const rolled = session.proposeAndSignOff('entry-1', first, 'kerry');
+    const rollOut = session.proposeAndSignOff('entry-1', first, 'kerry');
     await session.advance(SECOND);
-    await rolled;
+    await rollOut;
     const entry = session.daemon('entry-1');
     const drain = (vm: string) =>
       ({
@@ -96,7 +96,7 @@
     await session.advance(5 * SECOND);
     await drained;
     session.addHeading('every answer to entry-1 is lost, and its peers are cut off');
-    entry.path.faults.add(LogConnectionFault.LostResponses);
+    entry.platformLog.faults.add(LogConnectionFault.LostResponses);
     for (const other of ['hall-b', 'hall-c']) session.network.partition('hall-a', other);
     const unknown = session.publish(
       'entry-1',
@@ -106,11 +106,11 @@
     await session.advance(20 * SECOND);
     await unknown;
     session.addHeading('answers come back');
-    entry.path.faults.clear();
+    entry.platformLog.faults.clear();
     session.log.faults.clear();
     await session.advance(10 * SECOND);
     for (const vm of ['hall-a-r1-1', 'hall-a-r1-2']) {
-      const reason = entry.follower.state.vms.get(vm)?.drainReason;
+      const reason = entry.sharedState.state.vms.get(vm)?.drainReason;
       session.addLine('entry-1', `${vm} drains: ${reason}`);
     }
     session.addServedVersions();
@@ -118,16 +118,16 @@
     assertGolden(goldenFile('lost-answer'), session.transcript);
   });
 
-  // The log is out for three hours. Every daemon serves on under its version; a roll-out is
-  // told that nothing was sent. When the log returns the daemons come back one by one, spread
-  // over some seconds, and the next roll-out goes through.
-  it('an outage and the return', async () => {
+  // The log is down for three hours. Every daemon must keep serving its version, and a roll-out
+  // must be refused with the message that nothing was sent. After the outage the daemons
+  // reconnect spread over some seconds, and the next roll-out must succeed.
+  it('an outage of the log and its recovery', async () => {
     const session = new Session();
     await startKingston(session);
     const first = {version: 1, base: 0, author: 'moana'} as const;
-    const rolled = session.proposeAndSignOff('entry-1', first, 'kerry');
+    const rollOut = session.proposeAndSignOff('entry-1', first, 'kerry');
     await session.advance(SECOND);
-    await rolled;
+    await rollOut;
     session.addHeading('the log is out for three hours');
     session.log.faults.add(LogFault.Outage);
     const second = {version: 2, base: 1, author: 'moana'} as const;
@@ -139,28 +139,28 @@
     session.addHeading('the log returns');
     session.log.faults.clear();
     await session.advance(10 * SECOND);
-    const again = session.proposeAndSignOff('entry-2', second, 'kerry');
+    const retry = session.proposeAndSignOff('entry-2', second, 'kerry');
     await session.advance(SECOND);
-    await again;
+    await retry;
     session.addServedVersions();
     assertVersionsNeverDecrease(session);
     await session.stopAll();
     assertGolden(goldenFile('outage-and-return'), session.transcript);
   });
 
-  // hall-c cannot reach the log. It takes version 2 from its peers, with the same checks.
-  // Then it is cut off from them too and goes on serving under version 2 while the others
-  // have version 3; when the paths heal it has version 3 and never an older one.
-  it('a data centre that is cut off', async () => {
+  // hall-c cannot reach the log and must get version 2 from its peers, with the same checks.
+  // Then it is partitioned from them too and must keep serving version 2 while the others have
+  // version 3. When the partition heals it must get version 3 and never an older one.
+  it('a partitioned data centre', async () => {
     const session = new Session();
     await startKingston(session);
     const first = {version: 1, base: 0, author: 'moana'} as const;
-    const rolled = session.proposeAndSignOff('entry-1', first, 'kerry');
+    const rollOut = session.proposeAndSignOff('entry-1', first, 'kerry');
     await session.advance(SECOND);
-    await rolled;
+    await rollOut;
     session.addHeading('hall-c cannot reach the log');
-    const cutOff = session.daemon('entry-3');
-    cutOff.path.faults.add(LogConnectionFault.Cut);
+    const cutOffDaemon = session.daemon('entry-3');
+    cutOffDaemon.platformLog.faults.add(LogConnectionFault.Cut);
     await session.advance(20 * SECOND);
     const second = {version: 2, base: 1, author: 'moana'} as const;
     const next = session.proposeAndSignOff('entry-1', second, 'kerry');
@@ -175,28 +175,28 @@
     await last;
     session.addServedVersions();
     session.addHeading('all paths heal');
-    cutOff.path.faults.clear();
+    cutOffDaemon.platformLog.faults.clear();
     for (const other of ['hall-a', 'hall-b']) session.network.heal('hall-c', other);
     await session.advance(10 * SECOND);
     session.addServedVersions();
     assertVersionsNeverDecrease(session);
-    assert.deepEqual(cutOff.servedVersions, [1, 2, 3]);
+    assert.deepEqual(cutOffDaemon.servedVersions, [1, 2, 3]);
     await session.stopAll();
     assertGolden(goldenFile('cut-off-data-centre'), session.transcript);
   });
 
-  // All daemons are replaced at once, first with the log up: each serves nothing, then the
-  // newest version, never one that it passes on its way. Then with the log down: nothing
-  // anywhere can say what is in force, so all serve nothing until the log returns. Then one
-  // by one with the log down: each new one takes the state from those that still have it.
-  it('a restart storm', async () => {
+  // All daemons are replaced at once. With the log up, each must serve nothing and then the
+  // newest version, never one it reads on the way. With the log down, the version in force is
+  // unknown, so all must serve nothing until the log returns. Replaced one by one with the log
+  // down, each new daemon must take the state from those that still have it.
+  it('all daemons restarting', async () => {
     const session = new Session();
     await startKingston(session);
     for (const version of [1, 2, 3]) {
-      const choice = {version, base: version - 1, author: 'moana'} as const;
-      const rolled = session.proposeAndSignOff('entry-1', choice, 'kerry');
+      const bundle = {version, base: version - 1, author: 'moana'} as const;
+      const rollOut = session.proposeAndSignOff('entry-1', bundle, 'kerry');
       await session.advance(SECOND);
-      await rolled;
+      await rollOut;
     }
     session.addHeading('all are replaced while the log is up');
     for (const name of [...session.daemons.keys()]) await session.crash(name);
@@ -229,26 +229,26 @@
     assertGolden(goldenFile('restart-storm'), session.transcript);
   });
 
-  // A data centre is cut off for so long that the log has dropped what it needs. One member
-  // has taken snapshots meanwhile. Back again, the daemon meets the gap, leaves out a damaged
-  // snapshot that claims to be newer, and goes on from the one that verifies.
-  it('a retention gap', async () => {
+  // A data centre is partitioned until the log has expired records it needs, while a member has
+  // written snapshots. After it reaches the log again, its daemon must detect the gap, skip a
+  // damaged snapshot that is newer in the stream, and continue from the one that verifies.
+  it('a gap in the log after records expired', async () => {
     const session = new Session({
       snapshot_records: '10',
       snapshot_check_milliseconds: '2000',
     });
     await startKingston(session);
     const first = {version: 1, base: 0, author: 'moana'} as const;
-    const rolled = session.proposeAndSignOff('entry-1', first, 'kerry');
+    const rollOut = session.proposeAndSignOff('entry-1', first, 'kerry');
     await session.advance(SECOND);
-    await rolled;
+    await rollOut;
     session.addHeading('hall-c is cut off from everything');
-    const cutOff = session.daemon('entry-3');
-    cutOff.path.faults.add(LogConnectionFault.Cut);
+    const cutOffDaemon = session.daemon('entry-3');
+    cutOffDaemon.platformLog.faults.add(LogConnectionFault.Cut);
     for (const other of ['hall-a', 'hall-b']) session.network.partition('hall-c', other);
     for (const version of [2, 3, 4, 5, 6, 7]) {
-      const choice = {version, base: version - 1, author: 'moana'} as const;
-      const next = session.proposeAndSignOff('entry-1', choice, 'kerry');
+      const bundle = {version, base: version - 1, author: 'moana'} as const;
+      const next = session.proposeAndSignOff('entry-1', bundle, 'kerry');
       await session.advance(SECOND);
       await next;
     }
@@ -258,7 +258,7 @@
     session.log.expire(StreamName.Fleet, end - 2);
     await session.log.append(StreamName.Snapshots, [Buffer.from('damaged')]);
     session.addHeading('hall-c reaches the log again, its peers not yet');
-    cutOff.path.faults.clear();
+    cutOffDaemon.platformLog.faults.clear();
     await session.advance(10 * SECOND);
     session.addServedVersions();
     session.addHeading('a fresh daemon starts behind the gap');
@@ -266,7 +266,7 @@
     await session.advance(5 * SECOND);
     session.addServedVersions();
     assertVersionsNeverDecrease(session);
-    assert.deepEqual(cutOff.servedVersions, [1, 7]);
+    assert.deepEqual(cutOffDaemon.servedVersions, [1, 7]);
     assert.deepEqual(session.daemon('entry-4').servedVersions, [7]);
     await session.stopAll();
     assertGolden(goldenFile('retention-gap'), session.transcript);
--- a/packages/plugin-shared-state/src/__tests__/session.ts
+++ b/packages/plugin-shared-state/src/__tests__/session.ts
@@ -28,7 +28,7 @@
 
 const STEP_MILLISECONDS = 10;
 const TURNS_PER_STEP = 12;
-/** Fields of log events that make a session readable and are the same at each run. */
+/** Fields of log events that are shown in a transcript; they are the same in each run. */
 const SHOWN_FIELDS = [
   'version',
   'offset',
@@ -58,34 +58,34 @@
   readonly slots?: number;
 }
 
-/** A small bundle of the Kingston kind. */
-export function bundleText(choice: BundleTextOptions): string {
+/** Returns the text of a small bundle like the one of the Kingston example. */
+export function bundleText(options: BundleTextOptions): string {
   const operators = Object.entries(OPERATORS).map(
     ([name, {publicKey}]) => `[operator.${name}]\npublic_key = ${publicKey}\n`,
   );
   return `[bundle]
-version = ${choice.version}
-base = ${choice.base}
-author = ${choice.author}
+version = ${options.version}
+base = ${options.base}
+author = ${options.author}
 sign_offs = 1
 ${operators.join('')}[rack.hall-a-r1]
 data_centre = hall-a
 vms = hall-a-r1-[1-4]
 [pool.counter-preview]
 vms = hall-a-r1-[1-4]
-slots = ${choice.slots ?? 8}
+slots = ${options.slots ?? 8}
 [service.counter-preview]
 pool = counter-preview
 leaving_at_once = 2
 `;
 }
 
-/** One daemon of a session: the real follower over a log path of its own. */
+/** One daemon of a session: the real shared state over a log connection of its own. */
 export class SessionDaemon {
-  readonly path: FaultyLog;
+  readonly platformLog: FaultyLog;
   readonly metrics = new MemoryMetrics();
-  readonly follower: LogBackedSharedState;
-  /** Versions under which it served, in order. */
+  readonly sharedState: LogBackedSharedState;
+  /** Bundle versions served by this daemon, in order. */
   readonly servedVersions: number[] = [];
 
   constructor(
@@ -96,20 +96,20 @@
     settings: Record<string, string>,
   ) {
     const {clock, log, network} = session;
-    this.path = new FaultyLog(log, clock);
+    this.platformLog = new FaultyLog(log, clock);
     const peerDirectory = new PeerDirectory();
     peerDirectory.ownAddress = `${name}:7901`;
-    this.follower = new LogBackedSharedState({
+    this.sharedState = new LogBackedSharedState({
       identity: {name, dataCentre, incarnation},
       clock,
       random: new SeededRandom(session.nextSeed()),
       logger: new SessionLogger(session, name),
       metrics: this.metrics,
-      platformLog: this.path,
+      platformLog: this.platformLog,
       peerLinks: network.join({name, dataCentre, incarnation}),
       peerDirectory,
       vmList: {
-        current: () => new Map(session.list.visible().map(vm => [vm.id, vm])),
+        current: () => new Map(session.vmList.visible().map(vm => [vm.id, vm])),
         ageMilliseconds: () => 0,
         onChange: () => undefined,
       },
@@ -121,12 +121,12 @@
         ...settings,
       }),
     });
-    this.follower.onChange(() => this.recordServedVersion());
+    this.sharedState.onChange(() => this.recordServedVersion());
   }
 
-  /** The version served under; undefined for none. */
+  /** The bundle version served now; undefined for none. */
   get version(): number | undefined {
-    return this.follower.state.inForce?.bundle.version;
+    return this.sharedState.state.inForce?.bundle.version;
   }
 
   private recordServedVersion(): void {
@@ -136,40 +136,40 @@
   }
 }
 
-/** A whole session of daemons over one log, on a virtual clock, told line by line. */
+/** A session of several daemons over one log and a virtual clock, recorded as a transcript. */
 export class Session {
   readonly clock = new VirtualClock();
   readonly log: MemoryLog;
   readonly network = new MemoryPeerNetwork();
-  readonly list: MemoryVmList;
+  readonly vmList: MemoryVmList;
   readonly daemons = new Map<string, SessionDaemon>();
   private readonly lines: string[] = [];
   private seed = 0;
-  private records = 0;
-  private incarnations = 0;
+  private recordCount = 0;
+  private incarnationCount = 0;
 
   constructor(private readonly settings: Record<string, string> = {}) {
     this.log = new MemoryLog(this.clock);
-    this.list = new MemoryVmList(this.clock);
+    this.vmList = new MemoryVmList(this.clock);
   }
 
   nextSeed(): number {
     return ++this.seed;
   }
 
-  /** All lines so far. */
+  /** All lines recorded so far. */
   get transcript(): string {
     return `${this.lines.join('\n')}\n`;
   }
 
-  /** Adds a line of the teller's own. */
+  /** Adds a heading that says what happens next. */
   addHeading(line: string): void {
     this.lines.push(`\n# ${line}`);
   }
 
-  addLine(who: string, what: string): void {
+  addLine(source: string, text: string): void {
     const seconds = (this.clock.monotonicMilliseconds() / 1000).toFixed(2);
-    this.lines.push(`${seconds.padStart(9)}s ${who.padEnd(8)} ${what}`);
+    this.lines.push(`${seconds.padStart(9)}s ${source.padEnd(8)} ${text}`);
   }
 
   daemon(name: string): SessionDaemon {
@@ -179,7 +179,7 @@
   }
 
   async start(name: string, dataCentre: string): Promise<SessionDaemon> {
-    const incarnation = `${name}.${++this.incarnations}`;
+    const incarnation = `${name}.${++this.incarnationCount}`;
     const daemon = new SessionDaemon(
       this,
       name,
@@ -188,16 +188,16 @@
       this.settings,
     );
     this.daemons.set(name, daemon);
-    await daemon.follower.start();
+    await daemon.sharedState.start();
     return daemon;
   }
 
-  /** Ends a daemon without a word, as a lost VM does. */
+  /** Stops a daemon without letting it leave, as when its VM is lost. */
   async crash(name: string): Promise<void> {
     const daemon = this.daemon(name);
     this.network.leave(daemon.incarnation);
     this.daemons.delete(name);
-    const stopped = daemon.follower.stop();
+    const stopped = daemon.sharedState.stop();
     await this.advance(STEP_MILLISECONDS);
     await stopped;
   }
@@ -218,27 +218,27 @@
     }
   }
 
-  /** Publishes at a daemon and notes the fate when it is known. */
+  /** Publishes a record at a daemon and records its outcome when it is known. */
   publish(
-    at: string,
-    what: string,
+    daemonName: string,
+    description: string,
     record: FleetRecord,
   ): Promise<FoldOutcome | undefined> {
-    return this.daemon(at)
-      .follower.publish(record)
+    return this.daemon(daemonName)
+      .sharedState.publish(record)
       .then(
         outcome => {
           const {rejection} = outcome;
           this.addLine(
-            at,
+            daemonName,
             rejection
-              ? `${what}: ${rejection.reason}: ${rejection.detail}`
-              : `${what}: done at offset ${outcome.offset}`,
+              ? `${description}: ${rejection.reason}: ${rejection.detail}`
+              : `${description}: done at offset ${outcome.offset}`,
           );
           return outcome;
         },
         (error: unknown) => {
-          this.addLine(at, `${what}: ${toError(error).message}`);
+          this.addLine(daemonName, `${description}: ${toError(error).message}`);
           return undefined;
         },
       );
@@ -246,21 +246,25 @@
 
   /** Proposes a bundle at a daemon and signs it off as another operator. */
   async proposeAndSignOff(
-    at: string,
-    choice: BundleTextOptions,
+    daemonName: string,
+    options: BundleTextOptions,
     signer: OperatorName,
   ): Promise<void> {
-    const text = bundleText(choice);
+    const text = bundleText(options);
     const digest = sha256Hex(text);
-    const {version, author} = choice;
-    const proposed = await this.publish(at, `${author} proposes ${version}`, {
-      kind: RecordKind.BundleProposed,
-      id: this.nextId(),
-      writer: author,
-      text,
-    });
+    const {version, author} = options;
+    const proposed = await this.publish(
+      daemonName,
+      `${author} proposes ${version}`,
+      {
+        kind: RecordKind.BundleProposed,
+        id: this.nextId(),
+        writer: author,
+        text,
+      },
+    );
     if (!proposed || proposed.rejection) return;
-    await this.publish(at, `${signer} signs off ${version}`, {
+    await this.publish(daemonName, `${signer} signs off ${version}`, {
       kind: RecordKind.BundleSigned,
       id: this.nextId(),
       writer: signer,
@@ -272,10 +276,10 @@
   }
 
   nextId(): string {
-    return `record-${++this.records}`;
+    return `record-${++this.recordCount}`;
   }
 
-  /** Notes what each daemon serves under. */
+  /** Records the bundle version that each daemon serves. */
   addServedVersions(): void {
     for (const [name, daemon] of this.daemons)
       this.addLine(name, `serves under ${daemon.version ?? 'nothing'}`);
@@ -291,18 +295,18 @@
   debug(): void {}
 
   info(event: LogEvent, fields: LogFields = {}): void {
-    this.line(event, fields);
+    this.addLine(event, fields);
   }
 
   warn(event: LogEvent, fields: LogFields = {}): void {
-    this.line(event, fields);
+    this.addLine(event, fields);
   }
 
   error(event: LogEvent, fields: LogFields = {}): void {
-    this.line(event, fields);
+    this.addLine(event, fields);
   }
 
-  private line(event: LogEvent, fields: LogFields): void {
+  private addLine(event: LogEvent, fields: LogFields): void {
     const shown = SHOWN_FIELDS.filter(field => fields[field] !== undefined).map(
       field => `${field}=${String(fields[field])}`,
     );
--- a/packages/plugin-shared-state/src/__tests__/shared-state-faults.test.ts
+++ b/packages/plugin-shared-state/src/__tests__/shared-state-faults.test.ts
@@ -29,9 +29,9 @@
   for (const [name, dataCentre] of entries)
     await session.start(name, dataCentre);
   await session.advance(3 * SECOND);
-  const rolled = session.proposeAndSignOff('entry-1', FIRST_BUNDLE, 'kerry');
+  const rollOut = session.proposeAndSignOff('entry-1', FIRST_BUNDLE, 'kerry');
   await session.advance(SECOND);
-  await rolled;
+  await rollOut;
   return session;
 }
 
@@ -42,20 +42,20 @@
 ] as const;
 
 describe('the shared state under faults', {timeout: 120_000}, () => {
-  describe('a daemon that starts', () => {
-    // The log answers with a lagging read: it shows version 1 only, while a peer already
-    // serves under version 2. The fresh daemon must not serve under 1; callers get "no
-    // bundle yet" until the peer's records bring it to 2.
-    it('serves nothing under a lower version than a peer shows', async () => {
+  describe('a starting daemon', () => {
+    // A read of the log lags and shows only version 1, while a peer already serves version 2.
+    // The new daemon must not serve version 1; callers get "no bundle yet" until the records of
+    // the peer bring it to version 2.
+    it('does not serve a lower version than a peer shows', async () => {
       const session = await startSession(KINGSTON.slice(0, 2));
       const second = {version: 2, base: 1, author: 'moana'} as const;
-      const rolled = session.proposeAndSignOff('entry-1', second, 'kerry');
+      const rollOut = session.proposeAndSignOff('entry-1', second, 'kerry');
       await session.advance(SECOND);
-      await rolled;
+      await rollOut;
       const end = session.log.endOf(StreamName.Fleet);
-      const fresh = await session.start('entry-3', 'hall-c');
-      const read = fresh.path.read.bind(fresh.path);
-      fresh.path.read = async (stream, from, options, signal) => {
+      const newDaemon = await session.start('entry-3', 'hall-c');
+      const read = newDaemon.platformLog.read.bind(newDaemon.platformLog);
+      newDaemon.platformLog.read = async (stream, from, options, signal) => {
         const batch = await read(stream, from, options, signal);
         if (stream !== StreamName.Fleet) return batch;
         const lag = end - 2;
@@ -63,33 +63,33 @@
         return {...batch, payloads, end: lag};
       };
       await session.advance(10 * SECOND);
-      assert.deepEqual(fresh.servedVersions, [2]);
+      assert.deepEqual(newDaemon.servedVersions, [2]);
       await session.stopAll();
     });
 
-    // A move starts while entry-3 starts. A move waits for the members of its offset: had entry-3
-    // served before its own join was read back, the move would not wait for it, the VM would go
-    // to its new pool, and entry-3 would send it work of the old one: two pools on one VM.
+    // A move waits only for daemons that are members at its offset. If entry-3 served before its
+    // own join was read back, a move started meanwhile would not wait for it: the VM would go to
+    // its new pool while entry-3 still sends it work of the old one.
     it('serves nothing before it has read its own join', async () => {
       const session = await startSession(KINGSTON.slice(0, 2));
-      const fresh = await session.start('entry-3', 'hall-c');
-      const append = fresh.path.append.bind(fresh.path);
-      fresh.path.append = async (stream, payloads, signal) => {
+      const newDaemon = await session.start('entry-3', 'hall-c');
+      const append = newDaemon.platformLog.append.bind(newDaemon.platformLog);
+      newDaemon.platformLog.append = async (stream, payloads, signal) => {
         await sleep(session.clock, 3 * SECOND);
         return append(stream, payloads, signal);
       };
       let servedAsStranger = false;
-      fresh.follower.onChange(() => {
-        const {inForce, members} = fresh.follower.state;
+      newDaemon.sharedState.onChange(() => {
+        const {inForce, members} = newDaemon.sharedState.state;
         if (inForce && !members.has('entry-3.3')) servedAsStranger = true;
       });
       await session.advance(10 * SECOND);
       assert.equal(servedAsStranger, false);
-      assert.equal(fresh.version, 1);
+      assert.equal(newDaemon.version, 1);
       await session.stopAll();
     });
 
-    it('serves nothing while neither log nor peer says what is in force', async () => {
+    it('serves nothing while neither the log nor a peer shows the bundle in force', async () => {
       const session = await startSession(KINGSTON);
       session.log.faults.add(LogFault.Outage);
       for (const [name] of KINGSTON) await session.crash(name);
@@ -103,10 +103,10 @@
   });
 
   describe('a daemon that starts while the log is down', () => {
-    // The peers themselves started from a snapshot and no longer keep the first records. The
-    // fresh daemon asks for records from the first on, is told there are none, and takes a
-    // peer's whole state instead; it serves the same version with the same state.
-    it('takes the whole state of a peer that keeps no old records', async () => {
+    // The peers started from a snapshot and do not keep the first records. The new daemon
+    // requests records from the first on, gets none, and must take a peer's complete state
+    // instead and serve the same version with the same state.
+    it('takes the complete state of a peer that keeps no old records', async () => {
       const session = await startSession(KINGSTON, {
         snapshot_records: '10',
         snapshot_check_milliseconds: '1000',
@@ -128,35 +128,38 @@
       }
       session.log.faults.add(LogFault.Outage);
       await session.advance(20 * SECOND);
-      const fresh = await session.start('entry-4', 'hall-a');
+      const newDaemon = await session.start('entry-4', 'hall-a');
       await session.advance(5 * SECOND);
-      assert.deepEqual(fresh.servedVersions, [1]);
+      assert.deepEqual(newDaemon.servedVersions, [1]);
       assert.match(session.transcript, /entry-4\s+SnapshotLoaded/);
       assert.equal(
-        stateHash(fresh.follower.state),
-        stateHash(session.daemon('entry-1').follower.state),
+        stateHash(newDaemon.sharedState.state),
+        stateHash(session.daemon('entry-1').sharedState.state),
       );
       await session.stopAll();
     });
   });
 
-  describe('a daemon that is older than the records in use', () => {
-    // Newer daemons raised the format and went; an old one starts. It must not fold what it
-    // cannot read, says so, publishes nothing, and does not spin on the records.
-    it('stands still and publishes nothing', async () => {
+  describe('a daemon that does not support the record format in use', () => {
+    // Newer daemons raised the record format and left; then an old version starts. It must not
+    // fold records it cannot read, must report that, publish nothing and not read in a busy loop.
+    it('applies and publishes nothing', async () => {
       const session = new Session();
-      const raised = {
+      const formatRaised = {
         kind: RecordKind.FormatRaised,
         id: session.nextId(),
         writer: 'entry-7.1',
         format: 2,
       } as const;
-      const later = new Uint8Array([0x92, 0x02, 0x80]);
-      await session.log.append(StreamName.Fleet, [encodeRecord(raised), later]);
-      const old = await session.start('entry-1', 'hall-a');
+      const newerRecord = new Uint8Array([0x92, 0x02, 0x80]);
+      await session.log.append(StreamName.Fleet, [
+        encodeRecord(formatRaised),
+        newerRecord,
+      ]);
+      const oldDaemon = await session.start('entry-1', 'hall-a');
       await session.advance(30 * SECOND);
-      assert.equal(old.version, undefined);
-      const reads = old.metrics.value(MetricName.LogReads, {
+      assert.equal(oldDaemon.version, undefined);
+      const reads = oldDaemon.metrics.value(MetricName.LogReads, {
         stream: StreamName.Fleet,
       });
       assert.ok(reads < 20, `${reads} reads`);
@@ -173,24 +176,24 @@
     });
   });
 
-  describe('a peer that makes records up', () => {
-    // entry-2 is cut off from the log and takes a made-up drain from a peer that claims to be
-    // ahead. When the log returns, the same offset holds another record: the state is given
-    // up, read again from the log, and the callers' versions never went back.
-    it('is found when the log returns', async () => {
+  describe('a peer that forges records', () => {
+    // entry-2 cannot reach the log and takes a forged drain from a peer that claims to be ahead.
+    // When the log returns, the offset holds a different record: the state must be discarded and
+    // rebuilt from the log, and the served versions must never decrease.
+    it('is detected when the log returns', async () => {
       const session = await startSession(KINGSTON.slice(0, 2));
-      const victim = session.daemon('entry-2');
-      victim.path.faults.add(LogConnectionFault.Cut);
+      const affectedDaemon = session.daemon('entry-2');
+      affectedDaemon.platformLog.faults.add(LogConnectionFault.Cut);
       session.network.partition('hall-a', 'hall-b');
       await session.advance(20 * SECOND);
-      const liar = session.network.join({
+      const forgingPeer = session.network.join({
         name: 'entry-9',
         incarnation: 'entry-9.1',
         dataCentre: 'hall-b',
       });
       const offset = session.log.endOf(StreamName.Fleet);
-      answerWithForgedRecord(liar, offset);
-      await liar.request('entry-2.2', PeerTopic.StateSummary, {
+      answerWithForgedRecord(forgingPeer, offset);
+      await forgingPeer.request('entry-2.2', PeerTopic.StateSummary, {
         offset: offset + 1,
         hash: 'made up',
         readsFormat: 1,
@@ -200,9 +203,9 @@
         isServing: true,
       });
       await session.advance(5 * SECOND);
-      const {vms} = victim.follower.state;
+      const {vms} = affectedDaemon.sharedState.state;
       assert.equal(vms.get('hall-a-r1-1')?.drainReason, 'made up');
-      assert.ok(victim.metrics.value(MetricName.BundleAlarms) > 0);
+      assert.ok(affectedDaemon.metrics.value(MetricName.BundleAlarms) > 0);
       session.network.leave('entry-9.1');
       const drained = session.publish('entry-1', 'drains another', {
         kind: RecordKind.DrainStarted,
@@ -213,63 +216,65 @@
       });
       await session.advance(SECOND);
       await drained;
-      victim.path.faults.clear();
+      affectedDaemon.platformLog.faults.clear();
       session.network.heal('hall-a', 'hall-b');
       await session.advance(20 * SECOND);
-      assert.ok(victim.metrics.value(MetricName.StateHashDifferences) > 0);
+      assert.ok(
+        affectedDaemon.metrics.value(MetricName.StateHashDifferences) > 0,
+      );
       assert.equal(
-        stateHash(victim.follower.state),
-        stateHash(session.daemon('entry-1').follower.state),
+        stateHash(affectedDaemon.sharedState.state),
+        stateHash(session.daemon('entry-1').sharedState.state),
       );
       assert.equal(
-        victim.follower.state.vms.get('hall-a-r1-1')?.drainReason,
+        affectedDaemon.sharedState.state.vms.get('hall-a-r1-1')?.drainReason,
         undefined,
       );
-      assert.deepEqual([...new Set(victim.servedVersions)], [1]);
+      assert.deepEqual([...new Set(affectedDaemon.servedVersions)], [1]);
       await session.stopAll();
     });
   });
 
   describe('a connection to the log that goes silent', () => {
-    // entry-2's long poll hangs on a connection that something has forgotten. Its peers have
-    // version 2 and tell it; it reads afresh and takes their records instead of waiting for
-    // the poll's end, so the roll-out stays within the aim.
-    it('does not hold up a roll-out', async () => {
+    // The long poll of entry-2 hangs on a connection that was dropped silently. Its peers have
+    // version 2 and notify it; it must restart the read and fetch their records instead of
+    // waiting for the poll to time out, so that the roll-out stays within its target time.
+    it('does not delay a roll-out', async () => {
       const session = await startSession(KINGSTON);
-      const victim = session.daemon('entry-2');
-      victim.path.silenceMilliseconds = 60_000;
-      victim.path.faults.add(LogConnectionFault.Silent);
-      victim.follower.onChange(() => undefined);
+      const affectedDaemon = session.daemon('entry-2');
+      affectedDaemon.platformLog.silenceMilliseconds = 60_000;
+      affectedDaemon.platformLog.faults.add(LogConnectionFault.Silent);
+      affectedDaemon.sharedState.onChange(() => undefined);
       await session.advance(6 * SECOND);
       const second = {version: 2, base: 1, author: 'moana'} as const;
-      const rolled = session.proposeAndSignOff('entry-1', second, 'kerry');
+      const rollOut = session.proposeAndSignOff('entry-1', second, 'kerry');
       await session.advance(2 * SECOND);
-      await rolled;
-      assert.equal(victim.version, 2);
+      await rollOut;
+      assert.equal(affectedDaemon.version, 2);
       await session.stopAll();
     });
   });
 
   describe('membership', () => {
-    it('ends with a graceful stop, and not with a crash', async () => {
+    it('ends on a graceful stop but not on a crash', async () => {
       const session = await startSession(KINGSTON);
-      const {follower} = session.daemon('entry-1');
-      const left = session.daemon('entry-2').follower.drain();
+      const {sharedState} = session.daemon('entry-1');
+      const leaving = session.daemon('entry-2').sharedState.drain();
       await session.advance(SECOND);
-      await left;
-      assert.equal(follower.state.members.has('entry-2.2'), false);
+      await leaving;
+      assert.equal(sharedState.state.members.has('entry-2.2'), false);
       await session.crash('entry-3');
       await session.advance(10 * SECOND);
-      assert.equal(follower.state.members.has('entry-3.3'), true);
+      assert.equal(sharedState.state.members.has('entry-3.3'), true);
       await session.stopAll();
     });
 
-    // entry-3 crashes for good and the platform drops its VM from the list. A move would wait
-    // for its acknowledgement without end; one of the others takes it out through the log.
-    it('ends for a daemon whose VM the list has dropped', async () => {
+    // entry-3 crashes permanently and the platform removes its VM from the list. A move would
+    // wait forever for its acknowledgement, so exactly one other daemon must remove it.
+    it('ends for a daemon whose VM is no longer listed', async () => {
       const session = await startSession(KINGSTON);
       for (const [id, dataCentre] of KINGSTON)
-        session.list.put({
+        session.vmList.put({
           id,
           dataCentre,
           address: '127.0.0.1:1',
@@ -278,45 +283,48 @@
         });
       await session.advance(10 * SECOND);
       await session.crash('entry-3');
-      session.list.remove('entry-3');
-      const {follower} = session.daemon('entry-1');
+      session.vmList.remove('entry-3');
+      const {sharedState} = session.daemon('entry-1');
       await session.advance(50 * SECOND);
-      assert.equal(follower.state.members.has('entry-3.3'), true);
+      assert.equal(sharedState.state.members.has('entry-3.3'), true);
       const before = session.log.endOf(StreamName.Fleet);
       await session.advance(60 * SECOND);
-      assert.equal(follower.state.members.has('entry-3.3'), false);
+      assert.equal(sharedState.state.members.has('entry-3.3'), false);
       assert.equal(session.log.endOf(StreamName.Fleet), before + 1);
       await session.stopAll();
     });
 
-    // entry-2 is paused, and a new process of its name joins. The old one wakes up and sees
-    // that it is no member any more: it must not push its successor out again, or the two
-    // would replace each other without end.
-    it('passes to a new incarnation and does not go back', async () => {
+    // entry-2 is paused, and a new process of the same name joins. When the old one resumes it
+    // is no longer a member. It must not replace its successor, otherwise the two would replace
+    // each other forever.
+    it('passes to a new incarnation and does not return to the old one', async () => {
       const session = await startSession(KINGSTON);
-      const old = session.daemon('entry-2');
+      const oldDaemon = session.daemon('entry-2');
       await session.start('entry-2', 'hall-b');
       await session.advance(30 * SECOND);
-      const {members} = session.daemon('entry-1').follower.state;
+      const {members} = session.daemon('entry-1').sharedState.state;
       assert.deepEqual([...members.keys()].sort(), [
         'entry-1.1',
         'entry-2.4',
         'entry-3.3',
       ]);
-      const stopped = old.follower.stop();
+      const stopped = oldDaemon.sharedState.stop();
       await session.advance(SECOND);
       await stopped;
       await session.stopAll();
     });
   });
 
-  describe('snapshot duty', () => {
+  describe('writing snapshots', () => {
     const settings = {
       snapshot_records: '10',
       snapshot_check_milliseconds: '1000',
     };
 
-    async function takeRecords(session: Session, count: number): Promise<void> {
+    async function appendRecords(
+      session: Session,
+      count: number,
+    ): Promise<void> {
       for (let index = 0; index < count; index++)
         await session.log.append(StreamName.Fleet, [
           encodeRecord({
@@ -328,17 +336,17 @@
         ]);
     }
 
-    it('is done by one daemon of three', async () => {
+    it('is done by only one of three daemons', async () => {
       const session = await startSession(KINGSTON, settings);
-      await takeRecords(session, 20);
+      await appendRecords(session, 20);
       await session.advance(20 * SECOND);
       assert.equal(session.log.endOf(StreamName.Snapshots), 1);
       await session.stopAll();
     });
 
-    it('passes to the next in line when the first is gone', async () => {
+    it('passes to the next daemon by rank when the first one is gone', async () => {
       const session = await startSession(KINGSTON, settings);
-      const {state} = session.daemon('entry-1').follower;
+      const {state} = session.daemon('entry-1').sharedState;
       const [first] = rendezvousOrder(
         state.members.values(),
         'snapshot after 0',
@@ -347,22 +355,22 @@
         member => member.incarnation === first,
       )?.name;
       await session.crash(name ?? '');
-      await takeRecords(session, 20);
+      await appendRecords(session, 20);
       await session.advance(30 * SECOND);
       assert.equal(session.log.endOf(StreamName.Snapshots), 1);
       await session.stopAll();
     });
 
-    it('leaves out a half-written snapshot and goes by the last whole one', async () => {
+    it('skips an incomplete snapshot and loads the last complete one', async () => {
       const session = await startSession(KINGSTON, settings);
-      await takeRecords(session, 20);
+      await appendRecords(session, 20);
       await session.advance(20 * SECOND);
       const end = session.log.endOf(StreamName.Fleet);
-      const [half] = splitSnapshot(end + 100, new Uint8Array(300_000));
-      await session.log.append(StreamName.Snapshots, [half]);
-      const fresh = await session.start('entry-4', 'hall-a');
+      const [firstChunk] = splitSnapshot(end + 100, new Uint8Array(300_000));
+      await session.log.append(StreamName.Snapshots, [firstChunk]);
+      const newDaemon = await session.start('entry-4', 'hall-a');
       await session.advance(5 * SECOND);
-      assert.deepEqual(fresh.servedVersions, [1]);
+      assert.deepEqual(newDaemon.servedVersions, [1]);
       assert.match(
         session.transcript,
         /entry-4\s+SnapshotSkipped .*half written/,
@@ -372,10 +380,10 @@
     });
   });
 
-  describe('states that part', () => {
-    it('are counted at equal offsets', async () => {
+  describe('diverging states', () => {
+    it('are detected at equal offsets and counted', async () => {
       const session = await startSession(KINGSTON);
-      const {state} = session.daemon('entry-2').follower;
+      const {state} = session.daemon('entry-2').sharedState;
       state.vms.set('hall-a-r1-1', {
         id: 'hall-a-r1-1',
         pool: 'another',
@@ -402,18 +410,21 @@
   });
 });
 
-/** A peer that gives one made-up record for the offset. */
-function answerWithForgedRecord(liar: MemoryPeerLinks, offset: number): void {
-  const madeUp = encodeRecord({
+/** Makes a peer respond with one forged record for the offset. */
+function answerWithForgedRecord(
+  forgingPeer: MemoryPeerLinks,
+  offset: number,
+): void {
+  const forgedRecord = encodeRecord({
     kind: RecordKind.DrainStarted,
     id: 'made up',
     writer: 'nobody',
     vm: 'hall-a-r1-1',
     reason: 'made up',
   });
-  liar.setHandler(PeerTopic.Records, async () => ({
+  forgingPeer.setHandler(PeerTopic.Records, async () => ({
     from: offset,
-    payloads: [madeUp],
+    payloads: [forgedRecord],
   }));
-  liar.setHandler(PeerTopic.StateSummary, async () => undefined);
+  forgingPeer.setHandler(PeerTopic.StateSummary, async () => undefined);
 }
--- a/packages/plugin-shared-state/src/gone-member-remover.ts
+++ b/packages/plugin-shared-state/src/gone-member-remover.ts
@@ -15,12 +15,12 @@
 import type {StateReplica} from './state-replica.js';
 
 const CHECK_INTERVAL_MILLISECONDS = 5000;
-/** Looks that the next in line waits for the one before it. */
+/** Checks that each daemon waits for the one ranked before it to act. */
 const CHECKS_PER_RANK = 2;
-/** A list that was not read for so long says nothing about who is gone. */
+/** Maximum age of the VM list; an older one is no evidence that a VM is gone. */
 const MAXIMUM_LIST_AGE_MILLISECONDS = 30_000;
 
-/** What the watch needs. */
+/** Dependencies of `GoneMemberRemover`. */
 export interface GoneMemberRemoverDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -30,10 +30,10 @@
 }
 
 /**
- * Takes out members whose VM the platform no longer lists. Without it a crashed daemon that is
- * not replaced under its name holds up each move that waits for its acknowledgement, for good.
- * Only absence after presence counts: a platform that does not list entry VMs says nothing.
- * Rests on one assumption: a VM that the list has dropped can no longer reach a target.
+ * Removes members whose VM the platform no longer lists. Without it, a crashed daemon that is
+ * not replaced under its name permanently blocks every move that waits for its acknowledgement.
+ * Only a VM that was listed before counts as gone, because a platform may not list entry VMs at
+ * all. This relies on one assumption: a VM dropped from the list can no longer reach a target.
  */
 export class GoneMemberRemover {
   private readonly listed = new Set<string>();
@@ -55,7 +55,10 @@
     }
   }
 
-  /** Members that have been gone long enough for this daemon, by its place in line, to act. */
+  /**
+   * Returns the members that have been gone long enough for this daemon, by its rank, to
+   * remove them.
+   */
   private goneMembers(): Member[] {
     const {clock, identity, vmList} = this.dependencies;
     if (vmList.ageMilliseconds() > MAXIMUM_LIST_AGE_MILLISECONDS) {
@@ -65,19 +68,25 @@
     const now = clock.monotonicMilliseconds();
     const members = [...this.replica.live.members.values()];
     for (const {name} of members) this.updateAbsence(name, now);
-    const patience = (member: Member) => {
+    const requiredAbsenceMilliseconds = (member: Member) => {
       const others = members.filter(({name}) => name !== member.name);
-      const order = rendezvousOrder(others, `left ${member.incarnation}`);
-      const place = order.indexOf(identity.incarnation);
-      if (place < 0) return Infinity;
+      const removalOrder = rendezvousOrder(
+        others,
+        `left ${member.incarnation}`,
+      );
+      const rank = removalOrder.indexOf(identity.incarnation);
+      if (rank < 0) return Infinity;
       return (
         this.options.gone_milliseconds +
-        place * CHECKS_PER_RANK * CHECK_INTERVAL_MILLISECONDS
+        rank * CHECKS_PER_RANK * CHECK_INTERVAL_MILLISECONDS
       );
     };
     return members.filter(member => {
-      const since = this.absentSince.get(member.name);
-      return since !== undefined && now - since > patience(member);
+      const absentSince = this.absentSince.get(member.name);
+      return (
+        absentSince !== undefined &&
+        now - absentSince > requiredAbsenceMilliseconds(member)
+      );
     });
   }
 
--- a/packages/plugin-shared-state/src/hash-history.ts
+++ b/packages/plugin-shared-state/src/hash-history.ts
@@ -1,10 +1,10 @@
 const MAXIMUM_OFFSETS = 4096;
 
-/** State hashes at recent offsets, to compare with peers that are ahead or behind. */
+/** State hashes at recent offsets, for comparison with peers that are ahead or behind. */
 export class HashHistory {
   private readonly hashes = new Map<number, string>();
 
-  /** Notes the hash of the state whose next offset is `offset`. */
+  /** Records the hash of the state whose next offset is `offset`. */
   add(offset: number, hash: string): void {
     this.hashes.set(offset, hash);
     if (this.hashes.size <= MAXIMUM_OFFSETS) return;
--- a/packages/plugin-shared-state/src/log-backed-shared-state.ts
+++ b/packages/plugin-shared-state/src/log-backed-shared-state.ts
@@ -40,7 +40,7 @@
 
 const UNSUPPORTED_FORMAT_PAUSE_MILLISECONDS = 10_000;
 
-/** What the follower needs. */
+/** Dependencies of `LogBackedSharedState`. */
 export interface LogBackedSharedStateDependencies {
   readonly identity: DaemonIdentity;
   readonly clock: Clock;
@@ -55,11 +55,11 @@
   readonly sharedStateOptions: SharedStateOptions;
 }
 
-/** Follows the fleet stream, keeps the folded state, publishes records. */
+/** Follows the fleet stream, maintains the folded state and publishes records. */
 export class LogBackedSharedState implements SharedState, Plugin, RecordSink {
-  /** The end of the fleet stream as the log last said. */
+  /** End of the fleet stream in the last response of the log. */
   end: number | undefined;
-  /** The oldest offset that the log keeps, as it last said. */
+  /** Oldest retained offset in the last response of the log. */
   oldest = 0;
   private readonly replica: StateReplica;
   private readonly reader: LogReader;
@@ -74,7 +74,10 @@
   private readonly snapshotWriter: SnapshotWriter;
   private readonly stopping = new AbortController();
   private tasks: Array<Promise<void>> = [];
-  /** The empty state for which a snapshot has been looked for. */
+  /**
+   * The empty state for which a snapshot was already searched, so that the search is not
+   * repeated.
+   */
   private snapshotSearchedFor: FleetState | undefined;
 
   constructor(private readonly dependencies: LogBackedSharedStateDependencies) {
@@ -89,16 +92,20 @@
       limit: options.read_limit,
       waitMilliseconds: options.read_wait_milliseconds,
     });
-    const bounds = {
+    const appenderOptions = {
       ...DEFAULT_APPENDER_OPTIONS,
       appendsPerSecond: options.appends_per_second,
       burst: options.appends_per_second,
     };
-    this.appender = new LogAppender(StreamName.Fleet, dependencies, bounds);
+    this.appender = new LogAppender(
+      StreamName.Fleet,
+      dependencies,
+      appenderOptions,
+    );
     this.snapshotAppender = new LogAppender(
       StreamName.Snapshots,
       dependencies,
-      bounds,
+      appenderOptions,
     );
     this.publisher = new RecordPublisher(
       clock,
@@ -156,7 +163,7 @@
     return this.reader.isReachable;
   }
 
-  /** As `isLogReachable`: what the gate looks at. */
+  /** Same as `isLogReachable`, under the name that `ServingGate` uses. */
   get isReachable(): boolean {
     return this.reader.isReachable;
   }
@@ -206,9 +213,9 @@
   async applyBatch(batch: LogBatch): Promise<void> {
     this.end = batch.end;
     this.oldest = batch.oldest;
-    const {live, isFormatUnsupported: isOutgrown} = this.replica;
-    if (isOutgrown) {
-      // The state stands still: without a pause the same records would be read without end.
+    const {live, isFormatUnsupported} = this.replica;
+    if (isFormatUnsupported) {
+      // The state does not advance: without a pause the same records would be read in a busy loop.
       const {clock} = this.dependencies;
       await sleep(
         clock,
@@ -217,7 +224,7 @@
       );
       return;
     }
-    // A daemon that starts behind many records goes by the newest snapshot, if there is one.
+    // A daemon that starts from an empty state loads the newest snapshot first, if there is one.
     if (live.nextOffset === 0 && this.snapshotSearchedFor !== live) {
       if (await this.snapshotLoader.load(0, this.stopping.signal)) return;
       this.snapshotSearchedFor = live;
@@ -228,13 +235,14 @@
   async recoverFromGap(oldest: number): Promise<void> {
     this.oldest = oldest;
     if (this.replica.live.nextOffset >= oldest) {
-      // Peers brought the state past the gap; what they passed on can no longer be held against the log.
+      // Records from peers took the state past the gap. They can no longer be verified against
+      // the log.
       this.replica.verifiedOffset = this.replica.live.nextOffset;
       return;
     }
     if (await this.snapshotLoader.load(oldest, this.stopping.signal)) return;
     throw new Error(
-      `records before ${oldest} are gone and no snapshot from there on verifies`,
+      `the log no longer has the records before offset ${oldest}, and no snapshot from that offset on could be verified`,
     );
   }
 
--- a/packages/plugin-shared-state/src/membership.ts
+++ b/packages/plugin-shared-state/src/membership.ts
@@ -23,7 +23,7 @@
 const CHECK_INTERVAL_MILLISECONDS = 50;
 const LEAVE_TIMEOUT_MILLISECONDS = 1000;
 
-/** What membership needs. */
+/** Dependencies of `Membership`. */
 export interface MembershipDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -32,13 +32,16 @@
   readonly peerDirectory: PeerDirectory;
 }
 
-/** Publishes a record and tells its fate. */
+/** Publishes a record and resolves with its outcome. */
 export type PublishRecord = (
   record: FleetRecord,
   signal?: AbortSignal,
 ) => Promise<FoldOutcome>;
 
-/** Joins this incarnation through the log, keeps it a member, and leaves on a graceful stop. */
+/**
+ * Joins this incarnation through the log, rejoins it if it was removed, and leaves on a
+ * graceful stop.
+ */
 export class Membership {
   private mustNotJoin = false;
   private hasJoined = false;
@@ -48,13 +51,19 @@
     private readonly dependencies: MembershipDependencies,
     private readonly replica: StateReplica,
     private readonly publish: PublishRecord,
-    /** Whether the state is far enough; a join before that would be waited for in vain. */
+    /**
+     * Whether the state has caught up; a daemon that joins earlier cannot serve yet, so
+     * waiting for it is useless.
+     */
     private readonly mayJoin: () => boolean,
   ) {
     replica.onChange(() => this.updatePeerDirectory());
   }
 
-  /** Joins once the state has caught up, and again when it was taken out while it still runs. */
+  /**
+   * Joins once the state has caught up, and again if this daemon was removed while it is still
+   * running.
+   */
   async run(stop: AbortSignal): Promise<void> {
     const {clock, random} = this.dependencies;
     let attempt = 0;
@@ -75,13 +84,13 @@
     }
   }
 
-  /** Leaves; gives up after a second, for the log may be down while the daemon stops. */
+  /** Leaves; gives up after a second, because the log may be down while the daemon stops. */
   async leave(): Promise<void> {
     if (!this.isMember()) return;
     const {clock, identity} = this.dependencies;
-    const late = new AbortController();
+    const timeout = new AbortController();
     const timer = clock.schedule(LEAVE_TIMEOUT_MILLISECONDS, () =>
-      late.abort(),
+      timeout.abort(),
     );
     const record: FleetRecord = {
       kind: RecordKind.MemberLeft,
@@ -90,7 +99,7 @@
       incarnation: identity.incarnation,
     };
     this.mustNotJoin = true;
-    await this.publish(record, late.signal).catch(() => undefined);
+    await this.publish(record, timeout.signal).catch(() => undefined);
     timer.cancel();
   }
 
@@ -124,7 +133,10 @@
     }
   }
 
-  /** A newer incarnation of the same name is the member now; this one must not push it out again. */
+  /**
+   * Detects that a newer incarnation of the same name is the member now; this one must not
+   * replace it again.
+   */
   private detectReplacement(): boolean {
     const {identity, logger} = this.dependencies;
     const successor = [...this.replica.live.members.values()].find(
--- a/packages/plugin-shared-state/src/peer-records.ts
+++ b/packages/plugin-shared-state/src/peer-records.ts
@@ -19,16 +19,19 @@
 
 const MAXIMUM_RESPONSE_BYTES = 2_000_000;
 const REQUEST_TIMEOUT_MILLISECONDS = 5000;
-/** A peer's snapshot is made at most so often, however many ask for it. */
+/**
+ * Time for which a snapshot is reused, so that many requesting peers don't cause one snapshot
+ * each.
+ */
 const SNAPSHOT_CACHE_MILLISECONDS = 10_000;
 
-/** What passing records on needs. */
+/** Dependencies of `PeerRecords`. */
 export interface PeerRecordsDependencies {
   readonly clock: Clock;
   readonly peerLinks: PeerLinks;
 }
 
-/** Gives records and whole states to peers, and takes them from peers. */
+/** Sends records and complete states to peers and fetches them from peers. */
 export class PeerRecords {
   private cachedSnapshot: {at: number; bytes: Promise<Uint8Array>} | undefined;
 
@@ -42,19 +45,23 @@
     );
   }
 
-  /** Takes from a peer what follows this daemon's state, or the peer's whole state. */
+  /** Fetches the records after this daemon's state from a peer, or the peer's complete state. */
   async pullFrom(peer: Peer): Promise<void> {
-    const from = this.replica.live.nextOffset;
-    const answer = await this.requestRecords(peer, from, false);
-    if (answer.payloads) {
-      await this.replica.apply(answer.from, answer.payloads, RecordSource.Peer);
+    const nextOffset = this.replica.live.nextOffset;
+    const response = await this.requestRecords(peer, nextOffset, false);
+    if (response.payloads) {
+      await this.replica.apply(
+        response.from,
+        response.payloads,
+        RecordSource.Peer,
+      );
       return;
     }
-    const {snapshot} = await this.requestRecords(peer, from, true);
+    const {snapshot} = await this.requestRecords(peer, nextOffset, true);
     if (!snapshot) return;
-    const {trustedOperators: trusted} = this.replica.live;
+    const {trustedOperators} = this.replica.live;
     await this.replica.restore(
-      await decodeSnapshot(snapshot, trusted, yieldToEventLoop),
+      await decodeSnapshot(snapshot, trustedOperators, yieldToEventLoop),
     );
   }
 
@@ -63,13 +70,13 @@
     from: number,
     snapshot: boolean,
   ): Promise<RecordsAnswer> {
-    const answer = await this.dependencies.peerLinks.request(
+    const response = await this.dependencies.peerLinks.request(
       peer.incarnation,
       PeerTopic.Records,
       {from, snapshot},
       REQUEST_TIMEOUT_MILLISECONDS,
     );
-    return recordsAnswerSchema.parse(answer);
+    return recordsAnswerSchema.parse(response);
   }
 
   private async respond(message: unknown): Promise<RecordsAnswer> {
--- a/packages/plugin-shared-state/src/peer-state-sync.ts
+++ b/packages/plugin-shared-state/src/peer-state-sync.ts
@@ -23,20 +23,26 @@
 import {stateSummarySchema, type StateSummary} from './state-summary.js';
 
 const REQUEST_TIMEOUT_MILLISECONDS = 5000;
-/** A log that said nothing for so long while a peer went ahead is helped out by the peer. */
+/**
+ * Time the log has to deliver records that a peer already has before they are fetched from the
+ * peer.
+ */
 const LOG_GRACE_MILLISECONDS = 300;
-/** Ticks while the daemon does not serve yet, and while it is cut off: peers tell it of news besides. */
+/**
+ * Intervals while the daemon does not serve yet, and while the log is unreachable. Peers also
+ * broadcast changes in between.
+ */
 const STARTING_INTERVAL_MILLISECONDS = 250;
 const LOG_UNREACHABLE_INTERVAL_MILLISECONDS = 1000;
 
-/** The log as the exchange sees it. */
+/** Connection to the log as `PeerStateSync` uses it. */
 export interface LogConnection {
   readonly isReachable: boolean;
-  /** Ends the read that is out and reads afresh. */
+  /** Aborts the read in flight and starts a new one. */
   refresh(): void;
 }
 
-/** What the exchange needs. */
+/** Dependencies of `PeerStateSync`. */
 export interface PeerStateSyncDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -45,18 +51,21 @@
   readonly peerLinks: PeerLinks;
 }
 
-/** What is known of a peer's state. */
+/** What this daemon knows about the state of a peer. */
 export interface PeerState {
   readonly peer: Peer;
   readonly summary: StateSummary;
-  /** Milliseconds from this daemon having its version in force to hearing that the peer has; undefined when the peer was first. */
+  /**
+   * Milliseconds from the bundle coming into force here until the peer reported it; undefined
+   * when the peer reported it first.
+   */
   readonly tookMilliseconds: number | undefined;
 }
 
 /**
- * Compares states with peers and takes from them what the log does not bring: a daemon cut
- * off from the log goes on with records that its peers read, and its own fold, with the same
- * signature checks, judges them.
+ * Compares states with peers and fetches records from them that the log does not deliver. A
+ * daemon that cannot reach the log continues with records that its peers read; its own fold
+ * validates them with the same signature checks.
  */
 export class PeerStateSync {
   private readonly stateByIncarnation = new Map<string, PeerState>();
@@ -84,7 +93,7 @@
     replica.onChange(() => this.onChange());
   }
 
-  /** The peers whose links are up, with what they last said. */
+  /** Returns the last summaries of the peers that are linked now. */
   peerStates(): PeerState[] {
     const linked = this.dependencies.peerLinks.connected();
     return linked.flatMap(
@@ -92,7 +101,7 @@
     );
   }
 
-  /** This daemon's own summary. */
+  /** Returns the summary of this daemon's own state. */
   summary(): StateSummary {
     const {live, isServing} = this.replica;
     return {
@@ -106,18 +115,21 @@
     };
   }
 
-  /** Tells peers at a steady pace, and looks for help while there is need. */
+  /**
+   * Broadcasts summaries at a steady interval, and requests the state of peers while this
+   * daemon is behind or the log is unreachable.
+   */
   async run(stop: AbortSignal): Promise<void> {
     const {clock, random, peerLinks} = this.dependencies;
-    let toldAt = -Infinity;
+    let broadcastAt = -Infinity;
     while (!stop.aborted) {
-      const isNeedy = !this.replica.isServing || !this.log.isReachable;
+      const needsPeers = !this.replica.isServing || !this.log.isReachable;
       const now = clock.monotonicMilliseconds();
-      if (now - toldAt >= this.options.summary_milliseconds / 2) {
-        toldAt = now;
+      if (now - broadcastAt >= this.options.summary_milliseconds / 2) {
+        broadcastAt = now;
         peerLinks.broadcast(PeerTopic.StateSummary, this.summary());
       }
-      if (isNeedy) await this.requestMissingSummaries();
+      if (needsPeers) await this.requestMissingSummaries();
       this.catchUpFromPeers();
       await sleep(clock, jitter(random, this.tickMilliseconds()), stop);
     }
@@ -130,15 +142,15 @@
       : LOG_UNREACHABLE_INTERVAL_MILLISECONDS;
   }
 
-  /** Asks linked peers that have not said anything yet. */
+  /** Requests summaries from linked peers that have not sent one yet. */
   private async requestMissingSummaries(): Promise<void> {
     const {peerLinks} = this.dependencies;
-    const strangers = peerLinks
+    const unknownPeers = peerLinks
       .connected()
       .filter(peer => !this.stateByIncarnation.has(peer.incarnation));
     await Promise.all(
-      strangers.map(async peer => {
-        const answer = await peerLinks
+      unknownPeers.map(async peer => {
+        const response = await peerLinks
           .request(
             peer.incarnation,
             PeerTopic.StateSummary,
@@ -146,7 +158,7 @@
             REQUEST_TIMEOUT_MILLISECONDS,
           )
           .catch(() => undefined);
-        if (answer !== undefined) this.receiveSummary(peer, answer);
+        if (response !== undefined) this.receiveSummary(peer, response);
       }),
     );
   }
@@ -164,7 +176,7 @@
       summary,
       tookMilliseconds: this.propagationMilliseconds(peer, summary),
     });
-    this.forgetUnlinked();
+    this.removeUnlinkedPeers();
     this.divergenceDetector.compare(peer, summary);
     if (summary.offset > this.replica.live.nextOffset) this.catchUpFromPeers();
   }
@@ -173,16 +185,16 @@
     peer: Peer,
     summary: StateSummary,
   ): number | undefined {
-    const before = this.stateByIncarnation.get(peer.incarnation);
-    const own = this.replica.live.inForce;
-    if (!own || summary.digest !== own.digest) return undefined;
-    if (before?.summary.digest === summary.digest)
-      return before.tookMilliseconds;
+    const previous = this.stateByIncarnation.get(peer.incarnation);
+    const ownBundle = this.replica.live.inForce;
+    if (!ownBundle || summary.digest !== ownBundle.digest) return undefined;
+    if (previous?.summary.digest === summary.digest)
+      return previous.tookMilliseconds;
     const now = this.dependencies.clock.monotonicMilliseconds();
     return now - this.replica.inForceSince;
   }
 
-  private forgetUnlinked(): void {
+  private removeUnlinkedPeers(): void {
     const linked = new Set(
       this.dependencies.peerLinks.connected().map(peer => peer.incarnation),
     );
@@ -192,27 +204,28 @@
 
   private onChange(): void {
     const summary = this.summary();
-    const isCutOff = this.peerStates().some(
+    const hasPeerWithoutLog = this.peerStates().some(
       state => !state.summary.isLogReachable,
     );
-    const key = `${summary.digest} ${summary.isServing}`;
-    if (key === this.lastBroadcast && !isCutOff) return;
-    this.lastBroadcast = key;
+    const broadcastKey = `${summary.digest} ${summary.isServing}`;
+    if (broadcastKey === this.lastBroadcast && !hasPeerWithoutLog) return;
+    this.lastBroadcast = broadcastKey;
     this.dependencies.peerLinks.broadcast(PeerTopic.StateSummary, summary);
   }
 
   /**
-   * A peer is ahead: the log should bring the same records at once. If its read has hung on a
-   * silent connection, a fresh one is made; if the log cannot be reached, the peer gives them.
+   * Catches up when a peer is ahead. The log should deliver the same records at once. If the
+   * read hangs on a silent connection, it is restarted, and the records are fetched from the
+   * peer; if the log is unreachable, they are fetched from the peer immediately.
    */
   private catchUpFromPeers(): void {
-    const ahead = this.mostAdvancedPeer();
-    if (!ahead || this.isCatchingUp) return;
+    const mostAdvanced = this.mostAdvancedPeer();
+    if (!mostAdvanced || this.isCatchingUp) return;
     this.isCatchingUp = true;
-    void this.catchUpFrom(ahead)
+    void this.catchUpFrom(mostAdvanced)
       .catch((error: unknown) =>
         this.dependencies.logger.debug(LogEvent.PeerLost, {
-          ...ahead.peer,
+          ...mostAdvanced.peer,
           error: toError(error).message,
         }),
       )
@@ -227,18 +240,18 @@
       .at(0);
   }
 
-  private async catchUpFrom(ahead: PeerState): Promise<void> {
+  private async catchUpFrom(peerState: PeerState): Promise<void> {
     const {clock} = this.dependencies;
-    const target = ahead.summary.offset;
+    const targetOffset = peerState.summary.offset;
     if (this.log.isReachable) {
       await sleep(clock, LOG_GRACE_MILLISECONDS);
-      if (this.replica.live.nextOffset >= target) return;
+      if (this.replica.live.nextOffset >= targetOffset) return;
       this.log.refresh();
     }
-    while (this.replica.live.nextOffset < target) {
-      const before = this.replica.live.nextOffset;
-      await this.peerRecords.pullFrom(ahead.peer);
-      if (this.replica.live.nextOffset === before) return;
+    while (this.replica.live.nextOffset < targetOffset) {
+      const previousOffset = this.replica.live.nextOffset;
+      await this.peerRecords.pullFrom(peerState.peer);
+      if (this.replica.live.nextOffset === previousOffset) return;
     }
   }
 }
--- a/packages/plugin-shared-state/src/preparse-bundle.ts
+++ b/packages/plugin-shared-state/src/preparse-bundle.ts
@@ -7,17 +7,18 @@
   type FleetState,
 } from '@gentiandoor/shared-state';
 
-/** A bundle from here on is parsed ahead of the fold, in slices. */
+/** Minimum size at which a bundle is parsed in slices before it is folded. */
 const MINIMUM_PREPARSE_CHARACTERS = 16_000;
 
 /**
- * Parses the large bundle of a payload in slices before the fold comes to it. In one piece it
- * would hold the event loop, and every caller in flight, for a good part of a second.
+ * Parses a large bundle in slices before its record is folded, and caches the result. Parsed
+ * in one piece, it would block the event loop, and with it every request in flight, for a
+ * considerable part of a second.
  */
 export async function preparseBundle(
   state: FleetState,
   payload: Uint8Array,
-  rest: () => Promise<void>,
+  yieldToEventLoop: () => Promise<void>,
 ): Promise<void> {
   const lengthInForce = state.inForce?.text.length ?? 0;
   if (Math.max(payload.length, lengthInForce) < MINIMUM_PREPARSE_CHARACTERS)
@@ -27,12 +28,12 @@
   try {
     const parsed = await parseSectionsInSlices(
       text,
-      rest,
+      yieldToEventLoop,
       state.inForce?.parsed,
     );
     state.parsedBundleCache.put(sha256Hex(text), parsed);
   } catch {
-    // The fold comes to the same result and says what is wrong.
+    // Folding the record finds the same error and reports it.
   }
 }
 
--- a/packages/plugin-shared-state/src/recent-records.ts
+++ b/packages/plugin-shared-state/src/recent-records.ts
@@ -1,14 +1,17 @@
-/** Records kept for peers that cannot reach the log. */
+/** Limits on the records kept for peers that cannot reach the log. */
 const MAXIMUM_BYTES = 8_000_000;
 const MAXIMUM_RECORDS = 10_000;
 
-/** The last records applied, by offset; bounded in number and bytes. */
+/** The most recently applied records by offset, limited in number and bytes. */
 export class RecentRecords {
   private firstOffset = 0;
   private payloads: Uint8Array[] = [];
   private bytes = 0;
 
-  /** Adds the record at `offset`; one that does not follow on starts afresh. */
+  /**
+   * Adds the record at `offset`; discards the kept records if it does not directly follow
+   * them.
+   */
   add(offset: number, payload: Uint8Array): void {
     if (offset !== this.firstOffset + this.payloads.length) this.reset(offset);
     this.payloads.push(payload);
@@ -20,18 +23,21 @@
       this.dropOldest();
   }
 
-  /** Records from `offset` on, up to `limitBytes`; undefined when they are no longer kept. */
-  readFrom(offset: number, limitBytes: number): Uint8Array[] | undefined {
+  /**
+   * Returns at least one record from `offset` on, up to `maximumBytes`; undefined when they
+   * are no longer kept.
+   */
+  readFrom(offset: number, maximumBytes: number): Uint8Array[] | undefined {
     const start = offset - this.firstOffset;
     if (start < 0 || start > this.payloads.length) return undefined;
-    const found: Uint8Array[] = [];
+    const result: Uint8Array[] = [];
     let bytes = 0;
     for (let index = start; index < this.payloads.length; index++) {
       bytes += this.payloads[index].length;
-      if (found.length > 0 && bytes > limitBytes) break;
-      found.push(this.payloads[index]);
+      if (result.length > 0 && bytes > maximumBytes) break;
+      result.push(this.payloads[index]);
     }
-    return found;
+    return result;
   }
 
   reset(offset: number): void {
--- a/packages/plugin-shared-state/src/serving-gate.ts
+++ b/packages/plugin-shared-state/src/serving-gate.ts
@@ -5,30 +5,30 @@
 import type {StateReplica} from './state-replica.js';
 
 const CHECK_INTERVAL_MILLISECONDS = 50;
-/** Peers that a starting daemon waits to hear of, of those it knows. */
+/** Number of known peers whose summaries a starting daemon waits for. */
 const SUFFICIENT_PEERS = 3;
 
-/** What the gate needs. */
+/** Dependencies of `ServingGate`. */
 export interface ServingGateDependencies {
   readonly clock: Clock;
   readonly identity: DaemonIdentity;
   readonly peerDirectory: PeerDirectory;
 }
 
-/** What the log has shown since the start. */
+/** What this daemon has learned from the log since its start. */
 export interface LogProgress {
-  /** The end of the stream as the log last said; undefined before its first answer. */
+  /** End of the stream in the last response of the log; undefined before the first one. */
   readonly end: number | undefined;
   readonly isReachable: boolean;
 }
 
 /**
- * Decides when a daemon that starts may serve: not under a version lower than the log or any
- * linked peer shows. With the log it reads to its end first; without the log it takes the
- * state of the peer that is furthest; with neither it serves nothing.
+ * Decides when a starting daemon may serve: never under a lower version than the log or any
+ * linked peer shows. If the log is reachable, the daemon reads to its end first. Otherwise it
+ * takes the state of the most advanced peer. With neither it serves nothing.
  */
 export class ServingGate {
-  /** Whether the state is far enough to join the members. */
+  /** Whether the state has caught up far enough to join the members. */
   isCaughtUp = false;
 
   constructor(
@@ -39,27 +39,32 @@
     private readonly logProgress: LogProgress,
   ) {}
 
-  /** Opens whenever the state has caught up and the join was read back; runs on, for the state may be given up later. */
+  /**
+   * Starts serving whenever the state has caught up and the join was read back. Keeps running,
+   * because the state may be discarded later.
+   */
   async run(stop: AbortSignal): Promise<void> {
     const {clock} = this.dependencies;
     const startedAt = clock.monotonicMilliseconds();
     while (!stop.aborted) {
-      const waited = clock.monotonicMilliseconds() - startedAt;
-      this.isCaughtUp = this.replica.isServing || this.mayServe(waited);
+      const waitedMilliseconds = clock.monotonicMilliseconds() - startedAt;
+      this.isCaughtUp =
+        this.replica.isServing || this.mayServe(waitedMilliseconds);
       if (!this.replica.isServing && this.isCaughtUp && this.isJoinSettled())
         this.replica.startServing();
-      const pause = this.replica.isServing
+      const intervalMilliseconds = this.replica.isServing
         ? this.options.summary_milliseconds
         : CHECK_INTERVAL_MILLISECONDS;
-      await sleep(clock, pause, stop);
+      await sleep(clock, intervalMilliseconds, stop);
     }
   }
 
   /**
-   * Moves and reboots wait for the members of their offset. A daemon that routed before its own
-   * join was read back would not be waited for, and two pools would use one VM. While the log
-   * cannot be reached it serves with the state of a peer, which is a member and holds up what
-   * this one would have to.
+   * Moves and reboots wait for the daemons that are members at their offset. They would not
+   * wait for a daemon that routes requests before its own join was read back, and two pools
+   * would use one VM. While the log is unreachable, this daemon serves with the state of a
+   * peer: that peer is a member, and a move that would have to wait for this daemon waits for
+   * the peer.
    */
   private isJoinSettled(): boolean {
     const {identity} = this.dependencies;
@@ -67,23 +72,26 @@
     return this.replica.live.members.has(identity.incarnation);
   }
 
-  /** `waitedMilliseconds` since the start. */
+  /**
+   * Returns whether the state is current enough to serve, `waitedMilliseconds` after the
+   * start.
+   */
   mayServe(waitedMilliseconds: number): boolean {
     if (this.isBehindPeers()) return false;
-    const isGathered =
+    const hasGatheredPeers =
       this.hasHeardSufficientPeers() ||
       waitedMilliseconds >= this.options.gather_milliseconds;
-    if (!isGathered) return false;
+    if (!hasGatheredPeers) return false;
     const {end, isReachable} = this.logProgress;
     const {nextOffset, inForce} = this.replica.live;
     if (isReachable) return end !== undefined && nextOffset >= end;
-    const serving = this.peerStateSync
+    const servingPeers = this.peerStateSync
       .peerStates()
       .filter(state => state.summary.isServing);
     return (
       inForce !== undefined &&
-      serving.length > 0 &&
-      serving.every(state => state.summary.offset <= nextOffset)
+      servingPeers.length > 0 &&
+      servingPeers.every(state => state.summary.offset <= nextOffset)
     );
   }
 
@@ -96,13 +104,13 @@
 
   private hasHeardSufficientPeers(): boolean {
     const {peerDirectory} = this.dependencies;
-    // Without peer links of its own nobody will be heard.
+    // A daemon without a peer address of its own has no links and will receive no summaries.
     if (peerDirectory.ownAddress === undefined) return true;
-    const known = peerDirectory.entries().length;
-    if (known === 0) return false;
+    const knownCount = peerDirectory.entries().length;
+    if (knownCount === 0) return false;
     return (
       this.peerStateSync.peerStates().length >=
-      Math.min(known, SUFFICIENT_PEERS)
+      Math.min(knownCount, SUFFICIENT_PEERS)
     );
   }
 }
--- a/packages/plugin-shared-state/src/shared-state-options.ts
+++ b/packages/plugin-shared-state/src/shared-state-options.ts
@@ -55,5 +55,5 @@
     .describe('Time between looks whether a snapshot is due.'),
 });
 
-/** Checked settings of the shared state plug-in. */
+/** Validated settings of the shared state plug-in. */
 export type SharedStateOptions = z.output<typeof sharedStateOptions>;
--- a/packages/plugin-shared-state/src/snapshot-loader.ts
+++ b/packages/plugin-shared-state/src/snapshot-loader.ts
@@ -13,7 +13,7 @@
 
 const MAXIMUM_RECORDS_PER_READ = 100;
 
-/** Finds the newest snapshot in the log that verifies. */
+/** Loads the newest snapshot in the log that can be verified. */
 export class SnapshotLoader {
   constructor(
     private readonly platformLog: PlatformLog,
@@ -22,12 +22,12 @@
   ) {}
 
   /**
-   * Takes the newest verified snapshot that is newer than what is here and not before
-   * `oldest`; false when there is none. Throws `PlatformLogError`.
+   * Restores the newest verified snapshot that is newer than the present state and not before
+   * `oldest`; returns false when there is none. Throws `PlatformLogError`.
    */
   async load(oldest: number, stop: AbortSignal): Promise<boolean> {
-    const found = await this.readAll(stop);
-    const newestFirst = found
+    const snapshots = await this.readAll(stop);
+    const newestFirst = snapshots
       .filter(snapshot => snapshot.offset >= oldest)
       .filter(snapshot => snapshot.offset > this.replica.live.nextOffset)
       .sort((left, right) => right.offset - left.offset);
@@ -41,15 +41,17 @@
   private async decodeVerified(
     snapshot: AssembledSnapshot,
   ): Promise<FleetState | undefined> {
-    const {trustedOperators: trusted} = this.replica.live;
+    const {trustedOperators} = this.replica.live;
     try {
       const state = await decodeSnapshot(
         snapshot.bytes,
-        trusted,
+        trustedOperators,
         yieldToEventLoop,
       );
       if (state.nextOffset === snapshot.offset) return state;
-      this.logSkipped(`snapshot says offset ${snapshot.offset}, holds another`);
+      this.logSkipped(
+        `snapshot is labelled offset ${snapshot.offset} but its state has another offset`,
+      );
     } catch (error) {
       this.logSkipped(
         `snapshot at offset ${snapshot.offset}: ${String(error)}`,
@@ -60,19 +62,19 @@
 
   private async readAll(stop: AbortSignal): Promise<AssembledSnapshot[]> {
     const assembler = new SnapshotAssembler(detail => this.logSkipped(detail));
-    const found: AssembledSnapshot[] = [];
-    let next = 0;
+    const snapshots: AssembledSnapshot[] = [];
+    let nextOffset = 0;
     for (;;) {
-      const batch = await this.read(next, stop);
+      const batch = await this.read(nextOffset, stop);
       for (const payload of batch.payloads) {
-        const whole = assembler.addChunk(payload);
-        if (whole) found.push(whole);
+        const snapshot = assembler.addChunk(payload);
+        if (snapshot) snapshots.push(snapshot);
       }
-      next = batch.from + batch.payloads.length;
-      if (batch.payloads.length === 0 || next >= batch.end) break;
+      nextOffset = batch.from + batch.payloads.length;
+      if (batch.payloads.length === 0 || nextOffset >= batch.end) break;
     }
     assembler.reportIncomplete();
-    return found;
+    return snapshots;
   }
 
   private async read(from: number, stop: AbortSignal): Promise<LogBatch> {
--- a/packages/plugin-shared-state/src/snapshot-writer.ts
+++ b/packages/plugin-shared-state/src/snapshot-writer.ts
@@ -25,10 +25,10 @@
 import type {SharedStateOptions} from './shared-state-options.js';
 import {yieldToEventLoop, type StateReplica} from './state-replica.js';
 
-/** Looks that the next in line waits for the one before it. */
+/** Checks that each daemon waits for the one ranked before it to act. */
 const CHECKS_PER_RANK = 3;
 
-/** What snapshot duty needs. */
+/** Dependencies of `SnapshotWriter`. */
 export interface SnapshotWriterDependencies {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -36,36 +36,43 @@
   readonly identity: DaemonIdentity;
 }
 
-/** What the log keeps of the fleet stream, as it last said. */
+/** Range of the fleet stream that the log retains, from its last response. */
 export interface RetainedRange {
   readonly oldest: number;
   readonly end: number | undefined;
 }
 
 /**
- * Whether a snapshot is due: by records since the last, by time, or because the last one has
- * come into the older half of what the log keeps. Either alone would fail: few records a day
- * outlive their time, and many records a day outrun any clock.
+ * Returns whether a snapshot is due: by records since the last one, by time, or because the
+ * last one is in the older half of what the log retains. Neither count nor time is enough
+ * alone: with few records a day they would expire before the count is reached, and with many
+ * a day the log could expire them before any time limit.
  */
 export function isSnapshotDue(
   state: FleetState,
-  kept: RetainedRange,
+  retainedRange: RetainedRange,
   ages: {readonly sinceMilliseconds: number; readonly wallMilliseconds: number},
   options: SharedStateOptions,
 ): boolean {
   if (state.nextOffset === 0) return false;
-  const last = state.snapshots.get(NEWEST_SNAPSHOT_KEY);
-  const lastOffset = last?.offset ?? 0;
-  const records = state.nextOffset - lastOffset;
-  if (records >= options.snapshot_records) return true;
+  const lastSnapshot = state.snapshots.get(NEWEST_SNAPSHOT_KEY);
+  const lastOffset = lastSnapshot?.offset ?? 0;
+  const recordsSinceSnapshot = state.nextOffset - lastOffset;
+  if (recordsSinceSnapshot >= options.snapshot_records) return true;
   if (ages.sinceMilliseconds >= options.snapshot_milliseconds) return true;
-  if (last && ages.wallMilliseconds >= options.snapshot_milliseconds)
+  if (lastSnapshot && ages.wallMilliseconds >= options.snapshot_milliseconds)
     return true;
-  const end = kept.end ?? state.nextOffset;
-  return kept.oldest > 0 && records > (end - kept.oldest) / 2;
+  const end = retainedRange.end ?? state.nextOffset;
+  return (
+    retainedRange.oldest > 0 &&
+    recordsSinceSnapshot > (end - retainedRange.oldest) / 2
+  );
 }
 
-/** Takes snapshots when it is this daemon's turn, and raises the record format once all read it. */
+/**
+ * Writes snapshots when it is this daemon's turn, and raises the record format once all
+ * members read it.
+ */
 export class SnapshotWriter {
   private lastSnapshot: SnapshotReference | undefined;
   private lastSnapshotSeenAt: number;
@@ -84,14 +91,14 @@
 
   async run(stop: AbortSignal): Promise<void> {
     const {clock, random} = this.dependencies;
-    const {snapshot_check_milliseconds: look} = this.options;
-    let looksDue = 0;
+    const {snapshot_check_milliseconds: checkMilliseconds} = this.options;
+    let dueChecks = 0;
     while (!stop.aborted) {
-      await sleep(clock, jitter(random, look), stop);
-      looksDue = this.isDue() ? looksDue + 1 : 0;
+      await sleep(clock, jitter(random, checkMilliseconds), stop);
+      dueChecks = this.isDue() ? dueChecks + 1 : 0;
       const rank = this.rank();
       if (rank === 0) await this.raiseFormat(stop);
-      if (looksDue > rank * CHECKS_PER_RANK) await this.writeSnapshot(stop);
+      if (dueChecks > rank * CHECKS_PER_RANK) await this.writeSnapshot(stop);
     }
   }
 
@@ -107,13 +114,13 @@
     return isSnapshotDue(live, this.retainedRange, ages, this.options);
   }
 
-  /** This daemon's place in the line; Infinity for one that is no member. */
+  /** Returns this daemon's rank for the next snapshot; Infinity if it is not a member. */
   private rank(): number {
     const {live} = this.replica;
     const duty = `snapshot after ${this.lastSnapshot?.offset ?? 0}`;
-    const order = rendezvousOrder(live.members.values(), duty);
-    const place = order.indexOf(this.dependencies.identity.incarnation);
-    return place < 0 ? Infinity : place;
+    const writerOrder = rendezvousOrder(live.members.values(), duty);
+    const rank = writerOrder.indexOf(this.dependencies.identity.incarnation);
+    return rank < 0 ? Infinity : rank;
   }
 
   private async writeSnapshot(stop: AbortSignal): Promise<void> {
--- a/packages/plugin-shared-state/src/state-divergence-detector.ts
+++ b/packages/plugin-shared-state/src/state-divergence-detector.ts
@@ -8,18 +8,21 @@
 import type {StateReplica} from './state-replica.js';
 import type {StateSummary} from './state-summary.js';
 
-/** Offsets of peers ahead of this daemon, kept to compare their hashes when it gets there. */
+/**
+ * Maximum offsets of peers ahead of this daemon that are kept until it reaches them and can
+ * compare hashes.
+ */
 const MAXIMUM_PENDING_OFFSETS = 64;
 
-/** What the comparison needs. */
+/** Dependencies of `StateDivergenceDetector`. */
 export interface StateDivergenceDetectorDependencies {
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
 /**
- * Holds the states of peers against this daemon's at equal offsets. Without it two daemons
- * that fold one record differently would route and drain by two truths, and nobody would know.
+ * Compares the states of peers with this daemon's at equal offsets. Without it, two daemons
+ * that fold a record differently would route and drain by different states unnoticed.
  */
 export class StateDivergenceDetector {
   private readonly pendingHashByOffset = new Map<
@@ -34,13 +37,13 @@
     replica.onChange(() => this.comparePending());
   }
 
-  /** Compares now, or when this daemon gets to the peer's offset. */
+  /** Compares now, or when this daemon reaches the peer's offset. */
   compare(peer: Peer, summary: StateSummary): void {
     this.compareBundles(peer, summary);
     if (summary.readsFormat !== MAXIMUM_RECORD_FORMAT) return;
-    const own = this.replica.hashHistory.hashAt(summary.offset);
-    if (own !== undefined) {
-      this.compareHashes(own, summary.hash, summary.offset, peer.name);
+    const ownHash = this.replica.hashHistory.hashAt(summary.offset);
+    if (ownHash !== undefined) {
+      this.compareHashes(ownHash, summary.hash, summary.offset, peer.name);
       return;
     }
     if (summary.offset <= this.replica.live.nextOffset) return;
@@ -55,34 +58,43 @@
 
   private comparePending(): void {
     for (const [offset, {hash, peer}] of this.pendingHashByOffset) {
-      const own = this.replica.hashHistory.hashAt(offset);
-      if (own !== undefined) this.compareHashes(own, hash, offset, peer);
+      const ownHash = this.replica.hashHistory.hashAt(offset);
+      if (ownHash !== undefined)
+        this.compareHashes(ownHash, hash, offset, peer);
       if (offset <= this.replica.live.nextOffset)
         this.pendingHashByOffset.delete(offset);
     }
   }
 
   private compareHashes(
-    own: string,
-    theirs: string,
+    ownHash: string,
+    peerHash: string,
     offset: number,
     peer: string,
   ): void {
-    if (own === theirs) return;
+    if (ownHash === peerHash) return;
     const {logger, metrics} = this.dependencies;
     metrics.increment(MetricName.StateHashDifferences);
-    logger.error(LogEvent.StateHashDiffers, {offset, peer, own, theirs});
+    logger.error(LogEvent.StateHashDiffers, {
+      offset,
+      peer,
+      own: ownHash,
+      theirs: peerHash,
+    });
   }
 
-  /** Equal versions, unequal bundles: identity is version and digest. */
+  /**
+   * Reports a peer whose bundle has the same version but a different digest; only both
+   * together identify a bundle.
+   */
   private compareBundles(peer: Peer, summary: StateSummary): void {
-    const own = this.replica.live.inForce;
-    if (!own || own.bundle.version !== summary.version) return;
-    if (own.digest === summary.digest) return;
+    const ownBundle = this.replica.live.inForce;
+    if (!ownBundle || ownBundle.bundle.version !== summary.version) return;
+    if (ownBundle.digest === summary.digest) return;
     this.dependencies.metrics.increment(MetricName.BundleAlarms);
     this.dependencies.logger.error(LogEvent.BundleConflict, {
       version: summary.version,
-      own: own.digest,
+      own: ownBundle.digest,
       theirs: summary.digest,
       peer: peer.name,
     });
--- a/packages/plugin-shared-state/src/state-replica.ts
+++ b/packages/plugin-shared-state/src/state-replica.ts
@@ -20,48 +20,48 @@
 import {RecentRecords} from './recent-records.js';
 import {UnverifiedRecords} from './unverified-records.js';
 
-/** Time that applying records may hold the event loop. */
+/** Maximum time for which applying records may block the event loop. */
 const SLICE_MILLISECONDS = 5;
 
-/** Where records came from. */
+/** Where records were read from. */
 export enum RecordSource {
   Log = 'log',
   Peer = 'peer',
 }
 
-/** What the keeper needs. */
+/** Dependencies of `StateReplica`. */
 export interface StateReplicaDependencies {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
-/** Gives way to other work on the event loop. */
+/** Yields to other work on the event loop. */
 export function yieldToEventLoop(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
 
 /**
- * Holds the folded state and applies records to it, in order, whatever they come from.
- * What others see is empty until the state has caught up: a daemon that starts would
- * otherwise serve under each older version on its way through the log.
+ * Holds the folded state and applies records to it in order, from any source. The served
+ * state is empty until the folded state has caught up: otherwise a starting daemon would serve
+ * under each older version while it reads through the log.
  */
 export class StateReplica {
   readonly recentRecords = new RecentRecords();
   readonly hashHistory = new HashHistory();
-  /** The folded state, also while it is still catching up. */
+  /** The folded state, which may still be catching up. */
   live: FleetState;
-  /** Offset up to which the log itself was read. */
+  /** Offset up to which the log itself was read; reading continues there. */
   verifiedOffset = 0;
-  /** Monotonic milliseconds at which the bundle in force came into force here. */
+  /** Monotonic milliseconds at which the current bundle came into force at this daemon. */
   inForceSince = 0;
-  /** Called for each record that was judged. */
+  /** Called for each record that was applied or rejected. */
   onOutcome: (outcome: FoldOutcome) => void = () => undefined;
   private readonly emptyState: FleetState;
   private readonly unverifiedRecords = new UnverifiedRecords();
   private readonly listeners: Array<() => void> = [];
   private serving = false;
-  /** The highest version that was served under. */
+  /** The highest bundle version served so far. */
   private highestServedVersion = 0;
   private lastChange: Promise<void> = Promise.resolve();
 
@@ -73,7 +73,7 @@
     this.emptyState = emptyFleetState(trustedOperators);
   }
 
-  /** The state to serve by. */
+  /** The state by which requests are served; empty before `startServing`. */
   get servedState(): FleetState {
     return this.serving ? this.live : this.emptyState;
   }
@@ -82,7 +82,10 @@
     return this.serving;
   }
 
-  /** Another version has raised the format above what this one reads: the state stands still. */
+  /**
+   * True when daemons of a newer version have raised the record format above what this version
+   * reads; no further records are applied.
+   */
   get isFormatUnsupported(): boolean {
     return this.live.formatInUse > MAXIMUM_RECORD_FORMAT;
   }
@@ -91,10 +94,10 @@
     this.listeners.push(listener);
   }
 
-  /** Shows the state to the daemon. */
+  /** Makes the folded state the served state. */
   startServing(): void {
     const version = this.live.inForce?.bundle.version ?? 0;
-    // A state built again must not bring back an older version.
+    // A rebuilt state must not make an older version served again.
     if (this.serving || version < this.highestServedVersion) return;
     this.serving = true;
     this.highestServedVersion = version;
@@ -102,7 +105,10 @@
     this.notify();
   }
 
-  /** Applies the records from offset `from` on; those already applied are held against them. */
+  /**
+   * Applies the records from offset `from` on. Records from the log that were already applied
+   * are compared with the applied ones.
+   */
   apply(
     from: number,
     payloads: readonly Uint8Array[],
@@ -111,13 +117,16 @@
     return this.runExclusive(() => this.applyAll(from, payloads, source));
   }
 
-  /** Takes the state of a verified snapshot; false when it is older than what is here. */
+  /**
+   * Restores the state of a verified snapshot; returns false when it is older than the present
+   * state.
+   */
   restore(state: FleetState): Promise<boolean> {
     return this.runExclusive(async () => {
       const version = this.live.inForce?.bundle.version ?? 0;
       if (state.nextOffset <= this.live.nextOffset) return false;
       if ((state.inForce?.bundle.version ?? 0) < version) return false;
-      const before = this.live.inForce?.digest;
+      const previousDigest = this.live.inForce?.digest;
       this.live = state;
       this.verifiedOffset = state.nextOffset;
       this.unverifiedRecords.clear();
@@ -127,7 +136,7 @@
       this.dependencies.logger.info(LogEvent.SnapshotLoaded, {
         offset: state.nextOffset,
       });
-      if (state.inForce?.digest !== before) this.onBundleInForce();
+      if (state.inForce?.digest !== previousDigest) this.onBundleInForce();
       this.notify();
       return true;
     });
@@ -140,14 +149,14 @@
   ): Promise<void> {
     const {clock} = this.dependencies;
     let sliceStart = clock.monotonicMilliseconds();
-    let applied = 0;
+    let appliedCount = 0;
     for (const [index, payload] of payloads.entries()) {
       const offset = from + index;
       if (offset > this.live.nextOffset || this.isFormatUnsupported) break;
       if (offset === this.live.nextOffset) {
         await preparseBundle(this.live, payload, yieldToEventLoop);
         this.applyOne(payload, source);
-        applied++;
+        appliedCount++;
       } else if (
         source === RecordSource.Log &&
         !this.verifyAgainstLog(offset, payload)
@@ -160,12 +169,13 @@
       await yieldToEventLoop();
       sliceStart = clock.monotonicMilliseconds();
     }
-    if (applied > 0) this.notify();
+    if (appliedCount > 0) this.notify();
   }
 
   /**
-   * A record that a peer passed on is not what the log holds: the state is given up and read
-   * again from the log. Nothing is served meanwhile, for nobody knows what it rested on.
+   * Compares a record from the log with the one a peer sent for the offset. If they differ, the
+   * state is discarded and rebuilt from the log. Nothing is served meanwhile, because the state
+   * may have been built from forged records.
    */
   private verifyAgainstLog(offset: number, payload: Uint8Array): boolean {
     if (this.unverifiedRecords.verify(offset, payload)) return true;
@@ -173,7 +183,7 @@
     metrics.increment(MetricName.StateHashDifferences);
     logger.error(LogEvent.StateHashDiffers, {
       offset,
-      detail: 'a record from a peer is not the one in the log',
+      detail: 'a record received from a peer differs from the one in the log',
     });
     this.live = emptyFleetState(this.trustedOperators);
     this.verifiedOffset = 0;
@@ -186,14 +196,14 @@
   }
 
   private applyOne(payload: Uint8Array, source: RecordSource): void {
-    const before = this.live.inForce?.digest;
+    const previousDigest = this.live.inForce?.digest;
     const outcome = applyPayload(this.live, payload);
     this.recentRecords.add(outcome.offset, payload);
     if (source === RecordSource.Peer)
       this.unverifiedRecords.add(outcome.offset, payload);
     this.hashHistory.add(this.live.nextOffset, stateHash(this.live));
     this.reportOutcome(outcome);
-    if (this.live.inForce?.digest !== before) this.onBundleInForce();
+    if (this.live.inForce?.digest !== previousDigest) this.onBundleInForce();
     this.onOutcome(outcome);
   }
 
@@ -238,7 +248,9 @@
     for (const listener of this.listeners) listener();
   }
 
-  /** One change at a time: records from the log, records from peers and snapshots. */
+  /**
+   * Serialises changes of the state by records from the log, records from peers and snapshots.
+   */
   private runExclusive<Result>(action: () => Promise<Result>): Promise<Result> {
     const result = this.lastChange.then(action);
     this.lastChange = result.then(
--- a/packages/plugin-shared-state/src/state-summary.ts
+++ b/packages/plugin-shared-state/src/state-summary.ts
@@ -2,24 +2,27 @@
 
 const nonNegativeInteger = z.number().int().min(0);
 
-/** What a daemon has folded and has in force, as told to its peers. */
+/** Schema of the summary that a daemon sends to its peers. */
 export const stateSummarySchema = z.object({
   offset: nonNegativeInteger,
   hash: z.string().max(32),
-  /** Highest record format that it reads: states of two versions are not compared. */
+  /**
+   * Highest record format that the daemon reads; states of daemons that differ in it are not
+   * compared.
+   */
   readsFormat: nonNegativeInteger,
   /** 0 before the first bundle. */
   version: nonNegativeInteger,
   digest: z.string().max(64),
   isLogReachable: z.boolean(),
-  /** False while it is still catching up. */
+  /** False while the daemon is still catching up. */
   isServing: z.boolean(),
 });
 
-/** What a daemon has folded and has in force, as told to its peers. */
+/** What a daemon has folded and which bundle it has in force, as sent to its peers. */
 export type StateSummary = z.output<typeof stateSummarySchema>;
 
-/** Asks a peer for records, or for its state when they are no longer kept. */
+/** Requests records from a peer, or its complete state if it no longer keeps them. */
 export const recordsRequestSchema = z.object({
   from: nonNegativeInteger,
   snapshot: z.boolean(),
@@ -27,12 +30,12 @@
 
 const bytesSchema: z.ZodType<Uint8Array> = z.instanceof(Uint8Array);
 
-/** What a peer answers: records, or a snapshot, or neither when it has none. */
+/** Schema of the response with records or a snapshot. */
 export const recordsAnswerSchema = z.object({
   from: nonNegativeInteger,
   payloads: z.array(bytesSchema).optional(),
   snapshot: bytesSchema.optional(),
 });
 
-/** What a peer answers: records, or a snapshot, or neither when it has none. */
+/** The response of a peer: records, a snapshot, or neither when it does not keep the records. */
 export type RecordsAnswer = z.output<typeof recordsAnswerSchema>;
--- a/packages/plugin-shared-state/src/unverified-records.ts
+++ b/packages/plugin-shared-state/src/unverified-records.ts
@@ -3,9 +3,9 @@
 const MAXIMUM_DIGESTS = 200_000;
 
 /**
- * Digests of records that came from peers and not from the log. When the log can be read
- * again, the same offsets are read there and must hold the same bytes: a record that a peer
- * made up is found, and the state it made is given up.
+ * Digests of records that were received from peers instead of the log. When the log can be
+ * read again, it must hold the same bytes at the same offsets. This detects a record that a
+ * peer has forged; the state built from it is discarded.
  */
 export class UnverifiedRecords {
   private readonly digests = new Map<number, string>();
@@ -21,7 +21,10 @@
     this.digests.delete(oldest);
   }
 
-  /** False when the log holds another record at this offset; the offset is settled. */
+  /**
+   * Returns false when the log holds a different record at this offset; the offset is then no
+   * longer kept.
+   */
   verify(offset: number, payload: Uint8Array): boolean {
     const digest = this.digests.get(offset);
     this.digests.delete(offset);
