--- a/packages/plugin-once-only/src/claim-writer.ts
+++ b/packages/plugin-once-only/src/claim-writer.ts
@@ -276,10 +276,10 @@
   items: ReadonlyMap<number, Item>,
   limit: number,
 ): Item[] {
-  const taken: Item[] = [];
+  const result: Item[] = [];
   for (const item of items.values()) {
-    if (taken.length >= limit) break;
-    taken.push(item);
+    if (result.length >= limit) break;
+    result.push(item);
   }
-  return taken;
+  return result;
 }
--- a/packages/plugin-once-only/src/index.ts
+++ b/packages/plugin-once-only/src/index.ts
@@ -10,7 +10,7 @@
 export {LocalIdempotencyGuard} from './local-idempotency-guard.js';
 export {onceOnlyOptions, type OnceOnlyOptions} from './once-only-options.js';
 
-/** Registers the plug-in that runs a request with an idempotency key at most once. */
+/** Registers the plug-in that detects repeated keyed requests. */
 export function registerOnceOnly(registry: PluginRegistry): void {
   registry.add({
     name: 'once-only',
--- a/packages/plugin-once-only/src/issued-keys.ts
+++ b/packages/plugin-once-only/src/issued-keys.ts
@@ -12,8 +12,8 @@
 /**
  * Issues and verifies keys whose age can be determined without a clock: each carries the
  * offset of the claims stream at which it was issued, authenticated with a secret that all
- * daemons share. A key issued below the oldest retained claim may already have been run and
- * evicted, so it is refused.
+ * daemons share. For a key issued below the oldest retained claim, a request may already have
+ * run and its claim been evicted, so the key is refused.
  */
 export class IssuedKeys {
   private readonly secrets: readonly string[];
--- a/packages/plugin-once-only/src/log-backed-idempotency-guard.ts
+++ b/packages/plugin-once-only/src/log-backed-idempotency-guard.ts
@@ -96,9 +96,9 @@
 
   private readonly dependencies: LogBackedIdempotencyGuardDependencies;
 
-  constructor(given: LogBackedIdempotencyGuardDependencies) {
+  constructor(containerProxy: LogBackedIdempotencyGuardDependencies) {
     const dependencies = resolveDependencies(
-      given,
+      containerProxy,
       'clock',
       'random',
       'logger',
@@ -155,7 +155,7 @@
   }
 
   /**
-   * Whether this daemon should receive traffic. A daemon that has just started refuses every
+   * Whether keyed requests may be sent to this daemon. One that has just started refuses every
    * key until it has read the claims. During an outage of the log it counts as ready, because
    * it can still handle all requests without a key.
    */
--- a/packages/plugin-shared-state/src/recent-records.ts
+++ b/packages/plugin-shared-state/src/recent-records.ts
@@ -24,8 +24,8 @@
   }
 
   /**
-   * Returns at least one record from `offset` on, up to `maximumBytes`; undefined when they
-   * are no longer kept.
+   * Returns records from `offset` on, up to `maximumBytes` but at least one if there is any;
+   * undefined when they are no longer kept.
    */
   readFrom(offset: number, maximumBytes: number): Uint8Array[] | undefined {
     const start = offset - this.firstOffset;
