--- a/packages/kernel/src/__tests__/rate-limited-logger.test.ts
+++ b/packages/kernel/src/__tests__/rate-limited-logger.test.ts
@@ -17,21 +17,22 @@
   }
 }
 
-describe('BoundedLogger', () => {
-  // Under a burst the log of starts alone would take the processor that the starts need.
-  it('leaves out lines over the bound and tells how many', () => {
-    const list = new RecordingLogger();
+describe('RateLimitedLogger', () => {
+  // Guards against a burst of starts whose log lines alone take the processor time that the
+  // starts need.
+  it('drops lines above the limit and logs how many were dropped', () => {
+    const recorder = new RecordingLogger();
     const clock = new VirtualClock();
-    const logger = new RateLimitedLogger(list, clock, 10);
+    const logger = new RateLimitedLogger(recorder, clock, 10);
     for (let line = 0; line < 25; line++) logger.info(LogEvent.RunOrdered);
     logger.info(LogEvent.RunEnded);
-    assert.equal(list.lines.length, 11);
+    assert.equal(recorder.lines.length, 11);
     clock.advance(1_000);
     logger.info(LogEvent.RunOrdered);
-    assert.deepEqual(list.lines[11], {
+    assert.deepEqual(recorder.lines[11], {
       event: LogEvent.LinesLeftOut,
       fields: {of: 'RunOrdered', count: 15},
     });
-    assert.equal(list.lines.length, 13);
+    assert.equal(recorder.lines.length, 13);
   });
 });
--- a/packages/kernel/src/__tests__/settings-fuzz.test.ts
+++ b/packages/kernel/src/__tests__/settings-fuzz.test.ts
@@ -9,15 +9,17 @@
   numRuns: Number(process.env.GENTIANDOOR_FUZZ_RUNS ?? 500),
 };
 
-const piece = fc.oneof(
+const fragment = fc.oneof(
   fc.constantFrom('[admin]', '[', ']', '=', '.', '[]', '__proto__', '"', '\\'),
   fc.constantFrom('\n', '\r\n', '\r', '\u2028', ';', '#', 'listen', 'toString'),
   fc.string({maxLength: 5}),
 );
-const settingsText = fc.array(piece, {maxLength: 40}).map(all => all.join(''));
+const settingsText = fc
+  .array(fragment, {maxLength: 40})
+  .map(all => all.join(''));
 
-describe('settings', () => {
-  it('of any text are read or end in a SettingsError', () => {
+describe('parseSettings', () => {
+  it('parses any text or throws a SettingsError', () => {
     fc.assert(
       fc.property(settingsText, text => {
         try {
@@ -30,8 +32,8 @@
     );
   });
 
-  // Each of these is dropped or merged by the INI library without a word: the operator sees a
-  // setting in the file that has no effect.
+  // The INI library silently drops or merges each of these, so the file would show a setting
+  // that has no effect.
   for (const [text, found] of [
     ['[__proto__]\na = 1', /any.ini:1: expected a plain name/],
     ['[a.__proto__.b]\nc = 1', /any.ini:1: expected a plain name/],
@@ -43,7 +45,7 @@
     ['[a]\nb = 1\rb = 2', /expected lines to end with a newline/],
     ['[a]\nb = 1\u2028', /expected lines to end with a newline/],
   ] as const) {
-    it(`refuse ${JSON.stringify(text)}`, () => {
+    it(`rejects ${JSON.stringify(text)}`, () => {
       assert.throws(
         () => parseSettings(text, 'any.ini'),
         (error: Error) =>
@@ -52,7 +54,7 @@
     });
   }
 
-  it('keep a section with the name of an inherited member', () => {
+  it('keeps a section named like an inherited member', () => {
     const file = parseSettings('[constructor]\ntoString = 1\n', 'any.ini');
     assert.deepEqual(file.sectionNames(), ['constructor']);
   });
--- a/packages/kernel/src/admin-routes.ts
+++ b/packages/kernel/src/admin-routes.ts
@@ -1,33 +1,33 @@
-/** An operator's call on the admin port, already authenticated. */
+/** An operator's request to the admin port, already authenticated. */
 export interface AdminRequest {
   readonly path: string;
-  /** Query parameters; the first value of each. */
+  /** Query parameters; of a repeated parameter, the first value. */
   readonly query: Readonly<Record<string, string>>;
   /** Parsed JSON body of a POST; undefined otherwise. */
   readonly body: unknown;
 }
 
-/** What the admin port sends back. */
+/** Response of the admin port. */
 export interface AdminResponse {
   readonly status: number;
-  /** Sent as JSON. */
+  /** Serialised as JSON. */
   readonly body: unknown;
 }
 
-/** Answers one path of the admin port. */
+/** Handles the requests to one path of the admin port. */
 export type AdminHandler = (request: AdminRequest) => Promise<AdminResponse>;
 
-/** Methods of the admin port: GET reads, POST changes. */
+/** HTTP methods of the admin port: GET reads state, POST changes it. */
 export enum AdminMethod {
   Get = 'GET',
   Post = 'POST',
 }
 
-/** The paths of the admin port; plug-ins add theirs. */
+/** Registry of the admin port's paths; each plug-in adds its own. */
 export class AdminRoutes {
   private readonly handlers = new Map<string, AdminHandler>();
 
-  /** Adds a path such as `/vms`; the same twice is a programming error. */
+  /** Adds a path such as `/vms`; throws if it was already added, which is a programming error. */
   add(method: AdminMethod, path: string, handler: AdminHandler): void {
     const key = `${method} ${path}`;
     if (this.handlers.has(key))
@@ -39,7 +39,7 @@
     return this.handlers.get(`${method} ${path}`);
   }
 
-  /** All paths with their methods, sorted. */
+  /** Returns all paths with their methods, sorted. */
   list(): string[] {
     return [...this.handlers.keys()].sort();
   }
--- a/packages/kernel/src/clock.ts
+++ b/packages/kernel/src/clock.ts
@@ -5,10 +5,10 @@
 
 /**
  * Source of time and timers, in milliseconds.
- * Deadlines use `monotonicMilliseconds`: the wall clock steps.
+ * Deadlines use `monotonicMilliseconds`, because the wall clock can be stepped.
  */
 export interface Clock {
-  /** Milliseconds since an arbitrary start; never goes back. */
+  /** Milliseconds since an arbitrary start; never decreases. */
   monotonicMilliseconds(): number;
   /** Milliseconds since the Unix epoch; for display and records only. */
   wallMilliseconds(): number;
@@ -37,7 +37,7 @@
   });
 }
 
-/** The clock of the machine. */
+/** The system clock. */
 export class SystemClock implements Clock {
   monotonicMilliseconds(): number {
     return performance.now();
@@ -59,7 +59,7 @@
   readonly action: () => void;
 }
 
-/** A clock for tests and models: time moves only by `advance`. */
+/** A clock for tests and simulations: time advances only through `advance` and `advanceAsync`. */
 export class VirtualClock implements Clock {
   private now = 0;
   private nextSequence = 0;
@@ -85,7 +85,7 @@
     return {cancel: () => this.pending.delete(timer)};
   }
 
-  /** Moves time forward and runs each timer that falls due, in order. */
+  /** Advances time and runs each timer that becomes due, in order. */
   advance(milliseconds: number): void {
     const end = this.now + milliseconds;
     for (let next = this.nextDue(end); next; next = this.nextDue(end)) {
@@ -96,7 +96,7 @@
     this.now = end;
   }
 
-  /** As `advance`, and lets promises settle after each timer. */
+  /** Like `advance`, but lets pending promises settle after each timer. */
   async advanceAsync(milliseconds: number): Promise<void> {
     const end = this.now + milliseconds;
     await yieldToEventLoop();
--- a/packages/kernel/src/decision-journal.ts
+++ b/packages/kernel/src/decision-journal.ts
@@ -1,6 +1,6 @@
 import type {Clock} from './clock.js';
 
-/** What a decision is about. */
+/** Kinds of subjects that decisions are recorded for. */
 export enum SubjectKind {
   Vm = 'vm',
   Pool = 'pool',
@@ -12,28 +12,28 @@
   Daemon = 'daemon',
 }
 
-/** An alternative that a decision turned down. */
+/** An alternative that was considered and rejected. */
 export interface RejectedAlternative {
   readonly choice: string;
   readonly because: string;
 }
 
-/** A decision of the system, with what led to it. */
+/** A decision of the system, with its cause and evidence. */
 export interface Decision {
   readonly subject: SubjectKind;
   readonly id: string;
-  /** What was decided, in one sentence. */
+  /** The decision, in one sentence. */
   readonly decision: string;
-  /** Name of the rule that decided. */
+  /** Name of the rule that made the decision. */
   readonly rule: string;
   /** What made the decision necessary. */
   readonly cause: string;
-  /** Facts that the rule looked at. */
+  /** Facts that the rule evaluated. */
   readonly evidence: Readonly<Record<string, string | number | boolean>>;
   readonly turnedDown?: readonly RejectedAlternative[];
 }
 
-/** A decision as kept. */
+/** A decision with the time at which it was recorded. */
 export interface JournalEntry extends Decision {
   /** Milliseconds since the Unix epoch. */
   readonly at: number;
@@ -42,7 +42,7 @@
 const DEFAULT_CAPACITY = 5000;
 const DEFAULT_ENTRIES_PER_SUBJECT = 50;
 
-/** Keeps recent decisions for `explain`; bounded in memory, the oldest go first. */
+/** Keeps recent decisions for `explain`, within a memory bound; evicts the oldest first. */
 export class DecisionJournal {
   private readonly entriesBySubject = new Map<string, JournalEntry[]>();
   private size = 0;
@@ -56,7 +56,8 @@
   record(decision: Decision): void {
     const key = subjectKey(decision.subject, decision.id);
     const entries = this.entriesBySubject.get(key) ?? [];
-    // Set again, so that the map's order is by last decision and the stalest subject goes first.
+    // Reinserting the entry keeps the map ordered by latest decision, so that the least recently
+    // updated subject is evicted first.
     this.entriesBySubject.delete(key);
     this.entriesBySubject.set(key, entries);
     entries.push({...decision, at: this.clock.wallMilliseconds()});
@@ -68,7 +69,7 @@
     this.evict();
   }
 
-  /** Decisions about one subject, oldest first. */
+  /** Returns the decisions about one subject, oldest first. */
   entriesAbout(subject: SubjectKind, id: string): readonly JournalEntry[] {
     return this.entriesBySubject.get(subjectKey(subject, id)) ?? [];
   }
--- a/packages/kernel/src/error-kinds.ts
+++ b/packages/kernel/src/error-kinds.ts
@@ -1,14 +1,14 @@
-/** Whether the request was run by a target. */
+/** Whether a target ran the request. */
 export enum RequestExecution {
-  /** No byte of the request went to a target, or the target said so itself. */
+  /** No byte of the request was sent to a target, or the target reported that it was not run. */
   NotRun = 'no',
-  /** Bytes were sent and no whole answer came back. */
+  /** Bytes were sent and no complete response was received. */
   Unknown = 'unknown',
   /** A target ran it. */
   Run = 'yes',
 }
 
-/** The closed list of error kinds. */
+/** All error kinds; callers see no others. */
 export enum ErrorKind {
   BadRequest = 'bad_request',
   HeadTooLarge = 'head_too_large',
@@ -43,15 +43,15 @@
   Internal = 'internal',
 }
 
-/** What a caller is told for an error kind. */
+/** Response to a caller for an error kind. */
 export interface ErrorResponse {
   /** HTTP status code. */
   readonly status: number;
   /** Whether the request was run. */
   readonly run: RequestExecution;
-  /** Seconds for `Retry-After`; undefined where a retry does not help. */
+  /** Seconds for `Retry-After`; undefined if a retry does not help. */
   readonly retryAfterSeconds?: number;
-  /** One sentence for the caller: what happened and what to do. */
+  /** One sentence for the caller: what happened and how to proceed. */
   readonly advice: string;
 }
 
@@ -66,7 +66,7 @@
   return {status, run, advice, retryAfterSeconds};
 }
 
-/** The table from error kind to answer. docs/errors.md is held against it by a test. */
+/** Maps each error kind to its response; a test checks that docs/errors.md matches it. */
 export const ERROR_RESPONSES: Readonly<Record<ErrorKind, ErrorResponse>> = {
   [ErrorKind.BadRequest]: tableEntry(
     400,
--- a/packages/kernel/src/errors.ts
+++ b/packages/kernel/src/errors.ts
@@ -1,22 +1,22 @@
 import ModernError from 'modern-errors';
 import {ErrorKind, RequestExecution, ERROR_RESPONSES} from './error-kinds.js';
 
-/** Base of all errors of this project. */
+/** Base class of this project's errors. */
 export const BaseError = ModernError.subclass('BaseError');
 
-/** Wrong settings; the program exits with 2. */
+/** Invalid settings; the program exits with code 2. */
 export const SettingsError = BaseError.subclass('SettingsError');
 
-/** A bundle that cannot be accepted. */
+/** A bundle that is invalid and cannot be accepted. */
 export const BundleError = BaseError.subclass('BundleError');
 
-/** Which part of the platform's log failed, and what is known of the effect. */
+/** How a call to the platform's log failed, and whether it may have taken effect. */
 export enum PlatformLogFailure {
-  /** The log did not take the call; nothing was appended. */
+  /** The log rejected the call; nothing was appended. */
   Refused = 'refused',
-  /** No answer came; an append may or may not have taken effect. */
+  /** No response arrived; an append may or may not have taken effect. */
   NoResponse = 'no_answer',
-  /** The offset asked for is no longer kept. */
+  /** The requested offset is no longer retained. */
   Gap = 'gap',
 }
 
@@ -32,9 +32,9 @@
   }
 }
 
-/** A request that ends without a target's whole answer. */
+/** A request that ends without a complete response from a target. */
 export class RequestError extends Error {
-  /** Whether the request was run; the table's entry unless known better. */
+  /** Whether the request was run; defaults to the entry in `ERROR_RESPONSES`. */
   readonly run: RequestExecution;
 
   constructor(
@@ -57,7 +57,7 @@
   readonly retryAfterSeconds: number | undefined;
 }
 
-/** Makes an `Error` of whatever was thrown. */
+/** Converts a thrown value to an `Error`. */
 export function toError(thrown: unknown): Error {
   return thrown instanceof Error ? thrown : new Error(String(thrown));
 }
--- a/packages/kernel/src/group-by.ts
+++ b/packages/kernel/src/group-by.ts
@@ -1,4 +1,4 @@
-/** Items by what `keyOf` says of each, both keys and items in the order in which they come. */
+/** Groups items by the key that `keyOf` returns; keys and items keep the order of the input. */
 export function groupBy<Key, Item>(
   items: Iterable<Item>,
   keyOf: (item: Item) => Key,
--- a/packages/kernel/src/identity.ts
+++ b/packages/kernel/src/identity.ts
@@ -1,9 +1,9 @@
-/** Who this daemon is. */
+/** Identifies this daemon and its current process. */
 export interface DaemonIdentity {
-  /** Name from the settings, stable over restarts. */
+  /** Name from the settings; stays the same across restarts. */
   readonly name: string;
   /** Data centre from the settings. */
   readonly dataCentre: string;
-  /** New at every start: a restarted daemon is a new one. */
+  /** Generated at each start, so that a restarted daemon counts as a new incarnation. */
   readonly incarnation: string;
 }
--- a/packages/kernel/src/life-cycle.ts
+++ b/packages/kernel/src/life-cycle.ts
@@ -2,13 +2,13 @@
 import type {Logger} from './logger.js';
 import type {Plugin} from './plugin.js';
 
-/** A plug-in with its name, as the life cycle drives it. */
+/** A plug-in instance with its name. */
 export interface NamedPlugin {
   readonly name: string;
   readonly plugin: Plugin;
 }
 
-/** Starts plug-ins in order; drains and stops them in the opposite order. */
+/** Starts plug-ins in order; drains and stops them in reverse order. */
 export class LifeCycle {
   private readonly started: NamedPlugin[] = [];
 
@@ -17,7 +17,7 @@
     private readonly logger: Logger,
   ) {}
 
-  /** Starts all; when one fails, stops those that had started and rethrows. */
+  /** Starts all plug-ins; if one fails, stops those already started and rethrows the error. */
   async start(): Promise<void> {
     for (const entry of this.plugins) {
       try {
@@ -35,24 +35,24 @@
     }
   }
 
-  /** Addresses on which started plug-ins listen, by the plug-in's name. */
+  /** Returns the addresses on which started plug-ins listen, by plug-in name. */
   boundAddresses(): Record<string, string> {
-    const found: Record<string, string> = {};
+    const addresses: Record<string, string> = {};
     for (const {name, plugin} of this.started) {
       const {boundAddress} = plugin;
-      if (boundAddress !== undefined) found[name] = boundAddress;
+      if (boundAddress !== undefined) addresses[name] = boundAddress;
     }
-    return found;
+    return addresses;
   }
 
-  /** Lets every plug-in finish what runs, the caller's side first. */
+  /** Lets every plug-in finish its work in flight, starting with those that serve callers. */
   async drain(): Promise<void> {
     for (const entry of [...this.started].reverse()) {
       await entry.plugin.drain?.();
     }
   }
 
-  /** Ends all plug-ins. */
+  /** Stops all started plug-ins, in reverse order. */
   async stop(): Promise<void> {
     for (const entry of this.started.splice(0).reverse()) {
       await entry.plugin.stop();
--- a/packages/kernel/src/log-event-catalogue.ts
+++ b/packages/kernel/src/log-event-catalogue.ts
@@ -1,6 +1,6 @@
 import {LogEvent} from './log-events.js';
 
-/** What a log event means and what an operator does about it. */
+/** Meaning of a log event and the action for an operator. */
 export interface LogEventEntry {
   readonly meaning: string;
   readonly action: string;
@@ -12,7 +12,7 @@
   return {meaning, action};
 }
 
-/** The catalogue behind docs/log-events.md. */
+/** Catalogue of log events, from which docs/log-events.md is written. */
 export const LOG_EVENT_CATALOGUE: Readonly<Record<LogEvent, LogEventEntry>> = {
   [LogEvent.DaemonStarted]: entry(
     'The daemon has started all plug-ins; `addresses` names the ones in use by plug-in.',
--- a/packages/kernel/src/log-events.ts
+++ b/packages/kernel/src/log-events.ts
@@ -1,4 +1,4 @@
-/** Numbered log events; docs/log-events.md is the catalogue, held against this by a test. */
+/** Numbered log events; a test checks that docs/log-events.md matches this list. */
 export enum LogEvent {
   DaemonStarted = 1001,
   DaemonDraining = 1002,
--- a/packages/kernel/src/logger.ts
+++ b/packages/kernel/src/logger.ts
@@ -10,7 +10,7 @@
   Silent = 'silent',
 }
 
-/** Fields of a log line besides its event. */
+/** Fields of a log line other than its event. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
 /** Writes numbered events. */
@@ -21,7 +21,7 @@
   error(event: LogEvent, fields?: LogFields): void;
 }
 
-/** Writes numbered events as JSON lines by pino. */
+/** Writes numbered events as JSON lines with pino. */
 export class PinoLogger implements Logger {
   private readonly pino;
 
@@ -50,7 +50,7 @@
   }
 }
 
-/** Drops everything; for tests. */
+/** Discards all events; for tests. */
 export class SilentLogger implements Logger {
   debug(): void {}
   info(): void {}
--- a/packages/kernel/src/metric-catalogue.ts
+++ b/packages/kernel/src/metric-catalogue.ts
@@ -7,7 +7,7 @@
   Timing = 'timing',
 }
 
-/** What a metric counts and what an operator reads from it. */
+/** Type, tags and meaning of a metric. */
 export interface MetricEntry {
   readonly type: MetricType;
   /** Names of its tags. */
@@ -27,7 +27,7 @@
   return {type: MetricType.Timing, tags, meaning};
 }
 
-/** The catalogue behind docs/metrics.md. */
+/** Catalogue of metrics, from which docs/metrics.md is written. */
 export const METRIC_CATALOGUE: Readonly<Record<MetricName, MetricEntry>> = {
   [MetricName.Requests]: counter('requests answered whole', 'service'),
   [MetricName.Refusals]: counter(
--- a/packages/kernel/src/metrics.ts
+++ b/packages/kernel/src/metrics.ts
@@ -1,22 +1,22 @@
-/** Names of all metrics; docs/metrics.md is held against this by a test. */
+/** Names of all metrics; a test checks that docs/metrics.md matches this list. */
 export enum MetricName {
   /** Requests by service and result. */
   Requests = 'requests',
-  /** Refusals by error kind. */
+  /** Requests that ended with an error, by error kind. */
   Refusals = 'refusals',
-  /** Connections closed at once because the port had too many, by port. */
+  /** Connections closed on arrival because the port was at its connection limit, by port. */
   ConnectionsRefused = 'connections_refused',
   /** Retries by reason. */
   Retries = 'retries',
-  /** Failed attempts that were not sent again, by the verdict. */
+  /** Failed attempts that were not retried, by reason. */
   RetriesDenied = 'retries_denied',
   /** Exchanges sent to another data centre, by reason. */
   Spills = 'spills',
-  /** VMs ejected or brought back, by new standing. */
+  /** VMs ejected or reinstated, by new standing. */
   StandingChanges = 'standing_changes',
-  /** Milliseconds from a request's head to the end of its answer. */
+  /** Milliseconds from a request's head to the end of its response. */
   RequestDuration = 'request_duration',
-  /** Requests that wait, by service. */
+  /** Requests waiting for a slot, by service. */
   QueueLength = 'queue_length',
   /** Exchanges in flight, by service. */
   InFlight = 'in_flight',
@@ -32,52 +32,52 @@
   PeerMessages = 'peer_messages',
   PeerDisconnects = 'peer_disconnects',
   PeerMessagesDropped = 'peer_messages_dropped',
-  /** Keyed requests by what was decided: run, replayed or an error kind. */
+  /** Requests with an idempotency key, by decision: run, replayed or an error kind. */
   KeyedRequests = 'keyed_requests',
-  /** Claims of keys that are remembered. */
+  /** Claims of idempotency keys that are retained. */
   ClaimsKept = 'claims_kept',
-  /** Bytes of answers held for replay. */
+  /** Bytes of responses held for replay. */
   HeldAnswerBytes = 'held_answer_bytes',
   EventLoopDelay = 'event_loop_delay',
-  /** Answers to submissions, by answer. */
+  /** Responses to job submissions, by result. */
   JobSubmissions = 'job_submissions',
-  /** Answers to submissions, by organisation and answer. */
+  /** Responses to job submissions, by organisation and result. */
   OrganisationJobs = 'organisation_jobs',
-  /** Calls that were not let in, by reason. */
+  /** Calls that were rejected, by reason. */
   CallsRefused = 'calls_refused',
-  /** Millicores of work under way, by organisation. */
+  /** Millicores of running work, by organisation. */
   OrganisationMillicores = 'organisation_millicores',
-  /** Milliseconds from a submission to its answer. */
+  /** Milliseconds from a job submission to its response. */
   JobIntakeDuration = 'job_intake_duration',
-  /** Jobs that came to their end, by state. */
+  /** Jobs that ended, by final state. */
   JobEnds = 'job_ends',
-  /** Runs that are over, by how they ended. */
+  /** Runs that ended, by how they ended. */
   RunEnds = 'run_ends',
-  /** Starts that workers refused, by reason. */
+  /** Run starts that workers refused, by reason. */
   RunRefusals = 'run_refusals',
-  /** Runs that stood still. */
+  /** Runs that stalled: they made no progress and were stopped. */
   RunsStalled = 'runs_stalled',
   TasksGivenUp = 'tasks_given_up',
-  /** Milliseconds from a task's turn to the order to start it. */
+  /** Milliseconds from the choice of a worker to the order that starts the run. */
   RunWaitDuration = 'run_wait_duration',
-  /** Orders about VMs, by order and outcome. */
+  /** Orders to move or maintain VMs, by order and outcome. */
   VmOrders = 'vm_orders',
-  /** Terms that this daemon took. */
+  /** Coordinator terms that this daemon acquired. */
   TermsTaken = 'terms_taken',
 }
 
 /** Labels of one metric. */
 export type MetricTags = Readonly<Record<string, string>>;
 
-/** Counters, gauges and timings. */
+/** Records counters, gauges and timings. */
 export interface Metrics {
   increment(name: MetricName, tags?: MetricTags, by?: number): void;
   gauge(name: MetricName, value: number, tags?: MetricTags): void;
-  /** `milliseconds` of one observation. */
+  /** Records one observation of a duration. */
   timing(name: MetricName, milliseconds: number, tags?: MetricTags): void;
 }
 
-/** Keeps counters and gauges in memory: for tests and the admin port. */
+/** Keeps counters and gauges in memory, for tests and the admin port. */
 export class MemoryMetrics implements Metrics {
   private readonly values = new Map<string, number>();
 
@@ -94,12 +94,12 @@
     this.increment(name, tags);
   }
 
-  /** The value of one counter or gauge; 0 where it was never set. */
+  /** Returns the value of a counter or gauge; 0 if it was never set. */
   value(name: MetricName, tags: MetricTags = {}): number {
     return this.values.get(metricKey(name, tags)) ?? 0;
   }
 
-  /** All values by `name{tag=value}`. */
+  /** Returns all values, keyed by `name{tag=value}`. */
   snapshot(): Record<string, number> {
     return Object.fromEntries(
       [...this.values].sort(([a], [b]) => (a < b ? -1 : 1)),
--- a/packages/kernel/src/plugin.ts
+++ b/packages/kernel/src/plugin.ts
@@ -1,35 +1,35 @@
 import type {AwilixContainer} from 'awilix';
 import type {z} from 'zod';
 
-/** A running part of the daemon. */
+/** A component of the daemon with a life cycle. */
 export interface Plugin {
-  /** Address in use after the start, IP number and port; undefined where it listens on none. */
+  /** Address in use after the start, as IP address and port; undefined if it listens on none. */
   readonly boundAddress?: string;
-  /** Opens ports, starts tasks; resolves when the plug-in can do its work. */
+  /** Opens ports and starts background tasks; resolves when the plug-in is operational. */
   start(): Promise<void>;
-  /** Takes nothing new and lets what runs finish; resolves when nothing is left. */
+  /** Accepts no new work and lets work in flight finish; resolves when none is left. */
   drain?(): Promise<void>;
-  /** Ends at once whatever is left. */
+  /** Ends all remaining work immediately. */
   stop(): Promise<void>;
 }
 
-/** What a plug-in package registers. */
+/** Definition that a plug-in package exports. */
 export interface PluginDefinition {
   /** Name of the plug-in; also its section in the settings file. */
   readonly name: string;
-  /** Keys and bounds of its settings section. */
+  /** Schema of its settings section: keys and bounds. */
   readonly options: z.ZodType;
-  /** Adds its services to the container. `options` is the checked section. */
+  /** Registers its services in the container. `options` is the validated settings section. */
   register(container: AwilixContainer, options: unknown): void;
-  /** Names of the registered service that implements `Plugin`. */
+  /** Name of the registered service that implements `Plugin`. */
   readonly registrationName: string;
 }
 
-/** The plug-ins of a daemon, in the order in which they start. */
+/** The plug-ins of a daemon, in start order. */
 export class PluginRegistry {
   private readonly definitions = new Map<string, PluginDefinition>();
 
-  /** Adds a plug-in; the same name twice is a programming error. */
+  /** Adds a plug-in; throws if its name was already added, which is a programming error. */
   add(definition: PluginDefinition): void {
     if (this.definitions.has(definition.name)) {
       throw new Error(`plug-in ${definition.name} registered twice`);
@@ -37,7 +37,7 @@
     this.definitions.set(definition.name, definition);
   }
 
-  /** All definitions in order of registration. */
+  /** Returns all definitions in order of registration. */
   all(): PluginDefinition[] {
     return [...this.definitions.values()];
   }
--- a/packages/kernel/src/random.ts
+++ b/packages/kernel/src/random.ts
@@ -3,15 +3,15 @@
 
 const UINT32_RANGE = 0x1_0000_0000;
 
-/** Source of random numbers that is passed in, so that tests can fix its seed. */
+/** Source of random numbers, injected so that tests can fix its seed. */
 export interface RandomSource {
-  /** A number in [0, 1). */
+  /** Returns a number in [0, 1). */
   nextFraction(): number;
-  /** An integer in [0, bound). */
+  /** Returns an integer in [0, bound). */
   nextInteger(bound: number): number;
 }
 
-/** Reproducible random numbers from a seed. */
+/** Generates reproducible random numbers from a seed. */
 export class SeededRandom implements RandomSource {
   private readonly generator: RandomGenerator;
 
@@ -28,18 +28,18 @@
   }
 }
 
-/** A delay with full jitter in [base / 2, base), so that callers do not act in step. */
+/** Returns a delay with jitter in [base / 2, base), so that callers do not act in lockstep. */
 export function jitter(random: RandomSource, baseMilliseconds: number): number {
   return baseMilliseconds / 2 + (random.nextFraction() * baseMilliseconds) / 2;
 }
 
-/** Exponential backoff with jitter: `attempt` counts from 0. */
+/** Returns an exponential backoff delay with jitter; `attempt` counts from 0. */
 export function backoff(
   random: RandomSource,
   attempt: number,
   baseMilliseconds: number,
   maximumMilliseconds: number,
 ): number {
-  const grown = baseMilliseconds * 2 ** Math.min(attempt, 20);
-  return jitter(random, Math.min(grown, maximumMilliseconds));
+  const exponentialMilliseconds = baseMilliseconds * 2 ** Math.min(attempt, 20);
+  return jitter(random, Math.min(exponentialMilliseconds, maximumMilliseconds));
 }
--- a/packages/kernel/src/rate-limited-logger.ts
+++ b/packages/kernel/src/rate-limited-logger.ts
@@ -2,7 +2,10 @@
 import {LogEvent} from './log-events.js';
 import type {LogFields, Logger} from './logger.js';
 
-/** Lines of one event a second. A burst of starts stays whole on most days; ten times as many would cost more processor time than the work itself. */
+/**
+ * Maximum log lines per second for each event. On most days this logs a burst of starts
+ * completely; ten times as many lines would cost more processor time than the work itself.
+ */
 const MAXIMUM_LINES_PER_SECOND = 400;
 const WINDOW_MILLISECONDS = 1_000;
 
@@ -12,7 +15,7 @@
   droppedLines: number;
 }
 
-/** Bounds the lines of each event; what is left out is counted and told. */
+/** Limits the log lines per second of each event; counts and logs how many lines were dropped. */
 export class RateLimitedLogger implements Logger {
   private readonly windows = new Map<LogEvent, EventWindow>();
 
--- a/packages/kernel/src/readiness.ts
+++ b/packages/kernel/src/readiness.ts
@@ -1,7 +1,7 @@
-/** Whether a part is ready for the balancer to send requests to this daemon. */
+/** Returns whether a component is ready for the load balancer to send requests to this daemon. */
 export type ReadinessCheck = () => boolean;
 
-/** What must be ready before the balancer sends requests; plug-ins add their checks. */
+/** Checks that must pass before the load balancer sends requests; each plug-in adds its own. */
 export class Readiness {
   private readonly checks = new Map<string, ReadinessCheck>();
 
@@ -9,7 +9,7 @@
     this.checks.set(name, check);
   }
 
-  /** Names of the parts that are not ready. */
+  /** Returns the names of the components that are not ready. */
   unreadyParts(): string[] {
     return [...this.checks]
       .filter(([, check]) => !check())
--- a/packages/kernel/src/settings.ts
+++ b/packages/kernel/src/settings.ts
@@ -2,22 +2,25 @@
 import {z} from 'zod';
 import {SettingsError} from './errors.js';
 
-/** One section of a settings file as read. */
+/** One section of a settings file, before validation. */
 export type SettingsSection = Readonly<Record<string, unknown>>;
 
-/** All sections of a settings file, before the plug-ins check them. */
+/** All sections of a settings file, before the plug-ins validate them. */
 export class SettingsFile {
   constructor(
     readonly path: string,
     private readonly sections: ReadonlyMap<string, SettingsSection>,
   ) {}
 
-  /** Names of the sections in the file. */
+  /** Returns the names of the sections in the file. */
   sectionNames(): string[] {
     return [...this.sections.keys()];
   }
 
-  /** Checks one section; throws `SettingsError` naming file, section, key and what was expected. */
+  /**
+   * Validates one section; throws a `SettingsError` that names the file, the section, the key
+   * and what was expected.
+   */
   section<Schema extends z.ZodType>(
     name: string,
     schema: Schema,
@@ -39,7 +42,7 @@
   }
 }
 
-/** Reads INI text; a doubled section or key is an error, not a silent merge. */
+/** Parses INI text; a duplicate section or key is an error instead of being merged silently. */
 export function parseSettings(text: string, path: string): SettingsFile {
   rejectDuplicates(text, path);
   const sections = new Map<string, SettingsSection>();
@@ -56,16 +59,16 @@
   return new SettingsFile(path, sections);
 }
 
-/** Line ends at which the INI library cuts or drops lines that an editor shows as one. */
+/** Line breaks at which the INI library splits or drops a line that an editor shows as one. */
 const UNSUPPORTED_LINE_BREAK = /\r(?!\n)|\u2028|\u2029/;
-/** Quotes, escapes and comment marks, which the INI library takes out of names. */
+/** Quotes, escapes and comment characters, which the INI library strips from names. */
 const SPECIAL_CHARACTERS_IN_NAME = /["';#\\]/;
 const PROTOTYPE_KEY = '__proto__';
 
 /**
- * Finds what the INI library would merge or leave out without a word: a section or a key that
- * stands twice, lacks a name or has one that the library changes. Throws `SettingsError` with
- * the line number.
+ * Rejects what the INI library would merge or drop silently: a section or key that is
+ * duplicated, has no name or has a name that the library changes. Throws a `SettingsError`
+ * with the line number.
  */
 export function rejectDuplicates(text: string, path: string): void {
   if (UNSUPPORTED_LINE_BREAK.test(text))
@@ -106,19 +109,19 @@
 }
 
 /**
- * The INI library drops `__proto__` and reads `listen;a` as `listen`: the operator would see
- * a setting in the file that has no effect, or one that a later line replaced.
+ * Rejects names that the INI library changes or drops. It drops `__proto__` and reads `listen;a`
+ * as `listen`, so the file would show a setting that has no effect or that a later line replaces.
  */
-function rejectUnsafeName(name: string, place: string): void {
+function rejectUnsafeName(name: string, location: string): void {
   const parts = name.replace(/\[\]$/, '').split('.');
   const isPlain = name !== '' && !SPECIAL_CHARACTERS_IN_NAME.test(name);
   if (isPlain && !parts.some(part => part.trim() === PROTOTYPE_KEY)) return;
   throw new SettingsError(
-    `${place}: expected a plain name, found "${name.slice(0, 100)}"`,
+    `${location}: expected a plain name, found "${name.slice(0, 100)}"`,
   );
 }
 
-/** A whole number within bounds, from INI text. */
+/** Returns the schema of an integer within bounds, read from INI text. */
 export function integerSetting(minimum: number, maximum: number) {
   return z
     .union([z.string(), z.number()], {
@@ -133,7 +136,7 @@
     );
 }
 
-/** A number within bounds, from INI text. */
+/** Returns the schema of a number within bounds, read from INI text. */
 export function numberSetting(minimum: number, maximum: number) {
   return z
     .union([z.string(), z.number()], {
@@ -150,7 +153,7 @@
 
 const ADDRESS_PATTERN = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/;
 
-/** An IP number with a port, such as 127.0.0.1:8080. */
+/** Returns the schema of an IP address with a port, such as 127.0.0.1:8080. */
 export function addressSetting() {
   return z
     .string({
@@ -161,7 +164,7 @@
     });
 }
 
-/** A comma-separated list. */
+/** Returns the schema of a comma-separated list; empty items are removed. */
 export function listSetting() {
   return z.string({error: 'expected a comma-separated list'}).transform(text =>
     text
@@ -171,7 +174,7 @@
   );
 }
 
-/** Host and port of an address setting. */
+/** Splits an address setting into host and port. */
 export function splitAddress(address: string): {host: string; port: number} {
   const colon = address.lastIndexOf(':');
   return {
--- a/packages/kernel/src/target-transport.ts
+++ b/packages/kernel/src/target-transport.ts
@@ -1,51 +1,51 @@
-/** A target as the transport needs it. */
+/** Address of a target, with its connection limit. */
 export interface TargetAddress {
   /** VM id. */
   readonly id: string;
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
-  /** Connections that this daemon may hold to the target; the setting's value when undefined. */
+  /** Maximum connections from this daemon to the target; undefined uses the setting's value. */
   readonly connections?: number;
 }
 
-/** A request's body: whole, or as a stream that can be sent once; null for none. */
+/** A request body: complete, or a stream that can be sent only once; null for none. */
 export type OutgoingBody = Uint8Array | AsyncIterable<Uint8Array> | null;
 
-/** A request on its way to a target. */
+/** A request to be sent to a target. */
 export interface OutgoingRequest {
   readonly method: string;
   readonly path: string;
-  /** Names and values in turn, hop-by-hop headers already taken out. */
+  /** Alternating names and values, with hop-by-hop headers already removed. */
   readonly headers: readonly string[];
   readonly body: OutgoingBody;
   readonly idempotent: boolean;
-  /** Longest time from dispatch to the head of the answer, in milliseconds. */
+  /** Timeout from dispatch to the response head, in milliseconds. */
   readonly responseHeadTimeoutMilliseconds: number;
 }
 
-/** Takes an answer as it comes. */
+/** Receives a response as it arrives. */
 export interface ResponseSink {
   onHead(status: number, headers: readonly string[]): void;
-  /** False asks the transport to pause until `resume`. */
+  /** Returns false to pause the transport until `resume` is called. */
   onData(chunk: Buffer): boolean;
   onEnd(trailers: readonly string[]): void;
 }
 
 /** How an exchange ended. */
 export enum ExchangeEnd {
-  /** The whole answer was handed to the sink. */
+  /** The complete response was passed to the sink. */
   Complete = 'whole',
-  /** Ended before any byte of the request went out. */
+  /** Ended before any byte of the request was sent. */
   NotSent = 'not_sent',
-  /** The connection broke after bytes went out and before a head came. */
+  /** The connection was lost after bytes were sent and before a response head arrived. */
   ConnectionLost = 'broken',
-  /** The target sent what is no HTTP answer, or one whose end cannot be told. */
+  /** The target sent no valid HTTP response, or one whose end cannot be determined. */
   Malformed = 'malformed',
-  /** No head of an answer in time. */
+  /** No response head arrived within the timeout. */
   TimedOut = 'timed_out',
-  /** The answer began and broke off. */
+  /** The response started but was cut off. */
   Truncated = 'truncated',
-  /** The caller's side gave up. */
+  /** The caller's side aborted the exchange. */
   Aborted = 'aborted',
 }
 
@@ -55,17 +55,17 @@
   readonly error?: Error;
 }
 
-/** One exchange under way. */
+/** An exchange in progress. */
 export interface Exchange {
-  /** Resolves once, when the connection is free again or destroyed. */
+  /** Resolves when the connection is free again or destroyed. */
   readonly done: Promise<ExchangeResult>;
-  /** Goes on after `onData` said false. */
+  /** Resumes after `onData` returned false. */
   resume(): void;
-  /** Gives the exchange up and destroys its connection. */
+  /** Aborts the exchange and destroys its connection. */
   abort(): void;
 }
 
-/** Carries requests to targets: one exchange a connection at a time, never resent. */
+/** Sends requests to targets: one exchange at a time per connection, and never a second time. */
 export interface TargetTransport {
   startExchange(
     target: TargetAddress,
