--- a/packages/cli/src/__tests__/commands.test.ts
+++ b/packages/cli/src/__tests__/commands.test.ts
@@ -48,9 +48,9 @@
 
 async function run(
   context: RecordingContext,
-  ...words: string[]
+  ...args: string[]
 ): Promise<ExitCode> {
-  return runProgram(['node', 'gentiandoor', ...words], context);
+  return runProgram(['node', 'gentiandoor', ...args], context);
 }
 
 describe('the command line', () => {
@@ -147,7 +147,7 @@
   });
 
   describe('without an admin key', () => {
-    it('says how to give one and sends nothing', async () => {
+    it('names the environment variable and sends nothing', async () => {
       const context = new RecordingContext({});
       assert.equal(await run(context, 'status'), ExitCode.BadInput);
       assert.match(context.diagnostics[0], /GENTIANDOOR_ADMIN_KEY/);
@@ -155,7 +155,7 @@
   });
 
   describe('with a daemon that cannot be reached', () => {
-    it('names the address and what to check', async () => {
+    it('reports the address of the daemon', async () => {
       const context = new RecordingContext({});
       const code = await run(
         context,
--- a/packages/cli/src/__tests__/deployment.test.ts
+++ b/packages/cli/src/__tests__/deployment.test.ts
@@ -13,7 +13,7 @@
 import {processContext} from '../process-context.js';
 import {runProgram} from '../program.js';
 
-const ROOM = {
+const RESOURCES = {
   processorMillicores: 1_000,
   memoryMegabytes: 100,
   accelerators: 0,
@@ -25,15 +25,15 @@
     services: ['previews'],
     standbyService: 'spare',
     workersPerService: 1,
-    room: ROOM,
+    room: RESOURCES,
     behaviourOf: () => ({
       durationMilliseconds: 1,
       end: RunEnd.Done,
-      resources: ROOM,
+      resources: RESOURCES,
     }),
   });
   let printed: string[] = [];
-  let noted: string[] = [];
+  let diagnostics: string[] = [];
 
   before(async () => {
     await platform.start();
@@ -75,7 +75,7 @@
         },
       }),
     );
-    // Another writer's record: counted, and no reason to show nothing.
+    // An unreadable record of another writer: it is counted, and the rest is still shown.
     platform.store.write(LogStream.Jobs, {
       key: 'p/00000000000000bb',
       value: Buffer.from('{'),
@@ -84,18 +84,18 @@
   after(() => platform.stop());
   beforeEach(() => {
     printed = [];
-    noted = [];
+    diagnostics = [];
   });
 
-  function run(...words: string[]): Promise<ExitCode> {
-    return runProgram(['node', 'gentiandoor', ...words], {
+  function run(...args: string[]): Promise<ExitCode> {
+    return runProgram(['node', 'gentiandoor', ...args], {
       ...processContext(),
       print: line => printed.push(line),
-      printDiagnostic: line => noted.push(line),
+      printDiagnostic: line => diagnostics.push(line),
     });
   }
 
-  it('show queues and pools from the store alone', async () => {
+  it('show queues and pools without a daemon', async () => {
     const code = await run(
       'deployment',
       'show',
@@ -103,17 +103,17 @@
       platform.storeAddress,
       '--json',
     );
-    assert.equal(code, ExitCode.Done, noted.join('\n'));
-    const shown = JSON.parse(printed[0]) as {
+    assert.equal(code, ExitCode.Done, diagnostics.join('\n'));
+    const output = JSON.parse(printed[0]) as {
       summary: {coordinator: string; unreadable: number};
       queues: Array<{queue: string; running: number}>;
       pools: Array<{service: string; ready: number}>;
     };
-    assert.equal(shown.summary.coordinator, 'none');
-    assert.equal(shown.summary.unreadable, 1);
-    assert.equal(shown.queues[0].running, 1);
+    assert.equal(output.summary.coordinator, 'none');
+    assert.equal(output.summary.unreadable, 1);
+    assert.equal(output.queues[0].running, 1);
     assert.deepEqual(
-      shown.pools.map(pool => [pool.service, pool.ready]),
+      output.pools.map(pool => [pool.service, pool.ready]),
       [
         ['previews', 1],
         ['spare', 1],
@@ -121,7 +121,7 @@
     );
   });
 
-  it('show what organisations run, against their limits', async () => {
+  it('show the running cores of organisations and their limits', async () => {
     platform.organisations = [
       {name: 'advisers', keys: ['a', 'b'], weight: 3, limitMillicores: 4_000},
       {name: 'auditors', keys: []},
@@ -133,7 +133,7 @@
       '--store',
       platform.storeAddress,
     );
-    assert.equal(code, ExitCode.Done, noted.join('\n'));
+    assert.equal(code, ExitCode.Done, diagnostics.join('\n'));
     const text = printed.join('\n');
     assert.match(text, /organisation +keys +weight +cores +limit +queued/);
     assert.match(text, /advisers +2 +3 +1 +4 +0/);
@@ -148,14 +148,19 @@
       '--store',
       platform.storeAddress,
     );
-    assert.equal(code, ExitCode.Done, noted.join('\n'));
+    assert.equal(code, ExitCode.Done, diagnostics.join('\n'));
     assert.match(printed.join('\n'), /0\.0\.0 +2 +running +w-7 +1/);
   });
 
-  it('say what is wrong', async () => {
+  it('fail without a store address and with an unreachable store', async () => {
     assert.equal(await run('deployment', 'show'), ExitCode.BadInput);
-    assert.match(noted[0], /--store/);
-    const away = await run('deployment', 'show', '--store', '127.0.0.1:1');
-    assert.equal(away, ExitCode.Unreachable);
+    assert.match(diagnostics[0], /--store/);
+    const unreachable = await run(
+      'deployment',
+      'show',
+      '--store',
+      '127.0.0.1:1',
+    );
+    assert.equal(unreachable, ExitCode.Unreachable);
   });
 });
--- a/packages/cli/src/__tests__/job-timeline.test.ts
+++ b/packages/cli/src/__tests__/job-timeline.test.ts
@@ -7,15 +7,21 @@
 import {runProgram} from '../program.js';
 
 const JOB = '5c0e7a21d94b36f8';
-const BEGAN = 1_800_000_000_000;
+const STARTED_AT = 1_800_000_000_000;
 
 function line(
-  after: number,
+  afterMilliseconds: number,
   node: string,
   event: LogEvent,
   fields: object,
 ): string {
-  const row = {level: 30, time: BEGAN + after, node, event, ...fields};
+  const row = {
+    level: 30,
+    time: STARTED_AT + afterMilliseconds,
+    node,
+    event,
+    ...fields,
+  };
   return JSON.stringify({...row, msg: LogEvent[event]});
 }
 
@@ -23,7 +29,7 @@
   return {task: `${JOB}.0.0.3`, run: number, worker};
 }
 
-/** A job whose worker was lost while the coordinator changed. */
+/** Log of a job whose worker is lost while the coordinator changes. */
 const LOG = [
   line(0, 'one', LogEvent.JobTaken, {
     job: JOB,
@@ -62,32 +68,32 @@
   }),
 ];
 
-describe('a story from the logs', () => {
-  it('tells what happened to the job, oldest first, with what lies behind it', () => {
-    const story = buildJobTimeline([...LOG].reverse().join('\n'), JOB);
-    const told = story?.steps.map(step => step.text) ?? [];
-    assert.match(told[0], /taken for queue quotes, answered after 9 ms/);
-    assert.match(told[2], /worker w-1 does not answer/);
-    assert.match(told[3], /coordinator, term 2/);
-    assert.match(told.at(-1) ?? '', /the job is completed/);
-    assert.equal(told.length, 8);
+describe('buildJobTimeline', () => {
+  it('lists the events of the job and their context, oldest first', () => {
+    const timeline = buildJobTimeline([...LOG].reverse().join('\n'), JOB);
+    const texts = timeline?.steps.map(step => step.text) ?? [];
+    assert.match(texts[0], /taken for queue quotes, answered after 9 ms/);
+    assert.match(texts[2], /worker w-1 does not answer/);
+    assert.match(texts[3], /coordinator, term 2/);
+    assert.match(texts.at(-1) ?? '', /the job is completed/);
+    assert.equal(texts.length, 8);
   });
 
-  it('names the longest times without news and the lines that are missing', () => {
-    const story = buildJobTimeline(LOG.join('\n'), JOB);
-    assert.equal(story?.gaps[0].milliseconds, 2_980);
-    assert.match(story?.gaps[0].text ?? '', /its worker was not heard of/);
-    assert.equal(story?.linesLeftOut, 31);
+  it('reports the longest gaps and the number of dropped lines', () => {
+    const timeline = buildJobTimeline(LOG.join('\n'), JOB);
+    assert.equal(timeline?.gaps[0].milliseconds, 2_980);
+    assert.match(timeline?.gaps[0].text ?? '', /its worker was not heard of/);
+    assert.equal(timeline?.linesLeftOut, 31);
   });
 
-  it('reads lines with a prefix and counts those that are none', () => {
+  it('parses lines with a prefix and counts unreadable lines', () => {
     const text = `  3.1 front-1 ${LOG[0]}\nnot a line\n{"cut":\n`;
     const {lines, unreadable} = parseLogLines(text);
     assert.equal(lines.length, 1);
     assert.equal(unreadable, 1);
   });
 
-  it('has nothing to tell of a job that no line names', () => {
+  it('returns undefined for a job that no line names', () => {
     assert.equal(
       buildJobTimeline(LOG.join('\n'), 'aaaaaaaaaaaaaaaa'),
       undefined,
@@ -95,7 +101,7 @@
   });
 });
 
-describe('the story of a job of an organisation', () => {
+describe('buildJobTimeline for a job of an organisation', () => {
   const OTHER = 'a1b2c3d4e5f60718';
   const limit = (organisation: string) =>
     line(40, 'two', LogEvent.OrganisationAtLimit, {organisation});
@@ -123,30 +129,31 @@
     }),
   ].join('\n');
 
-  it('names the organisation, and its limit as what held the job up', () => {
-    const told = buildJobTimeline(log, JOB)?.steps.map(step => step.text) ?? [];
-    assert.match(told[0], /taken for queue quotes of advisers/);
-    assert.match(told[1], /more work of advisers waits.*its limit/);
-    assert.equal(told.length, 3);
+  it('includes the organisation and reaching its limit', () => {
+    const texts =
+      buildJobTimeline(log, JOB)?.steps.map(step => step.text) ?? [];
+    assert.match(texts[0], /taken for queue quotes of advisers/);
+    assert.match(texts[1], /more work of advisers waits.*its limit/);
+    assert.equal(texts.length, 3);
   });
 
-  it('tells why a call was not let in', () => {
-    const told =
+  it('includes the reason why a call was rejected', () => {
+    const texts =
       buildJobTimeline(log, OTHER)?.steps.map(step => step.text) ?? [];
-    assert.match(told[0], /POST not let in, unsure.*2731 ms old/);
-    assert.match(told[1], /its id is that of another job of auditors/);
+    assert.match(texts[0], /POST not let in, unsure.*2731 ms old/);
+    assert.match(texts[1], /its id is that of another job of auditors/);
   });
 });
 
 describe('explain with --log', () => {
-  async function explained(
-    ...words: string[]
-  ): Promise<{code: number; printed: string; noted: string}> {
+  async function runExplain(
+    ...args: string[]
+  ): Promise<{code: number; printed: string; diagnostics: string}> {
     const printed: string[] = [];
-    const noted: string[] = [];
+    const diagnostics: string[] = [];
     const context: CommandContext = {
       print: row => printed.push(row),
-      printDiagnostic: row => noted.push(row),
+      printDiagnostic: row => diagnostics.push(row),
       readFile: path => {
         if (path === 'day.log') return LOG.join('\n');
         throw new Error('no such file');
@@ -155,26 +162,30 @@
       clock: new VirtualClock(),
     };
     const code = await runProgram(
-      ['node', 'gentiandoor', 'explain', ...words],
+      ['node', 'gentiandoor', 'explain', ...args],
       context,
     );
-    return {code, printed: printed.join('\n'), noted: noted.join('\n')};
+    return {
+      code,
+      printed: printed.join('\n'),
+      diagnostics: diagnostics.join('\n'),
+    };
   }
 
-  it('prints the story without asking a daemon', async () => {
-    const {code, printed} = await explained('job', JOB, '--log', 'day.log');
+  it('prints the timeline without a daemon', async () => {
+    const {code, printed} = await runExplain('job', JOB, '--log', 'day.log');
     assert.equal(code, ExitCode.Done);
     assert.match(printed, /\+3705 ms three: the job is completed/);
     assert.match(printed, /31 lines were left out/);
   });
 
-  it('says clearly what it cannot do', async () => {
-    const other = await explained('vm', 'v-1', '--log', 'day.log');
+  it('rejects other subjects, missing files and unknown jobs', async () => {
+    const other = await runExplain('vm', 'v-1', '--log', 'day.log');
     assert.equal(other.code, ExitCode.BadInput);
-    const missing = await explained('job', JOB, '--log', 'none.log');
+    const missing = await runExplain('job', JOB, '--log', 'none.log');
     assert.equal(missing.code, ExitCode.BadInput);
-    assert.match(missing.noted, /cannot read none.log/);
-    const unknown = await explained('job', 'ab', '--log', 'day.log');
+    assert.match(missing.diagnostics, /cannot read none.log/);
+    const unknown = await runExplain('job', 'ab', '--log', 'day.log');
     assert.equal(unknown.code, ExitCode.Failed);
   });
 });
--- a/packages/cli/src/__tests__/members-and-plan.test.ts
+++ b/packages/cli/src/__tests__/members-and-plan.test.ts
@@ -27,28 +27,28 @@
   heldBack: [],
   turnedDown: [{choice: 'take hall-a-r1-2', because: 'no room'}],
 };
-const ANSWERS: Readonly<Record<string, unknown>> = {
+const RESPONSES: Readonly<Record<string, unknown>> = {
   '/fleet/members': MEMBERS,
   '/fleet/waves/preview': PLAN,
   '/fleet/members/removals': {accepted: true, offset: 7},
 };
 
 describe('the command line', () => {
-  const asked: Array<{url: string; body: unknown}> = [];
+  const receivedRequests: Array<{url: string; body: unknown}> = [];
   let printed: string[] = [];
-  let noted: string[] = [];
+  let diagnostics: string[] = [];
   const server = http.createServer((request, response) => {
-    void answer(request, response);
+    void respond(request, response);
   });
 
-  async function answer(
+  async function respond(
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): Promise<void> {
     const url = request.url ?? '';
     const body = request.method === 'POST' ? await json(request) : undefined;
-    asked.push({url, body});
-    response.end(JSON.stringify(ANSWERS[url.split('?')[0]]));
+    receivedRequests.push({url, body});
+    response.end(JSON.stringify(RESPONSES[url.split('?')[0]]));
   }
 
   before(
@@ -59,24 +59,24 @@
     server.closeAllConnections();
   });
   beforeEach(() => {
-    asked.length = 0;
+    receivedRequests.length = 0;
     printed = [];
-    noted = [];
+    diagnostics = [];
   });
 
-  function run(...words: string[]): Promise<ExitCode> {
+  function run(...args: string[]): Promise<ExitCode> {
     const {port} = server.address() as AddressInfo;
     const common = ['--admin', `127.0.0.1:${port}`, '--key', 'k'];
-    return runProgram(['node', 'gentiandoor', ...words, ...common], {
+    return runProgram(['node', 'gentiandoor', ...args, ...common], {
       ...processContext(),
       environment: {USER: 'moana'},
       print: line => printed.push(line),
-      printDiagnostic: line => noted.push(line),
+      printDiagnostic: line => diagnostics.push(line),
     });
   }
 
   describe('member list', () => {
-    it('names what a daemon holds up, and how many more', async () => {
+    it('shows the first VMs that a daemon holds up and counts the rest', async () => {
       assert.equal(await run('member', 'list'), ExitCode.Done);
       assert.match(
         printed[1],
@@ -84,37 +84,39 @@
       );
     });
 
-    it('prints all of it as JSON', async () => {
+    it('prints all members as JSON', async () => {
       assert.equal(await run('member', 'list', '--json'), ExitCode.Done);
       assert.deepEqual(JSON.parse(printed.join('\n')), MEMBERS);
     });
   });
 
   describe('member remove', () => {
-    it('warns that the daemon must be stopped and sends who and why', async () => {
+    it('warns that the daemon must be stopped and sends operator and reason', async () => {
       const reason = 'host is dead';
-      const words = ['member', 'remove', 'entry-hall-a-2', '--reason', reason];
-      assert.equal(await run(...words), ExitCode.Done);
-      assert.match(noted[0], /must really be stopped/);
+      const args = ['member', 'remove', 'entry-hall-a-2', '--reason', reason];
+      assert.equal(await run(...args), ExitCode.Done);
+      assert.match(diagnostics[0], /must really be stopped/);
       const body = {name: 'entry-hall-a-2', reason, operator: 'moana'};
-      assert.deepEqual(asked, [{url: '/fleet/members/removals', body}]);
+      assert.deepEqual(receivedRequests, [
+        {url: '/fleet/members/removals', body},
+      ]);
       assert.match(printed[0], /taken out of the members at offset 7/);
     });
 
     it('sends nothing without a reason', async () => {
       const code = await run('member', 'remove', 'entry-hall-a-2');
       assert.equal(code, ExitCode.BadInput);
-      assert.match(noted[0], /--reason/);
-      assert.deepEqual(asked, []);
+      assert.match(diagnostics[0], /--reason/);
+      assert.deepEqual(receivedRequests, []);
     });
   });
 
   describe('maintenance plan', () => {
-    it('shows pace, next VMs, what holds it back and the order', async () => {
-      const words = ['maintenance', 'plan', '--data-centres', 'hall-a,hall-b'];
-      assert.equal(await run(...words), ExitCode.Done);
+    it('shows the limit, the next VMs, what holds the wave back and the order', async () => {
+      const args = ['maintenance', 'plan', '--data-centres', 'hall-a,hall-b'];
+      assert.equal(await run(...args), ExitCode.Done);
       assert.equal(
-        asked[0].url,
+        receivedRequests[0].url,
         '/fleet/waves/preview?dataCentres=hall-a%2Chall-b',
       );
       assert.deepEqual(printed, [
@@ -126,10 +128,10 @@
       ]);
     });
 
-    it('refuses a wave and a scope together', async () => {
-      const words = ['maintenance', 'plan', '--wave', 'w', '--pools', 'p'];
-      assert.equal(await run(...words), ExitCode.BadInput);
-      assert.deepEqual(asked, []);
+    it('rejects a wave combined with a scope', async () => {
+      const args = ['maintenance', 'plan', '--wave', 'w', '--pools', 'p'];
+      assert.equal(await run(...args), ExitCode.BadInput);
+      assert.deepEqual(receivedRequests, []);
     });
   });
 });
--- a/packages/cli/src/__tests__/process-context.test.ts
+++ b/packages/cli/src/__tests__/process-context.test.ts
@@ -12,11 +12,11 @@
   dirname(fileURLToPath(import.meta.url)),
   '../bin/gentiandoor.js',
 );
-/** Queues of a day, each a line of its account: more than a pipe holds. */
+/** Number of queues; each gives a line of output, together more than a pipe buffers. */
 const QUEUES = 3_000;
-const BEGAN = 1_800_000_000_000;
+const STARTED_AT = 1_800_000_000_000;
 
-/** Lines of one job of a queue of its own, from its intake to its end. */
+/** Returns the log lines of a job from intake to end, in a queue of its own. */
 function jobLines(index: number): string[] {
   const job = index.toString(16).padStart(16, '0');
   const run = {task: `${job}.0.0.0`, run: 1, worker: 'w-1'};
@@ -34,14 +34,14 @@
 }
 
 function logLine(event: LogEvent, fields: object): string {
-  const row = {level: 30, time: BEGAN, node: 'one', event, ...fields};
+  const row = {level: 30, time: STARTED_AT, node: 'one', event, ...fields};
   return JSON.stringify({...row, msg: LogEvent[event]});
 }
 
-describe('a command whose output goes to a pipe', () => {
-  // An operator reads the first lines of a long account with `head`. The rest has no reader, and the
-  // command ended with a stack trace over the lines that were asked for.
-  it('ends without a word when its reader leaves', async () => {
+describe('a command that writes to a pipe', () => {
+  // Guards against a stack trace when an operator pipes a long output into `head`, which exits
+  // after the first lines: the stack trace covered the requested lines.
+  it('exits with 0 and without an error message when the reader exits', async () => {
     const folder = mkdtempSync(join(tmpdir(), 'pipe-'));
     const log = join(folder, 'day.log');
     const lines = Array.from({length: QUEUES}, (_, index) => jobLines(index));
--- a/packages/cli/src/__tests__/time-breakdown.test.ts
+++ b/packages/cli/src/__tests__/time-breakdown.test.ts
@@ -8,51 +8,81 @@
 import {TimeCategory} from '../account/job-time-breakdown.js';
 import {parseLogLines} from '../job-timeline.js';
 
-const BEGAN = 1_800_000_000_000;
-const QUOTE = '5c0e7a21d94b36f8';
+const STARTED_AT = 1_800_000_000_000;
+const QUOTE_JOB = '5c0e7a21d94b36f8';
 const OBJECTIVE_MILLISECONDS = 2_500;
-const REVIEW = 'a1b2c3d4e5f60718';
+const REVIEW_JOB = 'a1b2c3d4e5f60718';
 
-function line(after: number, event: LogEvent, fields: object): string {
-  const row = {level: 30, time: BEGAN + after, node: 'one', event, ...fields};
+function line(
+  afterMilliseconds: number,
+  event: LogEvent,
+  fields: object,
+): string {
+  const row = {
+    level: 30,
+    time: STARTED_AT + afterMilliseconds,
+    node: 'one',
+    event,
+    ...fields,
+  };
   return JSON.stringify({...row, msg: LogEvent[event]});
 }
 
-function taken(after: number, job: string, queue: string): string {
-  return line(after, LogEvent.JobTaken, {job, queue, milliseconds: 12});
+function jobTaken(
+  afterMilliseconds: number,
+  job: string,
+  queue: string,
+): string {
+  return line(afterMilliseconds, LogEvent.JobTaken, {
+    job,
+    queue,
+    milliseconds: 12,
+  });
 }
 
-function ordered(after: number, task: string, run: number): string {
+function runOrdered(
+  afterMilliseconds: number,
+  task: string,
+  run: number,
+): string {
   const fields = {task, run, worker: `w-${run}`, storedAfterMilliseconds: 20};
-  return line(after, LogEvent.RunOrdered, fields);
+  return line(afterMilliseconds, LogEvent.RunOrdered, fields);
 }
 
-function ended(after: number, task: string, run: number): string {
-  return line(after, LogEvent.RunEnded, {task, run, worker: `w-${run}`});
+function runEnded(
+  afterMilliseconds: number,
+  task: string,
+  run: number,
+): string {
+  return line(afterMilliseconds, LogEvent.RunEnded, {
+    task,
+    run,
+    worker: `w-${run}`,
+  });
 }
 
-function finished(after: number, job: string): string {
-  return line(after, LogEvent.JobEnded, {
+function jobEnded(afterMilliseconds: number, job: string): string {
+  return line(afterMilliseconds, LogEvent.JobEnded, {
     job,
     state: 'completed',
-    milliseconds: after,
+    milliseconds: afterMilliseconds,
     objectiveMilliseconds: OBJECTIVE_MILLISECONDS,
   });
 }
 
-function account(...rows: string[]): TimeBreakdown {
+function breakdownOf(...rows: string[]): TimeBreakdown {
   return computeTimeBreakdown(parseLogLines(rows.join('\n')).lines);
 }
 
-describe('the account of a day', () => {
-  describe('of a job that waits for room and runs once', () => {
-    it('tells waiting, storing and running apart', () => {
-      const {byQueue} = account(
+describe('computeTimeBreakdown', () => {
+  describe('for a job that waits for capacity and runs once', () => {
+    it('separates waiting for capacity, storing and running', () => {
+      const {byQueue} = breakdownOf(
         line(0, LogEvent.DaemonStarted, {dataCentre: 'hall-a'}),
-        taken(1_000, QUOTE, 'quotes'),
-        ordered(1_500, `${QUOTE}.0.0.0`, 1),
-        ended(2_300, `${QUOTE}.0.0.0`, 1),
-        finished(2_300, QUOTE),
+        jobTaken(1_000, QUOTE_JOB, 'quotes'),
+        runOrdered(1_500, `${QUOTE_JOB}.0.0.0`, 1),
+        runEnded(2_300, `${QUOTE_JOB}.0.0.0`, 1),
+        jobEnded(2_300, QUOTE_JOB),
       );
       assert.equal(byQueue.length, 1);
       assert.equal(byQueue[0].meanMilliseconds, 1_300);
@@ -63,21 +93,21 @@
     });
   });
 
-  describe('of a job whose coordinator and worker are lost', () => {
-    // The caller waits 5 s for a second's work: the worker falls silent, the coordinator is killed,
-    // the next one learns what runs and orders the task again.
-    it('blames the worker, the change of coordinator and the second run', () => {
-      const {byQueue, bySize} = account(
-        taken(0, REVIEW, 'reviews'),
-        ordered(100, `${REVIEW}.0.0.0`, 1),
+  describe('for a job whose coordinator and worker are lost', () => {
+    // The caller waits 5 s for one second of work: the worker stops responding, the coordinator is
+    // killed, and the next coordinator recovers the active runs and orders the task again.
+    it('attributes time to the silent worker, the coordinator change and the rerun', () => {
+      const {byQueue, bySize} = breakdownOf(
+        jobTaken(0, REVIEW_JOB, 'reviews'),
+        runOrdered(100, `${REVIEW_JOB}.0.0.0`, 1),
         line(600, LogEvent.WorkerSilent, {worker: 'w-1'}),
         line(1_600, LogEvent.WorkerLeft, {worker: 'w-1'}),
-        ended(1_600, `${REVIEW}.0.0.0`, 1),
+        runEnded(1_600, `${REVIEW_JOB}.0.0.0`, 1),
         line(3_000, LogEvent.TermTaken, {term: 2}),
         line(3_100, LogEvent.RecoveryFinished, {term: 2}),
-        ordered(4_000, `${REVIEW}.0.0.0`, 2),
-        ended(5_000, `${REVIEW}.0.0.0`, 2),
-        finished(5_000, REVIEW),
+        runOrdered(4_000, `${REVIEW_JOB}.0.0.0`, 2),
+        runEnded(5_000, `${REVIEW_JOB}.0.0.0`, 2),
+        jobEnded(5_000, REVIEW_JOB),
       );
       const [{uses, late}] = byQueue;
       assert.equal(late, 1);
@@ -89,27 +119,27 @@
     });
   });
 
-  describe('of submissions that were not taken', () => {
-    it('counts them by their answer', () => {
-      const {refusals, byQueue} = account(
-        line(0, LogEvent.JobRefused, {job: QUOTE, answer: 'refused'}),
-        line(9, LogEvent.JobRefused, {job: QUOTE, answer: 'refused'}),
-        line(20, LogEvent.JobRefused, {job: REVIEW, answer: 'unknown'}),
+  describe('for submissions that were not accepted', () => {
+    it('counts them by response', () => {
+      const {refusals, byQueue} = breakdownOf(
+        line(0, LogEvent.JobRefused, {job: QUOTE_JOB, answer: 'refused'}),
+        line(9, LogEvent.JobRefused, {job: QUOTE_JOB, answer: 'refused'}),
+        line(20, LogEvent.JobRefused, {job: REVIEW_JOB, answer: 'unknown'}),
       );
       assert.deepEqual(refusals, {refused: 2, unknown: 1});
       assert.deepEqual(byQueue, []);
     });
   });
 
-  describe('of pools', () => {
-    it('shows what their sizes were decided from', () => {
-      const {pools} = account(
-        taken(0, QUOTE, 'quotes'),
-        ordered(10, `${QUOTE}.0.0.0`, 1),
+  describe('for pools', () => {
+    it('shows the mean of the logged values', () => {
+      const {pools} = breakdownOf(
+        jobTaken(0, QUOTE_JOB, 'quotes'),
+        runOrdered(10, `${QUOTE_JOB}.0.0.0`, 1),
         line(500, LogEvent.PoolSized, {service: 'desk', usable: 3, wanted: 8}),
         line(900, LogEvent.PoolSized, {service: 'desk', usable: 5, wanted: 8}),
-        ended(1_000, `${QUOTE}.0.0.0`, 1),
-        finished(1_000, QUOTE),
+        runEnded(1_000, `${QUOTE_JOB}.0.0.0`, 1),
+        jobEnded(1_000, QUOTE_JOB),
       );
       assert.equal(pools[0].label, 'desk 0 s');
       assert.equal(pools[0].values.usable, 4);
@@ -117,14 +147,14 @@
     });
   });
 
-  describe('of organisations', () => {
-    it('tells their jobs and refusals apart, and calls that were not let in', () => {
+  describe('for organisations', () => {
+    it('counts jobs and refusals by organisation, and rejected calls by reason', () => {
       const organisation = 'advisers';
-      const day = account(
-        line(0, LogEvent.JobTaken, {job: QUOTE, queue: 'q', organisation}),
-        finished(3_000, QUOTE),
-        line(10, LogEvent.JobTaken, {job: REVIEW, queue: 'q'}),
-        finished(700, REVIEW),
+      const breakdown = breakdownOf(
+        line(0, LogEvent.JobTaken, {job: QUOTE_JOB, queue: 'q', organisation}),
+        jobEnded(3_000, QUOTE_JOB),
+        line(10, LogEvent.JobTaken, {job: REVIEW_JOB, queue: 'q'}),
+        jobEnded(700, REVIEW_JOB),
         line(20, LogEvent.JobRefused, {
           job: 'b1b2c3d4e5f60718',
           organisation,
@@ -135,11 +165,15 @@
         line(32, LogEvent.CallRefused, {queue: 'q', reason: 'unsure'}),
       );
       assert.deepEqual(
-        day.byOrganisation.map(({label, jobs, late}) => [label, jobs, late]),
+        breakdown.byOrganisation.map(({label, jobs, late}) => [
+          label,
+          jobs,
+          late,
+        ]),
         [['advisers', 1, 1]],
       );
-      assert.deepEqual(day.refusalsByOrganisation, {advisers: 1});
-      assert.deepEqual(day.callsRefused, {refused: 2, unsure: 1});
+      assert.deepEqual(breakdown.refusalsByOrganisation, {advisers: 1});
+      assert.deepEqual(breakdown.callsRefused, {refused: 2, unsure: 1});
     });
   });
 });
--- a/packages/cli/src/account/interruptions.ts
+++ b/packages/cli/src/account/interruptions.ts
@@ -7,15 +7,15 @@
   readonly until: number;
 }
 
-/** Times in which work could not go on, whatever job it was of. */
+/** Times in which jobs could not progress, independent of the job. */
 export interface Interruptions {
-  /** Nobody gave orders. */
+  /** Spans without an active coordinator, in which no runs were ordered. */
   readonly withoutCoordinator: readonly TimeSpan[];
-  /** When each worker did not answer. */
+  /** Spans in which a worker did not respond, by worker. */
   readonly silentWorkers: ReadonlyMap<string, readonly TimeSpan[]>;
 }
 
-/** Finds the interruptions in the log lines of all daemons, oldest first. */
+/** Finds the interruptions in the log lines of all daemons; the lines are ordered oldest first. */
 export function findInterruptions(lines: readonly LogLine[]): Interruptions {
   return {
     withoutCoordinator: spansWithoutCoordinator(lines),
@@ -23,7 +23,7 @@
   };
 }
 
-/** Milliseconds of `span` that lie in any of `others`, which do not overlap. */
+/** Returns the milliseconds of `span` covered by `others`, which must not overlap each other. */
 export function overlapMilliseconds(
   span: TimeSpan,
   others: readonly TimeSpan[],
@@ -35,7 +35,7 @@
   }, 0);
 }
 
-/** From the last order of one coordinator until the next one has learned what runs. */
+/** Returns the spans from the last order of one coordinator to the end of the next one's recovery. */
 function spansWithoutCoordinator(lines: readonly LogLine[]): TimeSpan[] {
   const spans: TimeSpan[] = [];
   let lastOrderAt: number | undefined;
@@ -61,7 +61,7 @@
   const spans = new Map<string, TimeSpan[]>();
   const silentFrom = new Map<string, number>();
   for (const {event, time, fields} of lines) {
-    // The next coordinator finds out for itself who answers.
+    // A new coordinator determines by itself which workers respond.
     if (event === LogEvent.TermTaken) silentFrom.clear();
     const worker = String(fields.worker);
     const from = silentFrom.get(worker);
--- a/packages/cli/src/account/job-time-breakdown.ts
+++ b/packages/cli/src/account/job-time-breakdown.ts
@@ -6,64 +6,68 @@
   type TimeSpan,
 } from './interruptions.js';
 
-/** What a job's time went to. */
+/** Categories to which a job's time is attributed. */
 export enum TimeCategory {
-  /** Until the store had taken it. */
+  /** From the submission until the store had the job. */
   Intake = 'intake',
-  /** Nobody gave orders. */
+  /** No coordinator was active. */
   Coordinator = 'coordinator',
-  /** No task ran: no room in its pool, or its turn had not come. */
+  /** No task ran: its pool had no free capacity, or it was not the job's turn. */
   Capacity = 'room',
-  /** Starts waited for the store. */
+  /** Starts of runs waited for the store. */
   Store = 'store',
-  /** Its tasks were on workers that did not answer. */
+  /** A task was on a worker that did not respond. */
   SilentWorker = 'silent worker',
-  /** A task ran again after a failure or a loss. */
+  /** A task ran again after its run failed or was lost. */
   Rerun = 'run again',
   Running = 'running',
 }
 
-/** One job from intake to its end. */
+/** How one job spent its time from intake to end. */
 export interface JobTimeBreakdown {
   readonly job: string;
   readonly queue: string;
   /** Undefined for a job of a public queue. */
   readonly organisation: string | undefined;
-  /** Daemon that took it. */
+  /** Daemon that accepted the job. */
   readonly node: string;
   readonly takenAt: number;
   readonly endedAt: number;
   readonly state: string;
-  /** It took longer than its objective, as far as the coordinator knew it. */
+  /** Whether it took longer than its objective, as known to the coordinator. */
   readonly isLate: boolean;
-  /** Tasks that were ordered at least once. */
+  /** Number of tasks that were ordered at least once. */
   readonly tasks: number;
-  /** Milliseconds by use; they add up to its time from intake to end. */
+  /** Milliseconds by category; the sum is the job's time from intake to end. */
   readonly millisecondsByCategory: Readonly<Record<TimeCategory, number>>;
 }
 
-/** Follows each job that was taken and has ended through the log lines of all daemons, oldest first. */
+/**
+ * Returns the time breakdown of each job that was accepted and has ended, from the log lines of
+ * all daemons, ordered oldest first.
+ */
 export function jobTimeBreakdowns(
   lines: readonly LogLine[],
   interruptions: Interruptions,
 ): JobTimeBreakdown[] {
-  const journeys = new Map<string, JobTimeTracker>();
+  const trackersByJob = new Map<string, JobTimeTracker>();
   for (const line of lines) {
     const job = jobOf(line);
     if (job === undefined) continue;
-    let journey = journeys.get(job);
-    if (!journey) {
-      journey = new JobTimeTracker(job, interruptions);
-      journeys.set(job, journey);
+    let tracker = trackersByJob.get(job);
+    if (!tracker) {
+      tracker = new JobTimeTracker(job, interruptions);
+      trackersByJob.set(job, tracker);
     }
-    journey.observe(line);
+    tracker.observe(line);
   }
-  return [...journeys.values()].flatMap(journey => journey.breakdown());
+  return [...trackersByJob.values()].flatMap(tracker => tracker.breakdown());
 }
 
+/** Attributes the time of one job to categories as its log lines are read in order. */
 class JobTimeTracker {
   private readonly millisecondsByCategory = zeroMilliseconds();
-  /** Worker of each run under way, by task and run. */
+  /** Worker of each active run, by task and run. */
   private readonly workerByActiveRun = new Map<string, string>();
   private readonly tasks = new Set<string>();
   private taken: LogLine | undefined;
@@ -120,7 +124,7 @@
     ];
   }
 
-  /** The first daemon to take it counts; a submission that comes again changes nothing. */
+  /** Records the first acceptance only; a repeated submission changes nothing. */
   private recordIntake(line: LogLine): void {
     if (this.taken) return;
     this.taken = line;
@@ -140,54 +144,57 @@
   }
 
   private attributeRunningTime(span: TimeSpan): void {
-    const whole = span.until - span.from;
+    const total = span.until - span.from;
     const {silentWorkers} = this.interruptions;
-    const silent = Math.max(
+    const silentMilliseconds = Math.max(
       ...[...this.workerByActiveRun.values()].map(worker =>
         overlapMilliseconds(span, silentWorkers.get(worker) ?? []),
       ),
     );
-    const again = [...this.workerByActiveRun.keys()].some(
+    const isRerun = [...this.workerByActiveRun.keys()].some(
       run => !run.endsWith('/1'),
     );
-    this.millisecondsByCategory[TimeCategory.SilentWorker] += silent;
+    this.millisecondsByCategory[TimeCategory.SilentWorker] +=
+      silentMilliseconds;
     this.millisecondsByCategory[
-      again ? TimeCategory.Rerun : TimeCategory.Running
-    ] += whole - silent;
+      isRerun ? TimeCategory.Rerun : TimeCategory.Running
+    ] += total - silentMilliseconds;
   }
 
   private attributeWaitingTime(
     span: TimeSpan,
     storeMilliseconds: number,
   ): void {
-    const whole = span.until - span.from;
-    const without = overlapMilliseconds(
+    const total = span.until - span.from;
+    const withoutCoordinator = overlapMilliseconds(
       span,
       this.interruptions.withoutCoordinator,
     );
-    const store = Math.min(storeMilliseconds, whole - without);
-    this.millisecondsByCategory[TimeCategory.Coordinator] += without;
+    const store = Math.min(storeMilliseconds, total - withoutCoordinator);
+    this.millisecondsByCategory[TimeCategory.Coordinator] += withoutCoordinator;
     this.millisecondsByCategory[TimeCategory.Store] += store;
     this.millisecondsByCategory[TimeCategory.Capacity] +=
-      whole - without - store;
+      total - withoutCoordinator - store;
   }
 }
 
-/** A line without an objective, of a daemon of an earlier version, tells of no lateness. */
+/** Returns false if the line has no objective, as those of earlier daemon versions. */
 function isOverObjective(ended: LogLine): boolean {
   const objective = numberOrZero(ended, 'objectiveMilliseconds');
   return objective > 0 && numberOrZero(ended, 'milliseconds') > objective;
 }
 
-/** Organisation that a line names. */
+/** Returns the organisation that a line names, if any. */
 export function organisationIn({fields}: LogLine): string | undefined {
   const {organisation} = fields;
   return typeof organisation === 'string' ? organisation : undefined;
 }
 
 function zeroMilliseconds(): Record<TimeCategory, number> {
-  const uses = Object.values(TimeCategory).map(use => [use, 0] as const);
-  return Object.fromEntries(uses) as Record<TimeCategory, number>;
+  const entries = Object.values(TimeCategory).map(
+    category => [category, 0] as const,
+  );
+  return Object.fromEntries(entries) as Record<TimeCategory, number>;
 }
 
 function runKeyOf({fields}: LogLine): string {
--- a/packages/cli/src/account/time-breakdown.ts
+++ b/packages/cli/src/account/time-breakdown.ts
@@ -9,51 +9,51 @@
   type JobTimeBreakdown,
 } from './job-time-breakdown.js';
 
-/** Jobs of one group: second of intake, queue, size or data centre. */
+/** Jobs of one group: second of intake, queue, size, data centre or organisation. */
 export interface TimeBreakdownRow {
   readonly label: string;
   readonly jobs: number;
-  /** Jobs that took longer than their objective. */
+  /** Number of jobs that took longer than their objective. */
   readonly late: number;
-  /** Mean milliseconds of a job, in all and by use. */
+  /** Mean milliseconds per job, in total; `uses` holds them by category. */
   readonly meanMilliseconds: number;
   readonly uses: Readonly<Record<TimeCategory, number>>;
 }
 
-/** Pool as it stood in one span of the day, as means of what was logged. */
+/** State of a pool in one time span, as means of the logged values. */
 export interface PoolRow {
   readonly label: string;
   readonly values: Readonly<Record<string, number>>;
 }
 
-/** Where the time of all jobs of a log went. */
+/** Breakdown of the time of all jobs in a log. */
 export interface TimeBreakdown {
   readonly bySecond: readonly TimeBreakdownRow[];
   readonly byQueue: readonly TimeBreakdownRow[];
   readonly bySize: readonly TimeBreakdownRow[];
   readonly byDataCentre: readonly TimeBreakdownRow[];
-  /** Empty where no organisations are known. */
+  /** Empty if no job names an organisation. */
   readonly byOrganisation: readonly TimeBreakdownRow[];
   readonly pools: readonly PoolRow[];
-  /** Submissions that were answered as refused or in doubt, by that answer. */
+  /** Number of submissions that were refused or had an unknown outcome, by response. */
   readonly refusals: Readonly<Record<string, number>>;
-  /** Calls that were not let in, by reason. */
+  /** Number of calls that were rejected, by reason. */
   readonly callsRefused: Readonly<Record<string, number>>;
-  /** Submissions of each organisation that were not taken. */
+  /** Number of submissions that were not accepted, by organisation. */
   readonly refusalsByOrganisation: Readonly<Record<string, number>>;
-  /** Jobs that were taken and have no end in the log. */
+  /** Number of jobs that were accepted and have no end in the log. */
   readonly unfinished: number;
-  /** Lines that the daemons left out to bound the log. */
+  /** Number of lines that the daemons dropped to limit the log volume. */
   readonly linesLeftOut: number;
 }
 
-/** Seconds of intake that make a row: queues' bursts last several. */
+/** Seconds of intake per row; bursts in a queue last several seconds. */
 const SECONDS_PER_ROW = 2;
 const MILLISECONDS_PER_SECOND = 1_000;
-/** Upper bounds of the sizes that jobs are told apart by, in tasks. */
+/** Upper bounds of the size groups of jobs, in tasks. */
 const SIZE_BOUNDS_TASKS = [4, 8, 16, 32];
 
-/** What is told of a pool, by field of its log line. */
+/** Fields of a pool's log line that are shown. */
 const POOL_FIELDS = [
   'usable',
   'arriving',
@@ -63,13 +63,13 @@
   'arrivingWorkVms',
 ];
 
-/** Adds up where the time of jobs went, from the log lines of all daemons, oldest first. */
+/** Computes the time breakdown from the log lines of all daemons, ordered oldest first. */
 export function computeTimeBreakdown(lines: readonly LogLine[]): TimeBreakdown {
   const jobs = jobTimeBreakdowns(lines, findInterruptions(lines));
-  const began = jobs.length > 0 ? jobs[0].takenAt : 0;
+  const startedAt = jobs.length > 0 ? jobs[0].takenAt : 0;
   const dataCentres = dataCentresOf(lines);
   const rowOfSecond = (time: number) =>
-    secondLabel(Math.floor((time - began) / MILLISECONDS_PER_SECOND));
+    secondLabel(Math.floor((time - startedAt) / MILLISECONDS_PER_SECOND));
   return {
     bySecond: rowsBy(jobs, job => rowOfSecond(job.takenAt)),
     byQueue: rowsBy(jobs, job => job.queue),
@@ -92,12 +92,12 @@
   };
 }
 
-/** The account as sections of a page, by heading. */
+/** Returns the breakdown as sections of a page, by heading. */
 export function timeBreakdownSections(
-  account: TimeBreakdown,
+  breakdown: TimeBreakdown,
 ): Readonly<Record<string, PageSection>> {
   const {bySecond, byQueue, bySize, byDataCentre, byOrganisation, pools} =
-    account;
+    breakdown;
   return {
     'by second of intake': section(bySecond),
     'by queue': section(byQueue),
@@ -130,17 +130,20 @@
   label: string,
   jobs: readonly JobTimeBreakdown[],
 ): TimeBreakdownRow {
-  const mean = (of: (job: JobTimeBreakdown) => number) =>
-    Math.round(jobs.reduce((sum, job) => sum + of(job), 0) / jobs.length);
-  const uses = Object.values(TimeCategory).map(
-    use => [use, mean(job => job.millisecondsByCategory[use])] as const,
+  const mean = (millisecondsOf: (job: JobTimeBreakdown) => number) =>
+    Math.round(
+      jobs.reduce((sum, job) => sum + millisecondsOf(job), 0) / jobs.length,
+    );
+  const meansByCategory = Object.values(TimeCategory).map(
+    category =>
+      [category, mean(job => job.millisecondsByCategory[category])] as const,
   );
   return {
     label,
     jobs: jobs.length,
     late: jobs.filter(job => job.isLate).length,
     meanMilliseconds: mean(job => job.endedAt - job.takenAt),
-    uses: Object.fromEntries(uses) as Record<TimeCategory, number>,
+    uses: Object.fromEntries(meansByCategory) as Record<TimeCategory, number>,
   };
 }
 
@@ -161,11 +164,11 @@
 }
 
 function dataCentresOf(lines: readonly LogLine[]): Map<string, string> {
-  const found = new Map<string, string>();
+  const dataCentres = new Map<string, string>();
   for (const {event, node, fields} of lines)
     if (event === LogEvent.DaemonStarted)
-      found.set(node, String(fields.dataCentre));
-  return found;
+      dataCentres.set(node, String(fields.dataCentre));
+  return dataCentres;
 }
 
 function poolRows(
@@ -193,7 +196,7 @@
   return Math.round((10 * sum) / lines.length) / 10;
 }
 
-/** Lines of an event by label; those without one are left out. */
+/** Counts the lines of an event by label; lines without a label are not counted. */
 function countBy(
   lines: readonly LogLine[],
   event: LogEvent,
@@ -208,8 +211,8 @@
 }
 
 function countAcceptedJobs(lines: readonly LogLine[]): number {
-  const taken = lines
+  const jobs = lines
     .filter(line => line.event === LogEvent.JobTaken)
     .map(line => line.fields.job);
-  return new Set(taken).size;
+  return new Set(jobs).size;
 }
--- a/packages/cli/src/admin-client.ts
+++ b/packages/cli/src/admin-client.ts
@@ -3,22 +3,25 @@
 import {CommandError} from './command-error.js';
 import {ExitCode} from './exit-codes.js';
 
-/** Above the 5 s for which a daemon waits for the log: its answer says what became of a record. */
+/**
+ * Longer than the 5 s for which a daemon waits for the log, so that its response with the
+ * record's outcome arrives.
+ */
 const TIMEOUT_MILLISECONDS = 10_000;
 
-/** Asks a daemon's admin port. */
+/** HTTP client of a daemon's admin port. */
 export class AdminClient {
   constructor(
     private readonly address: string,
     private readonly key: string,
   ) {}
 
-  /** The JSON answer at `path`; throws `CommandError`. */
+  /** Returns the JSON response at `path`; throws `CommandError` on failure. */
   async get(path: string): Promise<unknown> {
     return this.call('GET', path);
   }
 
-  /** Sends `body` as JSON; throws `CommandError`. */
+  /** Sends `body` as JSON and returns the response; throws `CommandError` on failure. */
   async post(path: string, body: unknown): Promise<unknown> {
     return this.call('POST', path, body);
   }
@@ -28,12 +31,12 @@
     path: string,
     body?: unknown,
   ): Promise<unknown> {
-    const answer = await this.send(method, path, body);
-    const text = await answer.body.text();
-    if (answer.statusCode === 200) return JSON.parse(text);
+    const response = await this.send(method, path, body);
+    const text = await response.body.text();
+    if (response.statusCode === 200) return JSON.parse(text);
     throw new CommandError(
-      exitCodeOf(answer.statusCode),
-      errorText(text, answer.statusCode),
+      exitCodeOf(response.statusCode),
+      errorText(text, response.statusCode),
     );
   }
 
--- a/packages/cli/src/bundle-difference.ts
+++ b/packages/cli/src/bundle-difference.ts
@@ -1,13 +1,13 @@
 import {parse} from 'ini';
 
-/** How a key of a bundle changed. */
+/** Kind of change to a key of a bundle. */
 export enum ChangeKind {
   Added = 'added',
   Removed = 'removed',
   Changed = 'changed',
 }
 
-/** One changed key. */
+/** A changed key with its values before and after. */
 export interface BundleChange {
   readonly kind: ChangeKind;
   /** Section and key, such as `service.admin.queue_limit`. */
@@ -16,7 +16,7 @@
   readonly after?: string;
 }
 
-/** Keys that differ between two bundles' texts, sorted. */
+/** Returns the keys that differ between two bundle texts, sorted. */
 export function bundleDifference(
   before: string,
   after: string,
@@ -47,7 +47,7 @@
   return new Map(entries);
 }
 
-/** One line a change, as `bundle diff` prints it. */
+/** Formats a change as the line that `bundle diff` prints. */
 export function describeChange(change: BundleChange): string {
   switch (change.kind) {
     case ChangeKind.Added:
--- a/packages/cli/src/command-context.ts
+++ b/packages/cli/src/command-context.ts
@@ -3,18 +3,18 @@
 import {CommandError} from './command-error.js';
 import {ExitCode} from './exit-codes.js';
 
-/** Options that every command takes. */
+/** Options common to all commands. */
 export interface CommonOptions {
   readonly admin: string;
   readonly key?: string;
   readonly json?: boolean;
 }
 
-/** What commands use of the world; tests put their own in. */
+/** Environment of a command: output, files, variables and clock; tests replace it. */
 export interface CommandContext {
-  /** Writes a line of the result. */
+  /** Writes a line of the result to standard output. */
   readonly print: (line: string) => void;
-  /** Writes a line about progress or an error. */
+  /** Writes a line about progress or an error to standard error. */
   readonly printDiagnostic: (line: string) => void;
   readonly readFile: (path: string) => string;
   readonly environment: Readonly<Record<string, string | undefined>>;
@@ -24,7 +24,7 @@
 /** Environment variable with the admin key. */
 export const ADMIN_KEY_VARIABLE = 'GENTIANDOOR_ADMIN_KEY';
 
-/** A client of the daemon that the options name. */
+/** Creates a client of the daemon that the options name; throws `CommandError` without a key. */
 export function adminClient(
   context: CommandContext,
   options: CommonOptions,
@@ -39,7 +39,7 @@
   return new AdminClient(options.admin, key);
 }
 
-/** The text of an input file; throws `CommandError`. */
+/** Reads an input file; throws `CommandError` if it cannot be read. */
 export function readInput(context: CommandContext, path: string): string {
   try {
     return context.readFile(path);
@@ -51,7 +51,7 @@
   }
 }
 
-/** Prints JSON when asked for, the lines otherwise. */
+/** Prints `value` as JSON with `--json`, the lines otherwise. */
 export function printResult(
   context: CommandContext,
   options: CommonOptions,
--- a/packages/cli/src/command-error.ts
+++ b/packages/cli/src/command-error.ts
@@ -1,6 +1,6 @@
 import type {ExitCode} from './exit-codes.js';
 
-/** A command that ends with a message and an exit code. */
+/** Ends a command with a message and an exit code. */
 export class CommandError extends Error {
   constructor(
     readonly exitCode: ExitCode,
--- a/packages/cli/src/commands/account.ts
+++ b/packages/cli/src/commands/account.ts
@@ -36,8 +36,8 @@
   options: AccountOptions,
 ): Promise<void> {
   const {lines, unreadable} = parseLogLines(readInput(context, path));
-  const day = computeTimeBreakdown(lines);
-  if (day.byQueue.length === 0)
+  const breakdown = computeTimeBreakdown(lines);
+  if (breakdown.byQueue.length === 0)
     throw new CommandError(
       ExitCode.Failed,
       `no line in ${path} tells of a job from its intake to its end`,
@@ -45,77 +45,86 @@
   if (options.page !== undefined) {
     writeFileSync(
       options.page,
-      renderPage(PAGE_HEADING, timeBreakdownSections(day), readChartLibrary()),
+      renderPage(
+        PAGE_HEADING,
+        timeBreakdownSections(breakdown),
+        readChartLibrary(),
+      ),
     );
     context.printDiagnostic(`${options.page} written`);
   }
-  printResult(context, options, day, [
-    ...formatTables(day),
-    ...formatRemarks(day, unreadable),
+  printResult(context, options, breakdown, [
+    ...formatTables(breakdown),
+    ...formatRemarks(breakdown, unreadable),
   ]);
 }
 
-function formatTables(day: TimeBreakdown): string[] {
+function formatTables(breakdown: TimeBreakdown): string[] {
   return [
-    ...table('second of intake', day.bySecond),
-    ...table('queue', day.byQueue),
-    ...table('size', day.bySize),
-    ...table('data centre', day.byDataCentre),
-    ...(day.byOrganisation.length > 0
-      ? table('organisation', day.byOrganisation)
+    ...table('second of intake', breakdown.bySecond),
+    ...table('queue', breakdown.byQueue),
+    ...table('size', breakdown.bySize),
+    ...table('data centre', breakdown.byDataCentre),
+    ...(breakdown.byOrganisation.length > 0
+      ? table('organisation', breakdown.byOrganisation)
       : []),
-    ...poolTable(day),
+    ...poolTable(breakdown),
   ];
 }
 
-/** Mean milliseconds of a job by use. */
+/** Formats the mean milliseconds per job by category. */
 function table(heading: string, rows: readonly TimeBreakdownRow[]): string[] {
-  const uses = Object.values(TimeCategory);
+  const categories = Object.values(TimeCategory);
   const cells = rows.map(row => [
     row.label,
     String(row.jobs),
     String(row.late),
     String(row.meanMilliseconds),
-    ...uses.map(use => String(row.uses[use])),
+    ...categories.map(category => String(row.uses[category])),
   ]);
   return [
-    ...formatColumns([heading, 'jobs', 'late', 'mean ms', ...uses], cells),
+    ...formatColumns(
+      [heading, 'jobs', 'late', 'mean ms', ...categories],
+      cells,
+    ),
     '',
   ];
 }
 
-function poolTable(day: TimeBreakdown): string[] {
-  if (day.pools.length === 0) return [];
-  const fields = Object.keys(day.pools[0].values);
-  const cells = day.pools.map(({label, values}) => [
+function poolTable(breakdown: TimeBreakdown): string[] {
+  if (breakdown.pools.length === 0) return [];
+  const fields = Object.keys(breakdown.pools[0].values);
+  const cells = breakdown.pools.map(({label, values}) => [
     label,
     ...fields.map(field => String(values[field])),
   ]);
   return [...formatColumns(['pool', ...fields], cells), ''];
 }
 
-function formatRemarks(day: TimeBreakdown, unreadable: number): string[] {
-  const remarks = Object.entries(day.refusals).map(
+function formatRemarks(breakdown: TimeBreakdown, unreadable: number): string[] {
+  const remarks = Object.entries(breakdown.refusals).map(
     ([answer, count]) => `${count} submissions answered as ${answer}`,
   );
   for (const [organisation, count] of Object.entries(
-    day.refusalsByOrganisation,
+    breakdown.refusalsByOrganisation,
   ))
     remarks.push(`${count} submissions of ${organisation} were not taken`);
-  for (const [reason, count] of Object.entries(day.callsRefused))
+  for (const [reason, count] of Object.entries(breakdown.callsRefused))
     remarks.push(`${count} calls were not let in: ${reason}`);
-  if (day.unfinished > 0)
-    remarks.push(`${day.unfinished} jobs were taken and have no end here`);
-  if (day.linesLeftOut > 0)
+  if (breakdown.unfinished > 0)
     remarks.push(
-      `${day.linesLeftOut} lines were left out by the bound on the log: times may be missing`,
+      `${breakdown.unfinished} jobs were taken and have no end here`,
+    );
+  if (breakdown.linesLeftOut > 0)
+    remarks.push(
+      `${breakdown.linesLeftOut} lines were left out by the bound on the log: times may be missing`,
     );
   if (unreadable > 0)
     remarks.push(`${unreadable} lines of the input are no log lines`);
   return remarks;
 }
 
-/** Commands that add up a log. */
+/** Commands that break down the time of jobs in a log. */
 export const accountCommands: readonly CommandDefinition[] = [
   {
     usage: 'account <file>',
--- a/packages/cli/src/commands/bundle.ts
+++ b/packages/cli/src/commands/bundle.ts
@@ -21,7 +21,7 @@
 import {printPublishResult} from '../publish-result.js';
 import {withProgress} from '../with-progress.js';
 
-/** A daemon reads the log at least twice a second. */
+/** Interval of attempts to read back a proposal; a daemon reads the log at least twice a second. */
 const READ_BACK_INTERVAL_MILLISECONDS = 100;
 const MAXIMUM_READ_BACKS = 15;
 
@@ -128,7 +128,7 @@
   );
 }
 
-/** The key in a file as `keys make` printed it, or the bare key. */
+/** Returns the private key from the output of `keys make`, or the text itself if it is a bare key. */
 function privateKeyOf(text: string): string {
   const line = /^private_key\s*=\s*(\S+)$/m.exec(text);
   return line ? line[1] : text.trim();
@@ -156,24 +156,26 @@
   version: number,
 ) {
   let {proposals} = await readBundles(context, options);
-  const of = () => proposals.filter(proposal => proposal.version === version);
-  // A proposal is stored before the daemon has read it back: without the wait, a sign-off that followed
-  // its proposal within a third of a second, as in a script, was told that there is none.
+  const findMatching = () =>
+    proposals.filter(proposal => proposal.version === version);
+  // A proposal is stored before the daemon has read it back from the log. Without this wait, a
+  // sign-off less than a third of a second after its proposal, as in a script, failed because the
+  // daemon did not know the proposal yet.
   for (
-    let round = 0;
-    round < MAXIMUM_READ_BACKS && of().length === 0;
-    round++
+    let attempt = 0;
+    attempt < MAXIMUM_READ_BACKS && findMatching().length === 0;
+    attempt++
   ) {
     await sleep(context.clock, READ_BACK_INTERVAL_MILLISECONDS);
     ({proposals} = await readBundles(context, options));
   }
-  const matching = of();
+  const matching = findMatching();
   if (matching.length === 1) return matching[0];
-  const found =
+  const versions =
     proposals.map(proposal => proposal.version).join(', ') || 'none';
   throw new CommandError(
     ExitCode.BadInput,
-    `${matching.length} proposals of version ${version}; proposed versions: ${found}`,
+    `${matching.length} proposals of version ${version}; proposed versions: ${versions}`,
   );
 }
 
@@ -224,7 +226,7 @@
     readonly version: number;
     readonly offset: number;
     readonly isLogReachable: boolean;
-    /** Milliseconds after this daemon; undefined while it has another version. */
+    /** Delay after this daemon, in milliseconds; undefined while it has another version. */
     readonly tookMilliseconds?: number;
   }>;
 }
--- a/packages/cli/src/commands/deployment.ts
+++ b/packages/cli/src/commands/deployment.ts
@@ -36,10 +36,10 @@
   const {store} = options;
   if (!store)
     throw new CommandError(ExitCode.BadInput, 'expected --store ADDRESS');
-  const calls = new HttpClient(STORE_CONNECTIONS);
-  const log = new PlatformStore(calls, () => store);
+  const client = new HttpClient(STORE_CONNECTIONS);
+  const log = new PlatformStore(client, () => store);
   const view = await readDeployment(log, new PlatformRecordFormats());
-  await calls.closeAll();
+  await client.closeAll();
   if (!view)
     throw new CommandError(
       ExitCode.Unreachable,
@@ -89,15 +89,15 @@
   options: StoreOptions,
 ): Promise<void> {
   const view = await readDeploymentView(options);
-  const found = view.table.find(id);
-  if (!found)
+  const entry = view.table.find(id);
+  if (!entry)
     throw new CommandError(ExitCode.Failed, `the store has no job ${id}`);
-  const tasks = [...found.progress.tasks].map(([task, progress]) => ({
+  const tasks = [...entry.progress.tasks].map(([task, progress]) => ({
     task,
     ...taskRow(progress),
   }));
-  const state = view.table.stateOf(found);
-  const {queue, service} = found.submission;
+  const state = view.table.stateOf(entry);
+  const {queue, service} = entry.submission;
   const lines = [
     `${id} in ${queue}: ${state}`,
     ...table(tasks, ['task', 'run', 'state', 'worker', 'failed']),
@@ -115,7 +115,7 @@
 ];
 const MILLICORES_PER_CORE = 1_000;
 
-/** Cores that run of an organisation, its limit in cores, and jobs of it that wait. */
+/** Returns an organisation's running cores, its limit in cores and its queued jobs. */
 function organisationRow({
   name,
   settings,
@@ -159,11 +159,16 @@
   leaving: number;
 }> {
   return (configuration?.services ?? []).map(({name, standby}) => {
-    const own = workers.filter(worker => worker.service === name);
-    const leaving = own.filter(
+    const poolWorkers = workers.filter(worker => worker.service === name);
+    const leaving = poolWorkers.filter(
       worker => worker.state === WorkerState.Draining,
     ).length;
-    return {service: name, standby, ready: own.length - leaving, leaving};
+    return {
+      service: name,
+      standby,
+      ready: poolWorkers.length - leaving,
+      leaving,
+    };
   });
 }
 
@@ -179,7 +184,7 @@
   return formatColumns(columns, cells);
 }
 
-/** Commands that read a deployment on the platform from its store alone. */
+/** Commands that read a deployment on the platform from its store only, without a daemon. */
 export const deploymentCommands: readonly CommandDefinition[] = [
   {
     usage: 'deployment show',
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -36,11 +36,16 @@
       ? await currentVmState(context, options, id)
       : [];
   const lines = [...now, ...body.decisions.flatMap(formatDecision)];
-  const nothing = `this daemon took no decision about ${subject} ${id}; the planner is ${body.planner || 'not known'}, ask its admin port`;
-  printResult(context, options, body, lines.length > 0 ? lines : [nothing]);
+  const noDecisionText = `this daemon took no decision about ${subject} ${id}; the planner is ${body.planner || 'not known'}, ask its admin port`;
+  printResult(
+    context,
+    options,
+    body,
+    lines.length > 0 ? lines : [noDecisionText],
+  );
 }
 
-/** Tells of a job from the lines that the daemons of a deployment on the platform have logged. */
+/** Prints a job's timeline from the logs of the daemons of a deployment on the platform. */
 function explainFromLog(
   context: CommandContext,
   subject: string,
@@ -53,18 +58,18 @@
       ExitCode.BadInput,
       `logs explain a ${SubjectKind.Job} only, not a ${subject}`,
     );
-  const story = buildJobTimeline(readInput(context, path), id);
-  if (!story)
+  const timeline = buildJobTimeline(readInput(context, path), id);
+  if (!timeline)
     throw new CommandError(ExitCode.Failed, `no line in ${path} names ${id}`);
-  printResult(context, options, story, formatTimeline(story));
+  printResult(context, options, timeline, formatTimeline(timeline));
 }
 
-function formatTimeline(story: JobTimeline): string[] {
-  const {steps, gaps, linesLeftOut, unreadableLines} = story;
-  const began = steps[0].time;
+function formatTimeline(timeline: JobTimeline): string[] {
+  const {steps, gaps, linesLeftOut, unreadableLines} = timeline;
+  const startedAt = steps[0].time;
   const lines = steps.map(
     ({time, node, text}) =>
-      `${new Date(time).toISOString()} +${time - began} ms ${node}: ${text}`,
+      `${new Date(time).toISOString()} +${time - startedAt} ms ${node}: ${text}`,
   );
   if (gaps.length > 0) lines.push('', 'longest times without news of the job:');
   for (const {milliseconds, text} of gaps)
@@ -79,7 +84,7 @@
   return lines;
 }
 
-/** What is planned on the VM, which may be an operator's doing and no decision of a daemon. */
+/** Returns the VM's planned work, which may come from an operator and not from a daemon. */
 async function currentVmState(
   context: CommandContext,
   options: CommonOptions,
@@ -108,7 +113,7 @@
   ];
 }
 
-/** Commands that tell why. */
+/** Commands that explain decisions and jobs. */
 export const explainCommands: readonly CommandDefinition[] = [
   {
     usage: 'explain <subject> <id>',
--- a/packages/cli/src/commands/fleet.ts
+++ b/packages/cli/src/commands/fleet.ts
@@ -21,7 +21,7 @@
 import {sendRecord} from '../send-record.js';
 import {vmState} from '../vm-state.js';
 
-/** Options of a command that needs a reason. */
+/** Options of a command that requires a reason. */
 export interface ReasonOptions extends CommonOptions {
   readonly reason?: string;
 }
@@ -37,7 +37,7 @@
 
 type WaveAction = WaveRequest['action'];
 
-/** The reason that was given; throws `CommandError` without one. */
+/** Returns the given reason; throws `CommandError` if there is none. */
 export function requireReason(options: ReasonOptions): string {
   if (options.reason) return options.reason;
   throw new CommandError(
@@ -196,7 +196,7 @@
   );
 }
 
-function waveChangeCommand(action: WaveAction, done: string) {
+function waveChangeCommand(action: WaveAction, resultText: string) {
   return (
     context: CommandContext,
     wave: string,
@@ -208,7 +208,7 @@
       options,
       '/fleet/waves',
       body,
-      `wave ${wave} ${done}`,
+      `wave ${wave} ${resultText}`,
     );
   };
 }
@@ -248,7 +248,7 @@
   return `${Math.round(forecastMilliseconds / 60_000)} min`;
 }
 
-/** The option of `needReason`. */
+/** The option that `requireReason` reads. */
 export const REASON_OPTION = [
   '--reason',
   'Why; kept and shown by explain',
--- a/packages/cli/src/commands/jobs.ts
+++ b/packages/cli/src/commands/jobs.ts
@@ -84,8 +84,8 @@
   key: string,
   options: CommonOptions,
 ): Promise<void> {
-  const more = (options as {_?: string[]})._ ?? [];
-  const body: CancelRequest = {keys: [key, ...more]};
+  const otherKeys = (options as {_?: string[]})._ ?? [];
+  const body: CancelRequest = {keys: [key, ...otherKeys]};
   return sendRecord(
     context,
     options,
--- a/packages/cli/src/commands/members.ts
+++ b/packages/cli/src/commands/members.ts
@@ -10,7 +10,7 @@
 import {sendRecord} from '../send-record.js';
 import {REASON_OPTION, requireReason, type ReasonOptions} from './fleet.js';
 
-/** VMs named in one row; `--json` names all. */
+/** Maximum number of VMs shown per row; `--json` shows all. */
 const MAXIMUM_VMS_SHOWN = 5;
 
 async function listMembers(
@@ -40,9 +40,9 @@
 }
 
 function formatVmNames(vms: readonly string[]): string {
-  const named = vms.slice(0, MAXIMUM_VMS_SHOWN).join(', ');
-  const more = vms.length - MAXIMUM_VMS_SHOWN;
-  return more > 0 ? `${named} and ${more} more` : named;
+  const names = vms.slice(0, MAXIMUM_VMS_SHOWN).join(', ');
+  const hiddenCount = vms.length - MAXIMUM_VMS_SHOWN;
+  return hiddenCount > 0 ? `${names} and ${hiddenCount} more` : names;
 }
 
 async function removeMember(
@@ -63,7 +63,7 @@
   );
 }
 
-/** Commands for the daemons as members. */
+/** Commands for the membership of daemons. */
 export const memberCommands: readonly CommandDefinition[] = [
   {
     usage: 'member list',
--- a/packages/cli/src/commands/top.ts
+++ b/packages/cli/src/commands/top.ts
@@ -68,7 +68,7 @@
 const GAUGE_NAME_PATTERN =
   /^(queue_length|in_flight|claims_kept|held_answer_bytes)/;
 
-/** Counters as a rate, gauges as they are; what did not move and is 0 is left out. */
+/** Returns counters as rates per second and gauges as they are; omits zero values. */
 function ratesOf(
   before: MetricValues,
   after: MetricValues,
@@ -83,7 +83,7 @@
   return Object.fromEntries(entries.filter(([, value]) => value !== 0));
 }
 
-/** The live view. */
+/** Commands that show metrics live. */
 export const topCommands: readonly CommandDefinition[] = [
   {
     usage: 'top',
--- a/packages/cli/src/commands/wave-plan.ts
+++ b/packages/cli/src/commands/wave-plan.ts
@@ -58,7 +58,7 @@
   return query;
 }
 
-/** The dry run of a maintenance wave. */
+/** Commands that preview a maintenance wave. */
 export const wavePlanCommands: readonly CommandDefinition[] = [
   {
     usage: 'maintenance plan',
--- a/packages/cli/src/format-columns.ts
+++ b/packages/cli/src/format-columns.ts
@@ -1,4 +1,4 @@
-/** Rows under headings, in columns as wide as their widest cell. */
+/** Formats rows under headings, with each column as wide as its widest cell. */
 export function formatColumns(
   headings: readonly string[],
   rows: ReadonlyArray<readonly string[]>,
--- a/packages/cli/src/job-timeline.ts
+++ b/packages/cli/src/job-timeline.ts
@@ -1,6 +1,6 @@
 import {LogEvent} from '@gentiandoor/kernel';
 
-/** A line of a daemon's log. */
+/** A parsed line of a daemon's log. */
 export interface LogLine {
   readonly time: number;
   readonly node: string;
@@ -8,35 +8,35 @@
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** What the logs of all daemons tell of one job. */
+/** Timeline of one job, from the logs of all daemons. */
 export interface JobTimeline {
   readonly job: string;
-  /** What happened, oldest first. */
+  /** Events of the job, oldest first. */
   readonly steps: readonly TimelineEntry[];
-  /** What its time went to, the longest first. */
+  /** Longest intervals between events, longest first. */
   readonly gaps: readonly TimelineGap[];
-  /** Lines that the daemons left out while the job was under way: its own may be among them. */
+  /** Number of lines that the daemons dropped during the job; some may be about the job. */
   readonly linesLeftOut: number;
   readonly unreadableLines: number;
 }
 
-/** One thing that happened. */
+/** One event of the timeline. */
 export interface TimelineEntry {
   readonly time: number;
   readonly node: string;
   readonly text: string;
 }
 
-/** Time between two things that happened. */
+/** Interval between two consecutive events. */
 export interface TimelineGap {
   readonly milliseconds: number;
   readonly text: string;
 }
 
-/** Gaps under this say nothing to a person who looks for seconds. */
+/** Shorter gaps are not reported, since an operator looks for lost seconds. */
 const MINIMUM_GAP_MILLISECONDS = 250;
 const MAXIMUM_GAPS = 5;
-/** The coordinator's and the store's troubles are told from this long before the job. */
+/** How long before the job events of the coordinator and the store are included. */
 const CONTEXT_BEFORE_JOB_MILLISECONDS = 3_000;
 
 type EventFormatter = (fields: Readonly<Record<string, unknown>>) => string;
@@ -66,7 +66,7 @@
     `task ${taskWithoutJob(line)} run ${roundedField(line, 'run')} stood still at ${roundedField(line, 'percent')}% on ${fieldText(line, 'worker')} for ${roundedField(line, 'stillMilliseconds')} ms`,
 };
 
-/** What a submission that was not taken was answered. */
+/** Texts for the response to a submission that was not accepted. */
 const REFUSAL_TEXTS: Readonly<Record<string, string>> = {
   refused: 'refused: the store had done nothing, the job never runs',
   unknown: 'answered as in doubt: the store may have taken it',
@@ -75,7 +75,7 @@
   id_in_use: 'refused: its id is that of another job',
 };
 
-/** Events that explain why a job waited, whichever job it is. */
+/** Events that explain why any job waited. */
 const DAEMON_EVENT_FORMATTERS: Partial<Record<LogEvent, EventFormatter>> = {
   [LogEvent.TermTaken]: line =>
     `this daemon is the coordinator, term ${roundedField(line, 'term')}`,
@@ -90,7 +90,7 @@
     `this daemon reached the store again after ${roundedField(line, 'ageMilliseconds')} ms`,
 };
 
-/** Events about a worker, told where a run of the job was on it. */
+/** Events about a worker, included if a run of the job was on it. */
 const WORKER_EVENT_FORMATTERS: Partial<Record<LogEvent, EventFormatter>> = {
   [LogEvent.WorkerSilent]: line =>
     `worker ${fieldText(line, 'worker')} does not answer`,
@@ -104,14 +104,14 @@
     `worker ${fieldText(line, 'worker')} is a suspect: ${fieldText(line, 'reason')}`,
 };
 
-/** Events about an organisation, told to its own jobs. */
+/** Events about an organisation, included in the timelines of its jobs. */
 const ORGANISATION_EVENT_FORMATTERS: Partial<Record<LogEvent, EventFormatter>> =
   {
     [LogEvent.OrganisationAtLimit]: line =>
       `more work of ${fieldText(line, 'organisation')} waits, since it would be over its limit`,
   };
 
-/** Reads log text: one JSON object a line, with anything before it left out. */
+/** Parses log text with one JSON object per line; ignores any prefix of a line. */
 export function parseLogLines(log: string): {
   readonly lines: readonly LogLine[];
   readonly unreadable: number;
@@ -129,22 +129,22 @@
   return {lines, unreadable};
 }
 
-/** Tells what the logs of all daemons say of a job; undefined when they do not name it. */
+/** Builds a job's timeline from the logs of all daemons; undefined if no line names the job. */
 export function buildJobTimeline(
   log: string,
   job: string,
 ): JobTimeline | undefined {
   const {lines, unreadable} = parseLogLines(log);
-  const own = lines.filter(line => jobOf(line) === job);
-  if (own.length === 0) return undefined;
-  const from = own[0].time - CONTEXT_BEFORE_JOB_MILLISECONDS;
-  const until = own[own.length - 1].time;
-  const workers = new Set(own.map(line => line.fields.worker));
-  const owner = own.find(line => line.fields.organisation !== undefined);
-  const told = lines.filter(
-    line => line.time >= from && line.time <= until && isTold(line),
+  const jobLines = lines.filter(line => jobOf(line) === job);
+  if (jobLines.length === 0) return undefined;
+  const from = jobLines[0].time - CONTEXT_BEFORE_JOB_MILLISECONDS;
+  const until = jobLines[jobLines.length - 1].time;
+  const workers = new Set(jobLines.map(line => line.fields.worker));
+  const owner = jobLines.find(line => line.fields.organisation !== undefined);
+  const relevantLines = lines.filter(
+    line => line.time >= from && line.time <= until && isRelevant(line),
   );
-  function isTold(line: LogLine): boolean {
+  function isRelevant(line: LogLine): boolean {
     if (jobOf(line) === job)
       return JOB_EVENT_FORMATTERS[line.event] !== undefined;
     if (DAEMON_EVENT_FORMATTERS[line.event]) return true;
@@ -155,8 +155,8 @@
   }
   return {
     job,
-    steps: told.map(toTimelineEntry),
-    gaps: longestGaps(own),
+    steps: relevantLines.map(toTimelineEntry),
+    gaps: longestGaps(jobLines),
     linesLeftOut: countDroppedLines(
       lines.filter(line => line.time >= from && line.time <= until),
     ),
@@ -171,19 +171,19 @@
     if (typeof time !== 'number' || typeof event !== 'number') return undefined;
     return {time, node: String(node), event, fields};
   } catch {
-    // Counted by the caller, which tells the reader of it.
+    // The caller counts unreadable lines and reports their number.
     return undefined;
   }
 }
 
-/** Lines that the daemons left out to bound the log, as they told. */
+/** Returns the number of lines that the daemons reported as dropped to limit the log volume. */
 export function countDroppedLines(lines: readonly LogLine[]): number {
   return lines
     .filter(line => line.event === LogEvent.LinesLeftOut)
     .reduce((sum, line) => sum + (Number(line.fields.count) || 0), 0);
 }
 
-/** The job that a line names, itself or by one of its tasks. */
+/** Returns the job that a line names, directly or through one of its tasks. */
 export function jobOf(line: LogLine): string | undefined {
   const {job, task} = line.fields;
   if (typeof job === 'string') return job;
@@ -191,23 +191,23 @@
 }
 
 function toTimelineEntry(line: LogLine): TimelineEntry {
-  const teller =
+  const formatter =
     JOB_EVENT_FORMATTERS[line.event] ??
     DAEMON_EVENT_FORMATTERS[line.event] ??
     ORGANISATION_EVENT_FORMATTERS[line.event] ??
     WORKER_EVENT_FORMATTERS[line.event];
-  const told = teller?.(line.fields) ?? LogEvent[line.event];
-  return {time: line.time, node: line.node, text: told};
+  const text = formatter?.(line.fields) ?? LogEvent[line.event];
+  return {time: line.time, node: line.node, text};
 }
 
-/** The longest times in which nothing happened to the job, with what ended them. */
-function longestGaps(own: readonly LogLine[]): TimelineGap[] {
+/** Returns the longest intervals without an event of the job, with an explanation of each. */
+function longestGaps(jobLines: readonly LogLine[]): TimelineGap[] {
   const gaps: TimelineGap[] = [];
-  for (let index = 1; index < own.length; index++) {
-    const milliseconds = own[index].time - own[index - 1].time;
+  for (let index = 1; index < jobLines.length; index++) {
+    const milliseconds = jobLines[index].time - jobLines[index - 1].time;
     if (milliseconds < MINIMUM_GAP_MILLISECONDS) continue;
-    const before = LogEvent[own[index - 1].event];
-    const after = LogEvent[own[index].event];
+    const before = LogEvent[jobLines[index - 1].event];
+    const after = LogEvent[jobLines[index].event];
     gaps.push({milliseconds, text: explainGap(before, after)});
   }
   gaps.sort((left, right) => right.milliseconds - left.milliseconds);
@@ -215,11 +215,11 @@
 }
 
 function explainGap(before: string, after: string): string {
-  const meaning = GAP_EXPLANATIONS[after] ?? 'nothing was noted';
+  const meaning = GAP_EXPLANATIONS[after] ?? 'no event was logged';
   return `from ${before} to ${after}: ${meaning}`;
 }
 
-/** What a job waits for before an event. */
+/** What a job may have waited for before an event. */
 const GAP_EXPLANATIONS: Readonly<Record<string, string>> = {
   RunOrdered: 'it waited for room, an earlier step or a coordinator',
   RunEnded: 'a task ran, or its worker was not heard of',
@@ -228,7 +228,7 @@
   JobEnded: 'the last end was on its way to the store',
 };
 
-/** The organisation that a line names, in words. */
+/** Returns the organisation that a line names as a suffix of its text; empty without one. */
 function organisationSuffix(fields: Readonly<Record<string, unknown>>): string {
   return fields.organisation === undefined
     ? ''
@@ -250,7 +250,7 @@
   return Number.isFinite(value) ? String(Math.round(value)) : '?';
 }
 
-/** A task's name without its job's. */
+/** Returns a task's name without the prefix of its job. */
 function taskWithoutJob(fields: Readonly<Record<string, unknown>>): string {
   const name = fieldText(fields, 'task');
   return name.slice(name.indexOf('.') + 1);
--- a/packages/cli/src/process-context.ts
+++ b/packages/cli/src/process-context.ts
@@ -2,13 +2,13 @@
 import {SystemClock} from '@gentiandoor/kernel';
 import type {CommandContext} from './command-context.js';
 
-/** Path that names standard input, as usual on a command line. */
+/** Path that stands for standard input, by convention. */
 const STANDARD_INPUT_PATH = '-';
 
-/** What a write to a pipe fails with whose reader has gone. */
+/** Error code of a write to a pipe whose reader has exited. */
 const BROKEN_PIPE_CODE = 'EPIPE';
 
-/** The world of the process. */
+/** Returns a context that uses the streams, files and environment of this process. */
 export function processContext(): CommandContext {
   process.stdout.on('error', exitOnBrokenPipe);
   return {
@@ -21,7 +21,10 @@
   };
 }
 
-/** `gentiandoor account day.log | head` reads the first lines and leaves: no failure, and nothing more to say. */
+/**
+ * Exits with 0 when the reader of the output has exited, as in
+ * `gentiandoor account day.log | head`: this is no failure, and no more output is needed.
+ */
 function exitOnBrokenPipe(error: NodeJS.ErrnoException): void {
   if (error.code !== BROKEN_PIPE_CODE) throw error;
   process.exit(0);
--- a/packages/cli/src/program.ts
+++ b/packages/cli/src/program.ts
@@ -34,7 +34,7 @@
   ...deploymentCommands,
 ];
 
-/** The operators' command line; `argv` as from the process. Resolves with the exit code. */
+/** Runs the operators' command line with the process's `argv`; resolves with the exit code. */
 export function runProgram(
   argv: string[],
   context: CommandContext,
--- a/packages/cli/src/publish-result.ts
+++ b/packages/cli/src/publish-result.ts
@@ -7,12 +7,12 @@
 import {CommandError} from './command-error.js';
 import {ExitCode} from './exit-codes.js';
 
-/** Prints what became of a record; throws `CommandError` when the fold rejected it. */
+/** Prints the outcome of a published record; throws `CommandError` if the fold rejected it. */
 export function printPublishResult(
   context: CommandContext,
   options: CommonOptions,
   result: PublishResult,
-  done: string,
+  successText: string,
 ): void {
   if (options.json) context.print(JSON.stringify(result));
   if (!result.accepted) {
@@ -23,6 +23,6 @@
   }
   if (!options.json)
     printResult(context, options, result, [
-      `${done} at offset ${result.offset}`,
+      `${successText} at offset ${result.offset}`,
     ]);
 }
--- a/packages/cli/src/report/chart-library.ts
+++ b/packages/cli/src/report/chart-library.ts
@@ -5,9 +5,9 @@
 const CHART_PACKAGE = 'chart.js';
 const CHART_SCRIPT = 'chart.umd.js';
 
-/** Script text of the plot library, for pages that need no network. */
+/** Reads the script of the chart library, which is embedded so that pages need no network. */
 export function readChartLibrary(): string {
-  // The package exports modules only; its browser script lies beside its main file.
+  // The package exports modules only; its browser script is in the folder of its main file.
   const main = createRequire(import.meta.url).resolve(CHART_PACKAGE);
   return readFileSync(join(dirname(main), CHART_SCRIPT), 'utf8');
 }
--- a/packages/cli/src/report/report-input.ts
+++ b/packages/cli/src/report/report-input.ts
@@ -16,10 +16,10 @@
 /** Result of one bench scenario, as `npm run bench -- --json FILE` writes it. */
 export type ReportScenario = z.output<typeof scenarioSchema>;
 
-/** Results by name of their scenario. */
+/** Results by scenario name. */
 export type ReportInput = z.output<typeof inputSchema>;
 
-/** Reads bench results; throws `CommandError` saying what is wrong. */
+/** Parses bench results; throws a `CommandError` that names the invalid field. */
 export function parseReportInput(text: string, path: string): ReportInput {
   const result = inputSchema.safeParse(parseJson(text, path));
   if (result.success) return result.data;
--- a/packages/cli/src/report/report-page.ts
+++ b/packages/cli/src/report/report-page.ts
@@ -27,30 +27,33 @@
 }
 `;
 
-/** One table of a page, drawn column by column. */
+/** One table of a page, with a chart for each column. */
 export interface PageSection {
   readonly rows: ReadonlyArray<{
     readonly label: string;
     readonly values: Readonly<Record<string, number>>;
   }>;
-  /** Seed and checks of a bench scenario; undefined where the rows are of none. */
+  /** Seed of the bench scenario; like `checks`, undefined if the rows do not come from one. */
   readonly seed?: number;
   readonly checks?: ReportScenario['checks'];
 }
 
-/** What stands above the sections of a page. */
+/** Title and remark above the sections of a page. */
 export interface PageHeading {
   readonly title: string;
   readonly remark: string;
 }
 
-/** A self-contained HTML page of bench results; `chartLibrary` is the script text of the plot library. */
+/**
+ * Renders bench results as a self-contained HTML page; `chartLibrary` is the script of the chart
+ * library.
+ */
 export function renderReport(input: ReportInput, chartLibrary: string): string {
   const remark = `${Object.keys(input).length} scenarios; ${countFailedChecks(input)} checks broken.`;
   return renderPage({title: 'gentiandoor report', remark}, input, chartLibrary);
 }
 
-/** A self-contained HTML page of tables with plots. */
+/** Renders tables with charts as a self-contained HTML page. */
 export function renderPage(
   {title, remark}: PageHeading,
   input: Readonly<Record<string, PageSection>>,
--- a/packages/cli/src/send-record.ts
+++ b/packages/cli/src/send-record.ts
@@ -9,19 +9,21 @@
 
 const OPERATOR_VARIABLE = 'USER';
 
-/** Sends an operator's record and prints what became of it; throws `CommandError` when refused. */
+/** Sends an operator's record and prints its offset; throws `CommandError` if it is refused. */
 export async function sendRecord(
   context: CommandContext,
   options: CommonOptions,
   path: string,
   body: object,
-  done: string,
+  successText: string,
 ): Promise<void> {
   const operator = context.environment[OPERATOR_VARIABLE];
-  const answer = (await withProgress(
+  const response = (await withProgress(
     context,
     'waiting for the platform\u2019s log',
     adminClient(context, options).post(path, {...body, operator}),
   )) as AcceptedBody;
-  printResult(context, options, answer, [`${done} at offset ${answer.offset}`]);
+  printResult(context, options, response, [
+    `${successText} at offset ${response.offset}`,
+  ]);
 }
--- a/packages/cli/src/vm-state.ts
+++ b/packages/cli/src/vm-state.ts
@@ -1,6 +1,6 @@
 import type {VmBody} from '@gentiandoor/plugin-fleet';
 
-/** What happens to a VM, in a few words. */
+/** Describes the state of a VM and its planned work in a few words. */
 export function vmState(vm: VmBody): string {
   if (vm.handedOver !== undefined) return `handed over: ${vm.handedOver}`;
   if (!vm.work) return vm.available ? 'available' : 'not available';
