--- a/packages/daemon/src/bin/gentiandoor-daemon.ts
+++ b/packages/daemon/src/bin/gentiandoor-daemon.ts
@@ -14,13 +14,13 @@
   const onSignal = () => {
     if (stopping) {
       isForced = true;
-      // The server says what is cut as it stops; the log line is flushed at the exit.
+      // The server logs what it aborts as it stops; the log line is flushed on exit.
       void daemon.stop().then(() => process.exit(FAILURE_EXIT_CODE));
       return;
     }
     stopping = true;
     void daemon.drainAndStop().then(() => {
-      // A forced stop ends the drain as well: without this a cut stop could end with 0.
+      // A forced stop also ends the drain; without this check it could exit with 0.
       if (!isForced) process.exit(0);
     }, exitWithError);
   };
--- a/packages/daemon/src/daemon-options.ts
+++ b/packages/daemon/src/daemon-options.ts
@@ -22,5 +22,5 @@
     .describe('Seed of the random source; a random one when missing.'),
 });
 
-/** Checked settings of the daemon itself. */
+/** Validated settings of the daemon itself. */
 export type DaemonOptions = z.output<typeof daemonOptions>;
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -2,16 +2,16 @@
 import {allPlugins} from './plugins.js';
 import {wireDaemon, type WiredDaemon, type WiringOverrides} from './wiring.js';
 
-/** An entry daemon. */
+/** An entry daemon: its wired components and their life cycle. */
 export class Daemon {
   private readonly wired: WiredDaemon;
 
-  /** Checks the settings; throws `SettingsError`. */
+  /** Validates the settings and wires the components; throws `SettingsError`. */
   constructor(settings: SettingsFile, overrides: WiringOverrides = {}) {
     this.wired = wireDaemon(settings, allPlugins(), overrides);
   }
 
-  /** A part by its name in the wiring; for tests and the demo. */
+  /** Returns a component by its registration name; for tests and the demo. */
   resolve<Part>(name: string): Part {
     return this.wired.container.resolve<Part>(name);
   }
@@ -23,7 +23,7 @@
     logger.info(LogEvent.DaemonStarted, {...identity, addresses});
   }
 
-  /** The graceful stop: takes nothing new, lets exchanges finish, then ends. */
+  /** Shuts down gracefully: accepts no new work, lets exchanges in flight finish, then stops. */
   async drainAndStop(): Promise<void> {
     const {drainState, lifeCycle, logger} = this.wired;
     logger.info(LogEvent.DaemonDraining);
@@ -33,7 +33,7 @@
     logger.info(LogEvent.DaemonStopped);
   }
 
-  /** Ends at once. */
+  /** Stops immediately, without draining. */
   async stop(): Promise<void> {
     await this.wired.lifeCycle.stop();
   }
--- a/packages/daemon/src/wiring.ts
+++ b/packages/daemon/src/wiring.ts
@@ -27,13 +27,13 @@
 const DAEMON_SECTION = 'daemon';
 const SEED_BOUND = 2 ** 31;
 
-/** Parts that tests replace. */
+/** Components that tests replace. */
 export interface WiringOverrides {
   readonly clock?: Clock;
   readonly logger?: Logger;
 }
 
-/** A wired daemon. */
+/** The components of a wired daemon that start, stop and identify it. */
 export interface WiredDaemon {
   readonly container: AwilixContainer;
   readonly identity: DaemonIdentity;
@@ -42,7 +42,10 @@
   readonly lifeCycle: LifeCycle;
 }
 
-/** Checks all settings and wires the parts; throws `SettingsError`. The only place where parts are joined. */
+/**
+ * Validates all settings and wires the components; throws `SettingsError`. This is the only place
+ * where components are wired.
+ */
 export function wireDaemon(
   settings: SettingsFile,
   registry: PluginRegistry,
