--- a/packages/plugin-admin/src/admin-options.ts
+++ b/packages/plugin-admin/src/admin-options.ts
@@ -27,5 +27,5 @@
     .describe('Longest time for a whole request to arrive.'),
 });
 
-/** Checked settings of the admin edge. */
+/** Validated settings of the admin plug-in. */
 export type AdminOptions = z.output<typeof adminOptions>;
--- a/packages/plugin-admin/src/admin-server.ts
+++ b/packages/plugin-admin/src/admin-server.ts
@@ -20,7 +20,7 @@
 import {BundleRoutes} from './bundle-routes.js';
 import {BodyRefusedError, readJsonBody} from './json-body.js';
 
-/** What the admin port needs. */
+/** Dependencies of `AdminServer`. */
 export interface AdminServerDependencies {
   readonly identity: DaemonIdentity;
   readonly drainState: DrainState;
@@ -32,12 +32,12 @@
   readonly adminOptions: AdminOptions;
 }
 
-/** Answer of GET /status. */
+/** Response body of GET /status. */
 export interface StatusView {
   readonly daemon: DaemonIdentity;
   readonly draining: boolean;
   readonly logReachable: boolean;
-  /** Offset of the next record this daemon will apply. */
+  /** Offset of the next record that this daemon will apply. */
   readonly offset: number;
   readonly bundle:
     | {
@@ -51,7 +51,7 @@
   readonly listedVms: number;
 }
 
-/** Health for the balancer, and status for operators. */
+/** Serves health checks to the load balancer and the admin routes to operators. */
 export class AdminServer implements Plugin {
   private readonly server: http.Server;
 
@@ -76,7 +76,7 @@
     new BundleRoutes(dependencies.sharedState).register(adminRoutes);
   }
 
-  /** The port in use. */
+  /** Port in use; 0 while the server is not listening. */
   get port(): number {
     const address = this.server.address();
     return typeof address === 'object' && address !== null ? address.port : 0;
@@ -147,19 +147,19 @@
       return await handler({path, query: firstValues(query), body});
     } catch (error) {
       if (!(error instanceof BodyRefusedError)) throw error;
-      // The rest of a refused body is not read: the connection ends with the answer.
+      // The rest of a refused body is not read, so the connection closes after the response.
       context.set('connection', 'close');
       return {status: error.status, body: {error: error.message}};
     }
   }
 
-  /** What keeps the balancer away. */
+  /** Components that are not ready, which keep the load balancer from sending requests. */
   get unreadyParts(): string[] {
     const {drainState, readiness, sharedState} = this.dependencies;
-    const found = readiness.unreadyParts();
-    if (drainState.isDraining) found.push('end of the graceful stop');
-    if (sharedState.state.inForce === undefined) found.push('bundle in force');
-    return found;
+    const parts = readiness.unreadyParts();
+    if (drainState.isDraining) parts.push('end of the graceful stop');
+    if (sharedState.state.inForce === undefined) parts.push('bundle in force');
+    return parts;
   }
 
   private isAuthorized(header: string): boolean {
--- a/packages/plugin-admin/src/bundle-routes.ts
+++ b/packages/plugin-admin/src/bundle-routes.ts
@@ -26,7 +26,7 @@
   signature: z.string(),
 });
 
-/** A bundle waiting for sign-offs, as the admin port shows it. */
+/** A bundle waiting for sign-offs, as returned by the admin port. */
 export interface ProposalView {
   readonly version: number;
   readonly base: number;
@@ -37,7 +37,7 @@
   readonly text: string;
 }
 
-/** The bundle in force, as the admin port shows it. */
+/** The bundle in force, as returned by the admin port. */
 export interface InForceView {
   readonly version: number;
   readonly digest: string;
@@ -46,13 +46,13 @@
   readonly text: string;
 }
 
-/** Answer of GET /bundles. */
+/** Response body of GET /bundles. */
 export interface BundlesView {
   readonly inForce: InForceView | undefined;
   readonly proposals: readonly ProposalView[];
 }
 
-/** Operators' paths for bundles. */
+/** Admin routes that show, propose and sign off bundles. */
 export class BundleRoutes {
   constructor(private readonly sharedState: SharedState) {}
 
@@ -98,7 +98,7 @@
     };
   }
 
-  /** Newest first. */
+  /** Returns the bundles that came into force, newest first. */
   private history(): BundleHistoryEntry[] {
     const {history} = this.sharedState.state;
     return [...history.values()].sort(
--- a/packages/plugin-admin/src/index.ts
+++ b/packages/plugin-admin/src/index.ts
@@ -7,7 +7,7 @@
 export type {BundlesView, InForceView, ProposalView} from './bundle-routes.js';
 export type {PublishResult} from './publish-operator-record.js';
 
-/** Registers the operators' edge. */
+/** Registers the plug-in that serves the admin port. */
 export function registerAdmin(registry: PluginRegistry): void {
   registry.add({
     name: 'admin',
--- a/packages/plugin-admin/src/json-body.ts
+++ b/packages/plugin-admin/src/json-body.ts
@@ -3,7 +3,7 @@
 const STATUS_BAD_REQUEST = 400;
 const STATUS_CONTENT_TOO_LARGE = 413;
 
-/** A body that no handler gets to see. */
+/** A request body that is rejected before it reaches a handler. */
 export class BodyRefusedError extends Error {
   constructor(
     /** HTTP status code. */
@@ -15,8 +15,8 @@
 }
 
 /**
- * Reads a body of up to `limit` bytes as JSON; throws `BodyRefused`. Without the limit one
- * call with the operators' key would fill the daemon's memory, and callers would be cut.
+ * Reads a body of up to `limit` bytes as JSON; throws `BodyRefusedError`. Without the limit, one
+ * call with the operators' key could fill the daemon's memory and cut off the callers.
  */
 export async function readJsonBody(
   request: IncomingMessage,
@@ -24,7 +24,7 @@
 ): Promise<unknown> {
   const chunks: Buffer[] = [];
   let length = 0;
-  // Not `for await`: it would destroy the connection, and the answer with it.
+  // `for await` would destroy the connection on an error, so that no response could be sent.
   const ended = new Promise<void>((resolve, reject) => {
     request.on('data', (chunk: Buffer) => {
       length += chunk.length;
@@ -33,7 +33,12 @@
     });
     request.once('end', resolve);
     request.once('close', () =>
-      reject(new BodyRefusedError(STATUS_BAD_REQUEST, 'the body was cut')),
+      reject(
+        new BodyRefusedError(
+          STATUS_BAD_REQUEST,
+          'the connection closed before the whole body arrived',
+        ),
+      ),
     );
   });
   await ended;
--- a/packages/plugin-admin/src/publish-operator-record.ts
+++ b/packages/plugin-admin/src/publish-operator-record.ts
@@ -6,25 +6,25 @@
   type SharedState,
 } from '@gentiandoor/shared-state';
 
-/** Longest wait for the log to take and return a record, in milliseconds. */
+/** Timeout for the log to append a record and return it, in milliseconds. */
 const PUBLISH_TIMEOUT_MILLISECONDS = 5000;
 
-/** What the fold made of an operator's record. */
+/** Outcome of an operator's record in the fold. */
 export interface PublishResult {
   readonly accepted: boolean;
   readonly offset: number;
-  /** Why it was rejected; undefined when it took effect. */
+  /** Why the record was rejected; undefined if it took effect. */
   readonly reason?: string;
   readonly detail?: string;
 }
 
-/** Publishes an operator's record and tells what became of it. */
+/** Publishes an operator's record and returns a response with its outcome. */
 export async function publishOperatorRecord(
   sharedState: SharedState,
   record: FleetRecord,
 ): Promise<AdminResponse> {
-  // A record that no fold can read would go to the log and never come back with a verdict:
-  // the operator would wait in vain and be told that its fate is unknown.
+  // A record that the fold cannot decode would be appended to the log and never get a result:
+  // the operator would wait for the timeout and then learn that the outcome is unknown.
   const decoded = decodeRecord(encodeRecord(record));
   if ('unreadable' in decoded)
     return {status: 400, body: {error: decoded.unreadable}};
@@ -40,12 +40,12 @@
     return {status: 200, body: result};
   } catch (error) {
     if (!(error instanceof PlatformLogError)) throw error;
-    const unknown =
-      'its fate is unknown; look at the status before you send it again';
+    const advice =
+      'its outcome is unknown; check the status before sending it again';
     return {
       status: 503,
       body: {
-        error: `the platform's log did not return the record (${error.message}): ${unknown}`,
+        error: `the platform's log did not return the record (${error.message}): ${advice}`,
       },
     };
   }
