--- a/packages/plugin-metrics/src/__tests__/prometheus-metrics.test.ts
+++ b/packages/plugin-metrics/src/__tests__/prometheus-metrics.test.ts
@@ -4,7 +4,7 @@
 import {PrometheusMetrics} from '../prometheus-metrics.js';
 
 describe('PrometheusMetrics', () => {
-  it('writes counters with their reasons and timings as histograms', async () => {
+  it('renders counters with their reason label and timings as histograms', async () => {
     const metrics = new PrometheusMetrics();
     metrics.increment(MetricName.RunRefusals, {reason: 'no_room'}, 2);
     metrics.timing(MetricName.JobIntakeDuration, 12);
--- a/packages/plugin-metrics/src/__tests__/statsd-metrics.test.ts
+++ b/packages/plugin-metrics/src/__tests__/statsd-metrics.test.ts
@@ -22,7 +22,7 @@
     return new StatsdMetrics({statsd_address: `127.0.0.1:${port}`});
   }
 
-  it('sends a counter with its tag when it stops, and keeps it in memory', async () => {
+  it('sends a counter with its tag on stop and keeps it in memory', async () => {
     const metrics = build();
     await metrics.start();
     const message = once(collector, 'message') as Promise<[Buffer]>;
@@ -39,7 +39,7 @@
     assert.equal(kept, 2);
   });
 
-  it('counts in memory only where no address is set', async () => {
+  it('counts only in memory without an address', async () => {
     const metrics = new StatsdMetrics({});
     await metrics.start();
     metrics.increment(MetricName.Retries, {reason: 'target_unreachable'});
@@ -48,7 +48,7 @@
     assert.equal(metrics.memory.value(MetricName.Retries, tags), 1);
   });
 
-  it('goes on when nobody listens', async () => {
+  it('keeps counting if the address is not listening', async () => {
     const metrics = new StatsdMetrics({statsd_address: '127.0.0.1:9'});
     await metrics.start();
     metrics.increment(MetricName.Requests, {service: 'desk'});
--- a/packages/plugin-metrics/src/index.ts
+++ b/packages/plugin-metrics/src/index.ts
@@ -6,7 +6,7 @@
 export {PrometheusMetrics} from './prometheus-metrics.js';
 export {StatsdMetrics} from './statsd-metrics.js';
 
-/** Registers the metrics edge. */
+/** Registers the metrics plug-in. */
 export function registerMetrics(registry: PluginRegistry): void {
   registry.add({
     name: 'metrics',
--- a/packages/plugin-metrics/src/metrics-options.ts
+++ b/packages/plugin-metrics/src/metrics-options.ts
@@ -8,5 +8,5 @@
     .describe('Where StatsD datagrams go; nothing is sent when it is missing.'),
 });
 
-/** Checked settings of the metrics plug-in. */
+/** Validated settings of the metrics plug-in. */
 export type MetricsOptions = z.output<typeof metricsOptions>;
--- a/packages/plugin-metrics/src/prometheus-metrics.ts
+++ b/packages/plugin-metrics/src/prometheus-metrics.ts
@@ -8,12 +8,12 @@
 } from '@gentiandoor/kernel';
 
 const PREFIX = 'gentiandoor_';
-/** From a store's answer to a caller's longest wait, in milliseconds. */
+/** Bucket bounds, from a store's response time to a caller's longest wait, in milliseconds. */
 const TIMING_BUCKETS_MILLISECONDS = [
   2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000,
 ];
 
-/** Keeps metrics in memory and writes them as the text that Prometheus reads. */
+/** Keeps metrics in memory and renders them in the Prometheus text format. */
 export class PrometheusMetrics implements Metrics {
   private readonly registry = new Registry();
   private readonly counters = new Map<MetricName, Counter>();
@@ -36,12 +36,12 @@
     this.timings.get(name)?.observe({...tags}, milliseconds);
   }
 
-  /** All metrics as text. */
+  /** Returns all metrics in the text format. */
   text(): Promise<string> {
     return this.registry.metrics();
   }
 
-  /** Media type of the text. */
+  /** Media type of the text format. */
   get contentType(): string {
     return this.registry.contentType;
   }
--- a/packages/plugin-metrics/src/statsd-metrics.ts
+++ b/packages/plugin-metrics/src/statsd-metrics.ts
@@ -11,7 +11,7 @@
 
 const PREFIX = 'gentiandoor.';
 
-/** Sends metrics to StatsD and keeps counters in memory for the admin port. */
+/** Sends metrics to StatsD and also keeps them in memory for the admin port. */
 export class StatsdMetrics implements Metrics, Plugin {
   readonly memory = new MemoryMetrics();
   private client: StatsD | undefined;
