--- a/packages/plugin-platform-leases/src/__tests__/http-lease-client.test.ts
+++ b/packages/plugin-platform-leases/src/__tests__/http-lease-client.test.ts
@@ -29,7 +29,7 @@
   payload: 'badge-1',
 };
 
-describe('the platform\u2019s leases over HTTP', () => {
+describe('the platform clients over HTTP', () => {
   const clock = new VirtualClock();
   const list = new MemoryVmList(clock);
   const leases = new MemoryLeaseClient(clock, () => ({
@@ -56,7 +56,7 @@
     await platform.stop();
   });
 
-  it('carry a task from its start to its end', async () => {
+  it('start a task once, renew its lease and report its end', async () => {
     const client = new HttpLeaseClient({platformCalls});
     assert.equal((await client.start(TASK)).state, TaskState.Running);
     await client.start(TASK);
@@ -67,7 +67,7 @@
     assert.equal(leases.startCounts.get(TASK.id), 1);
   });
 
-  it('bar a task that never started', async () => {
+  it('prevent a task stopped before its start from starting', async () => {
     const client = new HttpLeaseClient({platformCalls});
     const {state} = await client.stop('badge-2/1');
     assert.equal(state, TaskState.NeverStarted);
@@ -76,17 +76,17 @@
     assert.equal(leases.startCounts.has('badge-2/1'), false);
   });
 
-  it('report a refusal as a failed call, sent once', async () => {
+  it('reject with a PlatformRequestError if the platform refuses a call', async () => {
     const client = new HttpLeaseClient({platformCalls});
     leases.faults.add(LeaseFault.Outage);
     await assert.rejects(client.report(), PlatformRequestError);
     leases.faults.delete(LeaseFault.Outage);
   });
 
-  it('do a VM action of one id once', async () => {
+  it('run a VM action once per id', async () => {
     const id = 'admin-1';
-    const place = {address: '127.0.0.1:1', dataCentre: 'hall-a', rack: 'r1'};
-    list.put({id, ...place, state: ListedState.Live});
+    const location = {address: '127.0.0.1:1', dataCentre: 'hall-a', rack: 'r1'};
+    list.put({id, ...location, state: ListedState.Live});
     const client = new HttpVmActions({platformCalls});
     const request = {id: 'admin-1/7/1', vm: id, action: VmAction.Reboot};
     assert.equal(await client.requestAction(request), VmActionState.Running);
@@ -95,10 +95,12 @@
     assert.equal(actions.startedActions.length, 1);
   });
 
-  it('fail clearly without an address', async () => {
+  it('reject calls without an address', async () => {
     const options = {timeout_milliseconds: 100, connections: 1};
-    const calls = new PlatformClient({platformLeasesOptions: options});
-    const client = new HttpLeaseClient({platformCalls: calls});
+    const unconfiguredClient = new PlatformClient({
+      platformLeasesOptions: options,
+    });
+    const client = new HttpLeaseClient({platformCalls: unconfiguredClient});
     await assert.rejects(client.report(), /has no address/);
   });
 });
--- a/packages/plugin-platform-leases/src/http-lease-client.ts
+++ b/packages/plugin-platform-leases/src/http-lease-client.ts
@@ -20,7 +20,7 @@
 });
 const taskReportsSchema = z.object({tasks: z.array(taskReportSchema)});
 
-/** The platform's task leases over HTTP. */
+/** Client of the platform's task leases over HTTP. */
 export class HttpLeaseClient implements LeaseClient {
   private readonly client: PlatformClient;
 
--- a/packages/plugin-platform-leases/src/http-vm-actions.ts
+++ b/packages/plugin-platform-leases/src/http-vm-actions.ts
@@ -8,7 +8,7 @@
 
 const actionReportSchema = z.object({state: z.enum(VmActionState)});
 
-/** The platform's reboots and replacements over HTTP. */
+/** Requests reboots and replacements of VMs from the platform over HTTP. */
 export class HttpVmActions implements VmActions {
   private readonly client: PlatformClient;
 
--- a/packages/plugin-platform-leases/src/index.ts
+++ b/packages/plugin-platform-leases/src/index.ts
@@ -10,7 +10,7 @@
 export {HttpVmActions} from './http-vm-actions.js';
 export {PlatformRequestError, PlatformClient} from './platform-client.js';
 
-/** Registers the edge to the platform's task leases and VM actions. */
+/** Registers the clients of the platform's task leases and VM actions. */
 export function registerPlatformLeases(registry: PluginRegistry): void {
   registry.add({
     name: 'platform-leases',
--- a/packages/plugin-platform-leases/src/platform-client.ts
+++ b/packages/plugin-platform-leases/src/platform-client.ts
@@ -4,10 +4,10 @@
 
 const STATUS_OK = 200;
 
-/** A call that the platform refused or did not answer; it may have taken effect. */
+/** A call that the platform refused or that could not be sent; if sent, it may have taken effect. */
 export class PlatformRequestError extends Error {}
 
-/** Calls to the platform with a time limit and checked answers. Nothing is sent twice. */
+/** Calls the platform with a timeout and validates the responses; never retries a call. */
 export class PlatformClient {
   private readonly pool: Pool | undefined;
   private readonly options: PlatformLeasesOptions;
@@ -53,17 +53,17 @@
   ): Promise<z.output<Schema>> {
     if (!this.pool)
       throw new PlatformRequestError('[platform-leases] has no address');
-    const limit = AbortSignal.timeout(this.options.timeout_milliseconds);
-    const answer = await this.pool.request({
+    const timeout = AbortSignal.timeout(this.options.timeout_milliseconds);
+    const response = await this.pool.request({
       method,
       path,
       body,
       headers: {'content-type': 'application/json'},
-      signal: signal ? AbortSignal.any([limit, signal]) : limit,
+      signal: signal ? AbortSignal.any([timeout, signal]) : timeout,
     });
-    const value = await answer.body.json();
-    if (answer.statusCode !== STATUS_OK)
-      throw new PlatformRequestError(`${path}: status ${answer.statusCode}`);
+    const value = await response.body.json();
+    if (response.statusCode !== STATUS_OK)
+      throw new PlatformRequestError(`${path}: status ${response.statusCode}`);
     return schema.parse(value);
   }
 }
--- a/packages/plugin-platform-leases/src/platform-leases-options.ts
+++ b/packages/plugin-platform-leases/src/platform-leases-options.ts
@@ -16,5 +16,5 @@
     .describe('Connections to the platform.'),
 });
 
-/** Checked settings of the leases plug-in. */
+/** Validated settings of the leases plug-in. */
 export type PlatformLeasesOptions = z.output<typeof platformLeasesOptions>;
--- a/packages/plugin-platform-leases/src/platform-leases-plugin.ts
+++ b/packages/plugin-platform-leases/src/platform-leases-plugin.ts
@@ -1,7 +1,7 @@
 import type {Plugin} from '@gentiandoor/kernel';
 import type {PlatformClient} from './platform-client.js';
 
-/** Life cycle of the edge: connections open with the first call and end with the daemon. */
+/** Closes the platform client's connections on stop; they open with the first call. */
 export class PlatformLeasesPlugin implements Plugin {
   private readonly client: PlatformClient;
 
