--- a/packages/plugin-platform-list/src/__tests__/http-vm-list.test.ts
+++ b/packages/plugin-platform-list/src/__tests__/http-vm-list.test.ts
@@ -14,14 +14,14 @@
 };
 const POLL_MILLISECONDS = 1000;
 
-/** Answers each poll with the next of its answers; undefined is a failure of the platform. */
+/** Responds to each poll with the next scripted response; undefined is a platform failure. */
 class ScriptedPlatform {
   readonly requestedPaths: string[] = [];
   private readonly server = http.createServer((request, response) => {
-    const answer = this.responses[this.requestedPaths.length];
+    const body = this.responses[this.requestedPaths.length];
     this.requestedPaths.push(request.url ?? '');
-    response.statusCode = answer === undefined ? 503 : 200;
-    response.end(JSON.stringify(answer ?? {error: 'out'}));
+    response.statusCode = body === undefined ? 503 : 200;
+    response.end(JSON.stringify(body ?? {error: 'out'}));
   });
 
   constructor(private readonly responses: ReadonlyArray<object | undefined>) {}
@@ -72,17 +72,17 @@
   });
 
   async function pollOnce(): Promise<void> {
-    const wanted = platform.requestedPaths.length + 1;
+    const expectedCount = platform.requestedPaths.length + 1;
     clock.advance(POLL_MILLISECONDS);
-    while (platform.requestedPaths.length < wanted)
+    while (platform.requestedPaths.length < expectedCount)
       await new Promise(resolve => setImmediate(resolve));
     for (let turn = 0; turn < 50; turn++)
       await new Promise(resolve => setTimeout(resolve, 1));
   }
 
-  it('reads the whole list first, then only what is newer, and keeps the last one through a failure', async () => {
-    // The platform fails at the third poll: routing goes on with the list as last read,
-    // and the next answer is asked for from the same version, so that no change is lost.
+  it('reads the whole list first, then only changes, and keeps the last list through a failure', async () => {
+    // The platform fails at the third poll. Routing continues with the last list, and the next
+    // poll requests changes since the same version, so that no change is lost.
     assert.deepEqual([...list.current().keys()], ['a']);
     await pollOnce();
     assert.equal(changes, 1);
--- a/packages/plugin-platform-list/src/http-vm-list.ts
+++ b/packages/plugin-platform-list/src/http-vm-list.ts
@@ -32,7 +32,7 @@
 });
 type ListBody = z.output<typeof listBodySchema>;
 
-/** What the list needs. */
+/** Dependencies of `HttpVmList`. */
 export interface HttpVmListDependencies {
   readonly clock: Clock;
   readonly logger: Logger;
@@ -40,7 +40,7 @@
   readonly platformListOptions: PlatformListOptions;
 }
 
-/** Polls the platform's list of VMs; keeps the last one while the platform is gone. */
+/** Polls the platform's list of VMs; keeps the last list while the platform is unreachable. */
 export class HttpVmList implements VmList, Plugin {
   private vms: ReadonlyMap<string, ListedVm> = new Map();
   private version: number | undefined;
@@ -107,7 +107,7 @@
     }
   }
 
-  /** True when the answer changed something. */
+  /** Applies a response to the list; returns whether the list changed. */
   private apply(body: ListBody): boolean {
     const vms = new Map(body.whole ? [] : this.vms);
     for (const vm of body.vms) vms.set(vm.id, vm);
@@ -120,21 +120,21 @@
   }
 
   /**
-   * Asks only for what is newer than the version it has: the whole list of 31,000 VMs is
-   * about 3 MB, and read every second by every daemon it would be all that the network carries.
+   * Requests only changes since the current version. The whole list of 31,000 VMs is about 3 MB;
+   * if every daemon read it every second, it would saturate the network.
    */
   private async fetchList(): Promise<ListBody> {
     const timeout = AbortSignal.timeout(
       this.dependencies.platformListOptions.timeout_milliseconds,
     );
-    const answer = await this.pool.request({
+    const response = await this.pool.request({
       path: this.version === undefined ? '/vms' : `/vms?since=${this.version}`,
       method: 'GET',
       signal: AbortSignal.any([timeout, this.stopController.signal]),
     });
-    const body = await answer.body.json();
-    if (answer.statusCode !== 200)
-      throw new Error(`status ${answer.statusCode}`);
+    const body = await response.body.json();
+    if (response.statusCode !== 200)
+      throw new Error(`status ${response.statusCode}`);
     return listBodySchema.parse(body);
   }
 }
--- a/packages/plugin-platform-list/src/index.ts
+++ b/packages/plugin-platform-list/src/index.ts
@@ -5,7 +5,7 @@
 
 export {HttpVmList} from './http-vm-list.js';
 
-/** Registers the edge to the platform's list of VMs. */
+/** Registers the client of the platform's list of VMs. */
 export function registerPlatformList(registry: PluginRegistry): void {
   registry.add({
     name: 'platform-list',
--- a/packages/plugin-platform-list/src/platform-list-options.ts
+++ b/packages/plugin-platform-list/src/platform-list-options.ts
@@ -14,5 +14,5 @@
     .describe("Longest wait for the platform's answer."),
 });
 
-/** Checked settings of the VM list plug-in. */
+/** Validated settings of the VM list plug-in. */
 export type PlatformListOptions = z.output<typeof platformListOptions>;
