--- a/packages/plugin-platform-log/src/http-platform-log.ts
+++ b/packages/plugin-platform-log/src/http-platform-log.ts
@@ -30,7 +30,7 @@
 });
 const gapBodySchema = z.object({oldest: offsetSchema});
 
-/** Failures before a byte of the call went out: nothing can have been appended. */
+/** Errors that occur before any byte of a call is sent, so nothing can have been appended. */
 const NOT_SENT_ERROR_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -43,7 +43,7 @@
   readonly body: Buffer;
 }
 
-/** The platform's log over HTTP with MessagePack bodies. */
+/** Client of the platform's log over HTTP with MessagePack bodies. */
 export class HttpPlatformLog implements PlatformLog, Plugin {
   private pool: Pool;
 
@@ -62,7 +62,7 @@
     payloads: readonly Uint8Array[],
     signal?: AbortSignal,
   ): Promise<AppendPosition> {
-    const answer = await this.request(
+    const response = await this.request(
       {
         path: `/streams/${stream}/records`,
         method: 'POST',
@@ -71,7 +71,7 @@
       this.options.timeout_milliseconds,
       signal,
     );
-    return {firstOffset: parseResponse(appendBodySchema, answer).first};
+    return {firstOffset: parseResponse(appendBodySchema, response).first};
   }
 
   async read(
@@ -82,16 +82,16 @@
   ): Promise<LogBatch> {
     const {limit, waitMilliseconds} = options;
     const query = `from=${from}&limit=${limit}&wait=${waitMilliseconds}`;
-    const answer = await this.request(
+    const response = await this.request(
       {path: `/streams/${stream}/records?${query}`, method: 'GET'},
       this.options.timeout_milliseconds + waitMilliseconds,
       signal,
     );
-    const batch = parseResponse(readBodySchema, answer);
+    const batch = parseResponse(readBodySchema, response);
     if (batch.from !== from)
       throw new PlatformLogError(
         PlatformLogFailure.NoResponse,
-        `the log answered from offset ${batch.from}, asked for ${from}`,
+        `the log returned records from offset ${batch.from}, expected ${from}`,
       );
     const {end, oldest, records} = batch;
     return {from, end, oldest, payloads: records};
@@ -103,11 +103,16 @@
     signal?: AbortSignal,
   ): Promise<HttpResponse> {
     const timeout = AbortSignal.timeout(timeoutMilliseconds);
-    const either = signal ? AbortSignal.any([signal, timeout]) : timeout;
+    const combinedSignal = signal
+      ? AbortSignal.any([signal, timeout])
+      : timeout;
     try {
-      const answer = await this.pool.request({...request, signal: either});
-      const body = Buffer.from(await answer.body.arrayBuffer());
-      return {status: answer.statusCode, body};
+      const response = await this.pool.request({
+        ...request,
+        signal: combinedSignal,
+      });
+      const body = Buffer.from(await response.body.arrayBuffer());
+      return {status: response.statusCode, body};
     } catch (thrown) {
       if (timeout.aborted) this.replacePool();
       throw toPlatformLogError(toError(thrown));
@@ -115,14 +120,15 @@
   }
 
   /**
-   * A call without an answer may mean a connection that something on the way has forgotten:
-   * it stays open and brings nothing. Its siblings took the same way, so none is used again;
-   * new connections work. Calls still out on the old ones end by their own time.
+   * Replaces all connections after a timeout. A missing response may mean that a network device
+   * on the path has dropped the connection's state: the connection stays open and carries nothing.
+   * The other connections use the same path, so none of them is reused; new connections work.
+   * Calls still in flight on the old connections end with their own timeouts.
    */
   private replacePool(): void {
-    const old = this.pool;
+    const previousPool = this.pool;
     this.pool = this.openPool();
-    old.close().catch(() => undefined);
+    previousPool.close().catch(() => undefined);
   }
 
   private openPool(): Pool {
@@ -144,12 +150,12 @@
   return new PlatformLogError(failure, error.message, {cause: error});
 }
 
-/** The checked body; throws `PlatformLogError` for anything but a whole, well-formed answer. */
+/** Returns the validated body; throws `PlatformLogError` unless the response is well-formed. */
 function parseResponse<Value>(
   schema: z.ZodType<Value>,
-  answer: HttpResponse,
+  response: HttpResponse,
 ): Value {
-  const {status, body} = answer;
+  const {status, body} = response;
   if (status === 200) return unpackBody(schema, body);
   if (status === 410)
     throw new LogGapError(unpackBody(gapBodySchema, body).oldest);
@@ -167,7 +173,7 @@
   } catch (error) {
     throw new PlatformLogError(
       PlatformLogFailure.NoResponse,
-      `the log's answer is malformed: ${toError(error).message}`,
+      `the log's response is malformed: ${toError(error).message}`,
       {cause: error},
     );
   }
--- a/packages/plugin-platform-log/src/index.ts
+++ b/packages/plugin-platform-log/src/index.ts
@@ -8,7 +8,7 @@
 
 export {HttpPlatformLog} from './http-platform-log.js';
 
-/** Registers the edge to the platform's log. */
+/** Registers the client of the platform's log. */
 export function registerPlatformLog(registry: PluginRegistry): void {
   registry.add({
     name: 'platform-log',
--- a/packages/plugin-platform-log/src/platform-log-options.ts
+++ b/packages/plugin-platform-log/src/platform-log-options.ts
@@ -13,5 +13,5 @@
     ),
 });
 
-/** Checked settings of the platform log plug-in. */
+/** Validated settings of the platform log plug-in. */
 export type PlatformLogOptions = z.output<typeof platformLogOptions>;
