--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,4 +1,4 @@
-// Bundles the entry daemon into one file: unbundled, its start reads several hundred files.
+// Bundles the entry daemon into one file; unbundled, its start reads several hundred files.
 import {build} from 'esbuild-wasm';
 
 await build({
--- a/scripts/prepare.mjs
+++ b/scripts/prepare.mjs
@@ -1,11 +1,11 @@
-// Makes a bare clone ready: installs what package-lock.json names, then builds.
+// Prepares a fresh clone: installs the packages of package-lock.json, then builds.
 // Runs before `npm test` and `npm run demo`; does only what is missing.
 import {existsSync} from 'node:fs';
 import {spawnSync} from 'node:child_process';
 
 function run(...commandLine) {
-  const [command, ...words] = commandLine;
-  const result = spawnSync(command, words, {stdio: 'inherit'});
+  const [command, ...args] = commandLine;
+  const result = spawnSync(command, args, {stdio: 'inherit'});
   if (result.status !== 0) process.exit(result.status ?? 1);
 }
 
--- a/scripts/run-tests.mjs
+++ b/scripts/run-tests.mjs
@@ -1,12 +1,13 @@
-// Runs all built tests. Tests that KNOWN-RED.txt names may fail and are printed; any other failure fails the
-// run, and so does an entry whose test passed or did not run, so that no entry outlives its fault.
+// Runs all built tests. Tests listed in KNOWN-RED.txt may fail and are printed; any other failure
+// fails the run. So does an entry whose test passed or did not run, so that no entry remains after
+// its fault is fixed.
 import {existsSync, readFileSync, readdirSync} from 'node:fs';
 import path from 'node:path';
 import {run} from 'node:test';
 import {spec} from 'node:test/reporters';
 
 const KNOWN_RED_FILE = 'KNOWN-RED.txt';
-/** Begins the line of an entry that names its test: describe blocks and test, joined by NAME_SEPARATOR. */
+/** Prefix of the line that names a test: describe blocks and test, joined by NAME_SEPARATOR. */
 const TEST_PREFIX = 'test: ';
 const NAME_SEPARATOR = ' > ';
 const TEST_TIMEOUT_MILLISECONDS = 120_000;
@@ -29,11 +30,11 @@
   });
 }
 
-/** Names tests by the blocks around them; each file reports its blocks and tests in order. */
+/** Builds full test names from enclosing blocks; each file reports blocks and tests in order. */
 class TestNames {
   #blocksByFile = new Map();
 
-  noteStart({file, nesting, name}) {
+  recordStart({file, nesting, name}) {
     const blocks = this.#blocksByFile.get(file) ?? [];
     this.#blocksByFile.set(file, [...blocks.slice(0, nesting), name]);
   }
@@ -46,7 +47,7 @@
 
 const knownRed = readKnownRed();
 const names = new TestNames();
-const failedAsKnown = new Set();
+const knownFailures = new Set();
 const failed = new Set();
 
 const tests = run({
@@ -56,16 +57,16 @@
   concurrency: true,
   timeout: TEST_TIMEOUT_MILLISECONDS,
 });
-tests.on('test:start', data => names.noteStart(data));
+tests.on('test:start', data => names.recordStart(data));
 tests.on('test:fail', data => {
-  // A block fails with its tests, which are reported by themselves.
+  // A block also fails if one of its tests fails; that test is reported separately.
   if (data.details.error?.failureType === 'subtestsFailed') return;
   const name = names.nameOf(data);
-  (knownRed.has(name) ? failedAsKnown : failed).add(name);
+  (knownRed.has(name) ? knownFailures : failed).add(name);
 });
 tests.on('end', () => {
-  const stale = [...knownRed].filter(name => !failedAsKnown.has(name));
-  for (const name of failedAsKnown) console.log(`known red: ${name}`);
+  const stale = [...knownRed].filter(name => !knownFailures.has(name));
+  for (const name of knownFailures) console.log(`known red: ${name}`);
   for (const name of stale)
     console.error(`${KNOWN_RED_FILE} names a test that did not fail: ${name}`);
   if (failed.size > 0 || stale.length > 0) process.exitCode = 1;
