--- a/packages/plugin-shared-state/src/state-replica.ts
+++ b/packages/plugin-shared-state/src/state-replica.ts
@@ -183,7 +183,7 @@
     metrics.increment(MetricName.StateHashDifferences);
     logger.error(LogEvent.StateHashDiffers, {
       offset,
-      detail: 'a record received from a peer differs from the one in the log',
+      detail: 'a record from a peer is not the one in the log',
     });
     this.live = emptyFleetState(this.trustedOperators);
     this.verifiedOffset = 0;
--- a/packages/shared-state/src/budget-check.ts
+++ b/packages/shared-state/src/budget-check.ts
@@ -125,7 +125,7 @@
   if (pool.planned + 1 > leavingAtOnce) {
     return {
       reason: RejectionReason.LeavingLimit,
-      detail: `service ${name} allows planned work on ${leavingAtOnce} VMs at one time, and ${pool.planned} VMs of pool ${service.pool} are already out of service for it; wait for one to return`,
+      detail: `service ${name} lets ${leavingAtOnce} VMs leave at one time and ${pool.planned} of pool ${service.pool} are out by plan; wait for one to return`,
     };
   }
   const lost = largestFailureDomainLoss(pool, survive, index.locationOf(vm));
