--- a/packages/specification/src/__tests__/claim-fold-conformance.test.ts
+++ b/packages/specification/src/__tests__/claim-fold-conformance.test.ts
@@ -24,22 +24,22 @@
   rejections: 2,
 }).create();
 
-/** A batch of the specification as a daemon writes it. */
+/** Converts a batch of the specification to the batch that a daemon writes. */
 function toClaimBatch({
   holder,
   sequence,
   claims,
   releases,
 }: ModelClaimBatch): ClaimBatch {
-  const name = (attempt: number) => ({key: KEY, attempt});
+  const claimId = (attempt: number) => ({key: KEY, attempt});
   return {
     holder,
     sequence,
     claims: claims.map(attempt => ({
-      ...name(attempt),
+      ...claimId(attempt),
       fingerprint: FINGERPRINT,
     })),
-    releases: releases.map(name),
+    releases: releases.map(claimId),
     outcomes: [],
     heir: '',
   };
@@ -51,7 +51,7 @@
   return !table.apply(decoded).stale;
 }
 
-describe('the real fold of claims', () => {
+describe('the production fold of claims', () => {
   it('agrees with the specification after every append of a random walk', () => {
     fc.assert(
       fc.property(
@@ -63,18 +63,18 @@
         choices => {
           let state = SPECIFICATION.initialState;
           const table = new ClaimTable(10);
-          let seen = 0;
+          let appliedCount = 0;
           for (const choice of choices) {
             const events = SPECIFICATION.enabledEvents(state);
             if (events.length === 0) break;
             state = SPECIFICATION.step(state, events[choice % events.length]);
-            const isCounted = state.log
-              .slice(seen)
+            const acceptedByTable = state.log
+              .slice(appliedCount)
               .map(batch => applyToClaimTable(table, batch));
-            const {owner, accepted: counted} = foldClaims(state.log, true);
-            assert.deepEqual(isCounted, counted.slice(seen));
+            const {owner, accepted} = foldClaims(state.log, true);
+            assert.deepEqual(acceptedByTable, accepted.slice(appliedCount));
             assert.equal(table.get(KEY)?.attempt, owner);
-            seen = state.log.length;
+            appliedCount = state.log.length;
           }
         },
       ),
@@ -82,7 +82,7 @@
     );
   });
 
-  it('agrees with the specification on logs in any order, with copies', () => {
+  it('agrees with the specification on logs in any order, with duplicates', () => {
     const batch = fc.record({
       holder: fc.constantFrom('a1', 'b1', 'a2'),
       sequence: fc.integer({min: 1, max: 4}),
@@ -91,17 +91,23 @@
     });
     fc.assert(
       fc.property(fc.array(batch, {maxLength: 12, size: 'max'}), log => {
-        // An attempt belongs to one incarnation: its number tells which.
+        // Each attempt belongs to one incarnation, which its number selects.
         const holders = ['a1', 'b1', 'a2', 'a1'];
-        const owned = log.map(item => ({
-          ...item,
-          claims: item.claims.filter(of => holders[of] === item.holder),
-          releases: item.releases.filter(of => holders[of] === item.holder),
+        const owned = log.map(ownBatch => ({
+          ...ownBatch,
+          claims: ownBatch.claims.filter(
+            attempt => holders[attempt] === ownBatch.holder,
+          ),
+          releases: ownBatch.releases.filter(
+            attempt => holders[attempt] === ownBatch.holder,
+          ),
         }));
         const table = new ClaimTable(10);
-        const isCounted = owned.map(item => applyToClaimTable(table, item));
-        const {owner, accepted: counted} = foldClaims(owned, true);
-        assert.deepEqual(isCounted, counted);
+        const acceptedByTable = owned.map(ownBatch =>
+          applyToClaimTable(table, ownBatch),
+        );
+        const {owner, accepted} = foldClaims(owned, true);
+        assert.deepEqual(acceptedByTable, accepted);
         assert.equal(table.get(KEY)?.attempt, owner);
       }),
       {numRuns: RUNS, seed: SEED},
--- a/packages/specification/src/__tests__/claims-commands.ts
+++ b/packages/specification/src/__tests__/claims-commands.ts
@@ -12,10 +12,10 @@
 const NAMES = ['entry-1', 'entry-2', 'entry-3'];
 const MAXIMUM_PAUSE_MILLISECONDS = 4000;
 
-/** The daemons under test, and the scheduler's hold on their steps. */
+/** The daemons under test and control over the scheduler of their steps. */
 export interface ClaimsUnderTest {
   readonly fleet: ClaimsFleet;
-  /** Steps that wait to go on. */
+  /** Returns the number of steps that wait to continue. */
   waitingStepCount(): number;
   releaseOneStep(): Promise<void>;
 }
@@ -27,7 +27,7 @@
     return true;
   }
 
-  abstract run(ledger: KeyedRequestModel, real: ClaimsUnderTest): Promise<void>;
+  abstract run(model: KeyedRequestModel, real: ClaimsUnderTest): Promise<void>;
 
   abstract toString(): string;
 }
@@ -40,13 +40,10 @@
     super();
   }
 
-  async run(
-    ledger: KeyedRequestModel,
-    {fleet}: ClaimsUnderTest,
-  ): Promise<void> {
+  async run(model: KeyedRequestModel, {fleet}: ClaimsUnderTest): Promise<void> {
     const daemon = fleet.daemons.get(this.name)!;
-    const entry = ledger.begin(this.key, daemon.incarnation);
-    requestInBackground(ledger, fleet, daemon, entry);
+    const attempt = model.begin(this.key, daemon.incarnation);
+    requestInBackground(model, fleet, daemon, attempt);
     await fleet.advance(0);
   }
 
@@ -60,7 +57,7 @@
     super();
   }
 
-  async run(_ledger: KeyedRequestModel, real: ClaimsUnderTest): Promise<void> {
+  async run(_model: KeyedRequestModel, real: ClaimsUnderTest): Promise<void> {
     for (
       let step = 0;
       step < this.steps && real.waitingStepCount() > 0;
@@ -82,7 +79,7 @@
   }
 
   async run(
-    _ledger: KeyedRequestModel,
+    _model: KeyedRequestModel,
     {fleet}: ClaimsUnderTest,
   ): Promise<void> {
     await fleet.advance(this.milliseconds);
@@ -108,17 +105,14 @@
     super();
   }
 
-  async run(
-    ledger: KeyedRequestModel,
-    {fleet}: ClaimsUnderTest,
-  ): Promise<void> {
-    const holding = ledger.attemptsHoldingClaim();
-    if (holding.length === 0) return;
-    const entry = holding[this.claimIndex % holding.length];
-    const claim = entry.outcome!.claim!;
-    ledger[this.ending](entry);
+  async run(model: KeyedRequestModel, {fleet}: ClaimsUnderTest): Promise<void> {
+    const heldAttempts = model.attemptsHoldingClaim();
+    if (heldAttempts.length === 0) return;
+    const attempt = heldAttempts[this.claimIndex % heldAttempts.length];
+    const claim = attempt.outcome!.claim!;
+    model[this.ending](attempt);
     if (this.ending === ClaimEnding.Finish)
-      claim.finish(answerOf(answerText(entry.key)));
+      claim.finish(answerOf(answerText(attempt.key)));
     else claim[this.ending]();
     await fleet.advance(0);
   }
@@ -137,7 +131,7 @@
   }
 
   async run(
-    _ledger: KeyedRequestModel,
+    _model: KeyedRequestModel,
     {fleet}: ClaimsUnderTest,
   ): Promise<void> {
     fleet.daemons.get(this.name)!.log.nextAppendResults.push(this.result);
@@ -154,7 +148,7 @@
   }
 
   async run(
-    _ledger: KeyedRequestModel,
+    _model: KeyedRequestModel,
     {fleet}: ClaimsUnderTest,
   ): Promise<void> {
     await fleet.daemons.get(this.name)!.log.applyDelayed();
@@ -175,7 +169,7 @@
   }
 
   async run(
-    _ledger: KeyedRequestModel,
+    _model: KeyedRequestModel,
     {fleet}: ClaimsUnderTest,
   ): Promise<void> {
     fleet.daemons.get(this.name)!.log.isUnreachable = this.isUnreachable;
@@ -192,7 +186,7 @@
   }
 
   async run(
-    _ledger: KeyedRequestModel,
+    _model: KeyedRequestModel,
     {fleet}: ClaimsUnderTest,
   ): Promise<void> {
     if (this.isUnreachable) fleet.network.partition('hall-a', 'hall-b');
@@ -209,9 +203,9 @@
     super();
   }
 
-  async run(ledger: KeyedRequestModel, real: ClaimsUnderTest): Promise<void> {
+  async run(model: KeyedRequestModel, real: ClaimsUnderTest): Promise<void> {
     const daemon = real.fleet.daemons.get(this.name)!;
-    ledger.crash(daemon.incarnation);
+    model.crash(daemon.incarnation);
     await runReleasingAllSteps(real, real.fleet.crash(daemon));
     await runReleasingAllSteps(
       real,
@@ -226,18 +220,18 @@
 
 const IDLE_STEP_MILLISECONDS = 10;
 
-/** Runs work to its end while every step goes on. */
+/** Runs work to its end, releasing every waiting step. */
 export async function runReleasingAllSteps<Value>(
   real: ClaimsUnderTest,
   work: Promise<Value>,
 ): Promise<Value> {
-  let isOpen = true;
+  let isPending = true;
   const ended = work.finally(() => {
-    isOpen = false;
+    isPending = false;
   });
   ended.catch(() => undefined);
   await new Promise(resolve => setImmediate(resolve));
-  while (isOpen) {
+  while (isPending) {
     if (real.waitingStepCount() > 0) await real.releaseOneStep();
     else await real.fleet.advance(IDLE_STEP_MILLISECONDS);
     await new Promise(resolve => setImmediate(resolve));
@@ -245,13 +239,13 @@
   return ended;
 }
 
-const pickName = fc.constantFrom(...NAMES);
-const pickWhich = fc.nat({max: 3});
+const daemonNames = fc.constantFrom(...NAMES);
+const claimIndexes = fc.nat({max: 3});
 
-/** Everything that callers, targets, the network and the platform may do. */
+/** All actions of callers, targets, the network and the platform. */
 export const CLAIMS_COMMANDS: ReadonlyArray<fc.Arbitrary<ClaimsCommand>> = [
   fc
-    .tuple(pickName, fc.constantFrom(...KEYS))
+    .tuple(daemonNames, fc.constantFrom(...KEYS))
     .map(([name, key]) => new RequestKey(name, key)),
   fc.integer({min: 1, max: 12}).map(steps => new ReleaseSteps(steps)),
   fc.integer({min: 1, max: 12}).map(steps => new ReleaseSteps(steps)),
@@ -259,22 +253,24 @@
     .integer({min: 1, max: MAXIMUM_PAUSE_MILLISECONDS})
     .map(milliseconds => new AdvanceTime(milliseconds)),
   fc
-    .tuple(pickWhich, fc.constantFrom(...Object.values(ClaimEnding)))
-    .map(([which, ending]) => new EndClaim(which, ending)),
+    .tuple(claimIndexes, fc.constantFrom(...Object.values(ClaimEnding)))
+    .map(([claimIndex, ending]) => new EndClaim(claimIndex, ending)),
   fc
-    .tuple(pickName, fc.constantFrom(...Object.values(InjectedAppendResult)))
-    .map(([name, fate]) => new InjectAppendResult(name, fate)),
-  pickName.map(name => new ApplyDelayedAppends(name)),
+    .tuple(daemonNames, fc.constantFrom(...Object.values(InjectedAppendResult)))
+    .map(([name, result]) => new InjectAppendResult(name, result)),
+  daemonNames.map(name => new ApplyDelayedAppends(name)),
   fc
-    .tuple(pickName, fc.boolean())
-    .map(([name, isCut]) => new SetLogReachability(name, isCut)),
-  fc.boolean().map(isCut => new SetPeerReachability(isCut)),
-  pickName.map(name => new CrashDaemon(name)),
+    .tuple(daemonNames, fc.boolean())
+    .map(
+      ([name, isUnreachable]) => new SetLogReachability(name, isUnreachable),
+    ),
+  fc.boolean().map(isUnreachable => new SetPeerReachability(isUnreachable)),
+  daemonNames.map(name => new CrashDaemon(name)),
 ];
 
-/** Mends everything, ends what runs, and asks for every key once more. */
+/** Ends all faults, releases all held claims and requests every key at every daemon again. */
 export async function checkAfterRecovery(
-  ledger: KeyedRequestModel,
+  model: KeyedRequestModel,
   real: ClaimsUnderTest,
 ): Promise<void> {
   const {fleet} = real;
@@ -288,16 +284,16 @@
     real,
     advanceInSteps(fleet, RECOVERY_MILLISECONDS),
   );
-  for (const entry of ledger.attemptsHoldingClaim()) {
-    ledger.release(entry);
-    entry.outcome!.claim!.release();
+  for (const attempt of model.attemptsHoldingClaim()) {
+    model.release(attempt);
+    attempt.outcome!.claim!.release();
   }
   await runReleasingAllSteps(real, advanceInSteps(fleet, RELEASE_MILLISECONDS));
   for (const key of KEYS) {
     for (const daemon of fleet.daemons.values()) {
-      const told = await runReleasingAllSteps(real, fleet.ask(daemon, key));
-      ledger.checkAfterRecovery(key, told);
-      told.claim?.release();
+      const outcome = await runReleasingAllSteps(real, fleet.ask(daemon, key));
+      model.checkAfterRecovery(key, outcome);
+      outcome.claim?.release();
       await runReleasingAllSteps(
         real,
         advanceInSteps(fleet, RELEASE_MILLISECONDS),
@@ -324,7 +320,7 @@
   }
 }
 
-/** Names of the daemons, with the data centres they start in. */
+/** Names of the daemons and the data centres in which they start. */
 export const DAEMON_PLACEMENTS: ReadonlyArray<readonly [string, string]> = [
   [NAMES[0], 'hall-a'],
   [NAMES[1], 'hall-a'],
@@ -332,13 +328,13 @@
 ];
 
 function requestInBackground(
-  ledger: KeyedRequestModel,
+  model: KeyedRequestModel,
   fleet: ClaimsFleet,
   daemon: ClaimsFleetDaemon,
-  entry: KeyedAttempt,
+  attempt: KeyedAttempt,
 ): void {
   void fleet
-    .ask(daemon, entry.key)
-    .then(told => ledger.recordOutcome(entry, told))
-    .catch(error => ledger.violations.push(error as Error));
+    .ask(daemon, attempt.key)
+    .then(outcome => model.recordOutcome(attempt, outcome))
+    .catch(error => model.violations.push(error as Error));
 }
--- a/packages/specification/src/__tests__/claims-fleet.ts
+++ b/packages/specification/src/__tests__/claims-fleet.ts
@@ -28,7 +28,7 @@
 const STEP_MILLISECONDS = 5;
 const CALLER = 'crest-shop';
 
-/** A daemon of the fleet: only its claims, over a log with faults. */
+/** The claims of one daemon, over a log with injected faults. */
 export interface ClaimsFleetDaemon {
   readonly name: string;
   readonly incarnation: string;
@@ -38,25 +38,25 @@
   readonly metrics: MemoryMetrics;
 }
 
-/** How a keyed request was decided. */
+/** Outcome of a keyed request. */
 export interface KeyedRequestOutcome {
   readonly decision: string;
-  /** What the caller hears of its run: yes, no, unknown; empty while it runs. */
+  /** Whether it ran, as reported to the caller: yes, no or unknown; empty while it runs. */
   readonly runStatement: string;
   readonly claim?: ClaimHandle;
   readonly answer?: HeldAnswer;
   readonly retryAfterSeconds?: number;
 }
 
-/** Settings that a test changes. */
+/** Options that a test may set. */
 export interface ClaimsFleetOptions {
   readonly log?: MemoryLogOptions;
   readonly onceOnly?: Readonly<Record<string, string>>;
-  /** Decides when each step of a call to the log or a peer goes on. */
+  /** Resolves when a step of a call to the log or to a peer may continue. */
   readonly waitForStep?: (label: string) => Promise<void>;
 }
 
-/** Several daemons' claims over one log in memory, on a virtual clock. */
+/** The claims of several daemons over one in-memory log, on a virtual clock. */
 export class ClaimsFleet {
   readonly clock = new VirtualClock();
   readonly log: MemoryLog;
@@ -73,12 +73,13 @@
     this.options = onceOnlyOptions.parse(settings.onceOnly ?? {});
   }
 
-  /** Starts a daemon, or the successor of one that ended. */
+  /** Starts a daemon, or the successor of a daemon that stopped. */
   async start(name: string, dataCentre = 'hall-a'): Promise<ClaimsFleetDaemon> {
     const incarnation = `${name}.${++this.startCount}`;
     const identity = {name, dataCentre, incarnation};
-    const gate = (step: string) => this.waitForStep(`${incarnation} ${step}`);
-    const log = new FaultyLog(this.log, gate);
+    const waitForStep = (step: string) =>
+      this.waitForStep(`${incarnation} ${step}`);
+    const log = new FaultyLog(this.log, waitForStep);
     const metrics = new MemoryMetrics();
     const claims = new LogBackedIdempotencyGuard({
       clock: this.clock,
@@ -87,7 +88,10 @@
       metrics,
       identity,
       platformLog: log,
-      peerLinks: new StepwisePeerLinks(this.network.join(identity), gate),
+      peerLinks: new StepwisePeerLinks(
+        this.network.join(identity),
+        waitForStep,
+      ),
       sharedState: {state: this.state},
       onceOnlyOptions: this.options,
     });
@@ -106,21 +110,21 @@
     return daemon;
   }
 
-  /** Ends a daemon as a crash does: nothing is handed over, nothing more is written. */
+  /** Crashes a daemon: it hands nothing over and writes nothing more. */
   async crash({claims, incarnation, log}: ClaimsFleetDaemon): Promise<void> {
     this.network.leave(incarnation);
     log.isUnreachable = true;
     await this.settle(claims.stop());
   }
 
-  /** Ends a daemon by plan. */
+  /** Drains and stops a daemon. */
   async stop({claims, incarnation}: ClaimsFleetDaemon): Promise<void> {
     await this.settle(claims.drain());
     await this.settle(claims.stop());
     this.network.leave(incarnation);
   }
 
-  /** Asks to run a key; the promise needs `settle` or `advance` to end. */
+  /** Sends a keyed request; the promise settles only during `settle` or `advance`. */
   ask(
     {claims}: ClaimsFleetDaemon,
     key: string,
@@ -133,21 +137,21 @@
       .then(outcomeOfDecision, outcomeOfError);
   }
 
-  /** Moves time forward. */
+  /** Advances the virtual clock. */
   advance(milliseconds: number): Promise<void> {
     return this.clock.advanceAsync(milliseconds);
   }
 
-  /** Moves time forward until the work has ended. */
+  /** Advances the virtual clock until the work has settled. */
   async settle<Value>(work: Promise<Value>): Promise<Value> {
-    let isOpen = true;
-    const ended = work.finally(() => {
-      isOpen = false;
+    let isPending = true;
+    const settled = work.finally(() => {
+      isPending = false;
     });
-    ended.catch(() => undefined);
+    settled.catch(() => undefined);
     await this.advance(0);
-    while (isOpen) await this.advance(STEP_MILLISECONDS);
-    return ended;
+    while (isPending) await this.advance(STEP_MILLISECONDS);
+    return settled;
   }
 
   async stopAll(): Promise<void> {
@@ -170,7 +174,7 @@
   return {decision: kind, runStatement: run, retryAfterSeconds};
 }
 
-/** A whole answer with a text as its body. */
+/** Returns a complete answer with the text as its body. */
 export function answerOf(text: string): HeldAnswer {
   return {
     status: 200,
--- a/packages/specification/src/__tests__/claims-model-run.test.ts
+++ b/packages/specification/src/__tests__/claims-model-run.test.ts
@@ -11,7 +11,7 @@
 } from './claims-commands.js';
 import {KeyedRequestModel} from './keyed-request-model.js';
 
-/** `npm run model` makes a longer run; a seed of one's own may be given with it. */
+/** `npm run model` sets more runs; the seed may be set in the environment as well. */
 const RUNS = Number(process.env.GENTIANDOOR_MODEL_RUNS ?? 150);
 const SEED = Number(process.env.GENTIANDOOR_MODEL_SEED ?? 20_261);
 const MAXIMUM_COMMANDS = 60;
@@ -30,10 +30,10 @@
 ];
 
 async function startFleet(scheduler: fc.Scheduler): Promise<ClaimsUnderTest> {
-  const gate = async (label: string) => {
+  const waitForStep = async (label: string) => {
     await scheduler.schedule(Promise.resolve(), label);
   };
-  const fleet = new ClaimsFleet({waitForStep: gate});
+  const fleet = new ClaimsFleet({waitForStep});
   const real: ClaimsUnderTest = {
     fleet,
     waitingStepCount: () => scheduler.count(),
@@ -44,12 +44,12 @@
   return real;
 }
 
-describe('claims over the log, run against their model', () => {
-  // Callers, targets, the network and the platform do whatever they may, in any order, with
-  // a pause between any two steps of a daemon. What callers hear is held against what ran;
-  // at the end everything is mended and every key must give the one right answer.
-  it('keeps its promises in any order of steps and faults', async () => {
-    const met = new Set<string>();
+describe('claims over the log, checked against a model', () => {
+  // Guards against keys that run twice, are blocked or get a wrong answer after faults of callers,
+  // targets, the network and the platform, in any order and with a pause between any two steps of
+  // a daemon. After recovery every key has to give its one correct answer.
+  it('meet their guarantees in any order of steps and faults', async () => {
+    const observed = new Set<string>();
     await fc.assert(
       fc.asyncProperty(
         fc.scheduler(),
@@ -59,16 +59,14 @@
         }),
         async (scheduler, commands) => {
           const real = await startFleet(scheduler);
-          const ledger = new KeyedRequestModel();
+          const model = new KeyedRequestModel();
           try {
-            await fc.asyncModelRun(
-              async () => ({model: ledger, real}),
-              commands,
-            );
-            ledger.check();
-            await checkAfterRecovery(ledger, real);
-            ledger.check();
-            for (const said of ledger.observations()) met.add(said);
+            await fc.asyncModelRun(async () => ({model, real}), commands);
+            model.check();
+            await checkAfterRecovery(model, real);
+            model.check();
+            for (const observation of model.observations())
+              observed.add(observation);
           } finally {
             await runReleasingAllSteps(real, real.fleet.stopAll());
           }
@@ -76,8 +74,8 @@
       ),
       {numRuns: RUNS, seed: SEED, includeErrorInReport: true},
     );
-    // Runs that never come to these say nothing of the promises about them.
-    for (const said of REQUIRED_OBSERVATIONS)
-      assert.ok(met.has(said), `never met: ${said}`);
+    // Runs that never reach these outcomes check nothing about them.
+    for (const observation of REQUIRED_OBSERVATIONS)
+      assert.ok(observed.has(observation), `never observed: ${observation}`);
   });
 });
--- a/packages/specification/src/__tests__/faulty-log.ts
+++ b/packages/specification/src/__tests__/faulty-log.ts
@@ -7,16 +7,16 @@
   StreamName,
 } from '@gentiandoor/shared-state';
 
-/** What becomes of an append. */
+/** Result of an append, as a test injects it. */
 export enum InjectedAppendResult {
   Succeeded = 'answered',
-  /** Takes effect, the answer is lost. */
+  /** The append takes effect, but the response is lost. */
   ResponseLost = 'answer_lost',
-  /** No answer; takes effect when `landDelayed` is called. */
+  /** No response; the append takes effect when `applyDelayed` is called. */
   Delayed = 'delayed',
-  /** Takes effect now and again when `landDelayed` is called; no answer. */
+  /** No response; takes effect now and once more when `applyDelayed` is called. */
   Duplicated = 'doubled',
-  /** No answer and no effect. */
+  /** No response and no effect. */
   Dropped = 'dropped',
 }
 
@@ -25,9 +25,9 @@
   readonly payloads: readonly Uint8Array[];
 }
 
-/** One daemon's way to the log, with faults. */
+/** One daemon's connection to the log, with injected faults. */
 export class FaultyLog implements PlatformLog {
-  /** Fates of the next appends; then `Answered`. */
+  /** Results of the next appends; later appends succeed. */
   readonly nextAppendResults: InjectedAppendResult[] = [];
   /** True while this daemon cannot reach the log. */
   isUnreachable = false;
@@ -47,21 +47,21 @@
   ): Promise<AppendPosition> {
     await this.waitForStep('sends an append');
     if (this.isUnreachable) throw noResponse();
-    const fate =
+    const result =
       this.nextAppendResults.shift() ?? InjectedAppendResult.Succeeded;
-    if (fate === InjectedAppendResult.Succeeded) {
+    if (result === InjectedAppendResult.Succeeded) {
       const position = await this.log.append(stream, payloads, signal);
       await this.waitForStep('hears of its append');
       return position;
     }
     if (
-      fate === InjectedAppendResult.Delayed ||
-      fate === InjectedAppendResult.Duplicated
+      result === InjectedAppendResult.Delayed ||
+      result === InjectedAppendResult.Duplicated
     )
       this.delayed.push({stream, payloads});
     if (
-      fate === InjectedAppendResult.ResponseLost ||
-      fate === InjectedAppendResult.Duplicated
+      result === InjectedAppendResult.ResponseLost ||
+      result === InjectedAppendResult.Duplicated
     )
       await this.log.append(stream, payloads, signal);
     throw noResponse();
@@ -81,12 +81,12 @@
     return batch;
   }
 
-  /** Lets everything that is still under way take effect; returns how many appends. */
+  /** Applies all delayed appends; returns their number. */
   async applyDelayed(): Promise<number> {
-    const landing = this.delayed.splice(0);
-    for (const {stream, payloads} of landing)
+    const appends = this.delayed.splice(0);
+    for (const {stream, payloads} of appends)
       await this.log.append(stream, payloads);
-    return landing.length;
+    return appends.length;
   }
 }
 
--- a/packages/specification/src/__tests__/fleet-fold-conformance.test.ts
+++ b/packages/specification/src/__tests__/fleet-fold-conformance.test.ts
@@ -45,12 +45,12 @@
     : never
   : never;
 
-/** The real fold, fed with records as the log would. */
+/** The production fold, which receives records as from the log. */
 class ProductionFold {
   readonly state: FleetState = emptyFleetState(EXAMPLE_TRUSTED_OPERATORS);
   private recordCount = 0;
 
-  /** Returns the offset of the record. */
+  /** Applies a record and returns its offset. */
   write(record: FleetRecord): number {
     return applyPayload(this.state, encodeRecord(record)).offset;
   }
@@ -71,18 +71,18 @@
   }
 }
 
-/** Walks a specification at random; `look` sees each state. */
+/** Walks a specification by the given choices and passes each state to `visit`. */
 function randomWalk<State, Event extends {type: string}>(
   specification: Specification<State, Event>,
   choices: readonly number[],
-  look: (state: State) => void,
+  visit: (state: State) => void,
 ): void {
   let state = specification.initialState;
   for (const choice of choices) {
     const events = specification.enabledEvents(state);
     if (events.length === 0) return;
     state = specification.step(state, events[choice % events.length]);
-    look(state);
+    visit(state);
   }
 }
 
@@ -92,22 +92,22 @@
   size: 'max',
 });
 
-/** Writes a record of the specification; `offsets` maps its offsets to the real ones. */
+/** Writes a record of the specification; `offsets` maps its offsets to those of the fold. */
 function writeOwnership(
   real: ProductionFold,
   record: OwnershipRecord,
   offsets: readonly number[],
 ): number {
-  const of = record.incarnation ?? '';
+  const incarnation = record.incarnation ?? '';
   const startedAt = offsets[record.startedAt ?? -1] ?? -1;
   const term = 1;
   switch (record.kind) {
     case OwnershipRecordKind.Joined:
-      return real.join(of);
+      return real.join(incarnation);
     case OwnershipRecordKind.Left:
-      return real.appendDraft(of, {
+      return real.appendDraft(incarnation, {
         kind: RecordKind.MemberLeft,
-        incarnation: of,
+        incarnation,
       });
     case OwnershipRecordKind.MoveStarted:
       return real.appendDraft(PLANNER, {
@@ -120,9 +120,9 @@
         reason: 'the specification moves it',
       });
     case OwnershipRecordKind.Acknowledged:
-      return real.appendDraft(of, {
+      return real.appendDraft(incarnation, {
         kind: RecordKind.DrainAcknowledged,
-        incarnation: of,
+        incarnation,
         acknowledgements: [{vm: VM, startedAt}],
       });
     case OwnershipRecordKind.MoveAssigned: {
@@ -184,7 +184,7 @@
     /^base = .*$/m,
     `base = ${base}`,
   );
-  // An operator that publishes the same again writes new records.
+  // An operator who publishes the same bundle again writes new records.
   for (const record of rollOutRecords(`${text}; ${digest}\n`))
     real.appendDraft(record.writer, record);
 }
@@ -199,7 +199,7 @@
   if (inForce) assert.ok(inForce.text.endsWith(`; ${digest}\n`));
 }
 
-describe('the real fold of the fleet', () => {
+describe('the production fold of the fleet', () => {
   it('agrees with the specification of ownership on random walks', () => {
     const bounds = {moves: 4, aborts: 3, crashes: 2};
     const specification = ownershipSpecifications(bounds).create();
@@ -216,7 +216,10 @@
       }),
       {numRuns: RUNS, seed: SEED, includeErrorInReport: true},
     );
-    assert.ok(assigned >= 2, `only ${assigned} moves came to their end`);
+    assert.ok(
+      assigned >= 2,
+      `only ${assigned} moves were assigned, expected at least 2`,
+    );
   });
 
   it('agrees with the specification of bundles on random walks', () => {
@@ -224,10 +227,11 @@
     fc.assert(
       fc.property(CHOICES, choices => {
         const real = new ProductionFold();
-        let seen = 0;
+        let appliedCount = 0;
         randomWalk(specification, choices, ({log}) => {
-          for (const bundle of log.slice(seen)) writeBundle(real, bundle);
-          seen = log.length;
+          for (const bundle of log.slice(appliedCount))
+            writeBundle(real, bundle);
+          appliedCount = log.length;
           compareBundle(real, log);
         });
       }),
@@ -235,7 +239,7 @@
     );
   });
 
-  it('agrees with the specification of ownership on any records', () => {
+  it('agrees with the specification of ownership on arbitrary records', () => {
     const draft = fc.record({
       kind: fc.constantFrom(...Object.values(OwnershipRecordKind)),
       of: fc.constantFrom('a1', 'b1', 'a2', 'b2'),
@@ -264,7 +268,7 @@
     );
   });
 
-  it('agrees with the specification of bundles on any bundles', () => {
+  it('agrees with the specification of bundles on arbitrary bundles', () => {
     const bundle = fc.record({
       base: fc.nat({max: 3}),
       ahead: fc.integer({min: 1, max: 2}),
--- a/packages/specification/src/__tests__/golden.ts
+++ b/packages/specification/src/__tests__/golden.ts
@@ -5,7 +5,7 @@
 /** Set by `npm run golden:once-only` only. */
 const REWRITE = process.env.GENTIANDOOR_REWRITE_GOLDEN === 'yes';
 
-/** Holds a session against its golden file. */
+/** Asserts that a recorded session equals its golden file. */
 export function assertGolden(name: string, lines: readonly string[]): void {
   const path = fileURLToPath(
     new URL(`../../golden/${name}.txt`, import.meta.url),
--- a/packages/specification/src/__tests__/keyed-request-model.ts
+++ b/packages/specification/src/__tests__/keyed-request-model.ts
@@ -1,26 +1,26 @@
 import assert from 'node:assert/strict';
 import type {KeyedRequestOutcome} from './claims-fleet.js';
 
-/** What became of a try. */
+/** State of an attempt. */
 enum AttemptState {
   Asking = 'asking',
-  /** Holds the right to run. */
+  /** Its claim holds the key, so it may run. */
   Holding = 'holding',
   Finished = 'finished',
   Lost = 'lost',
-  /** Given back unsent. */
+  /** The claim was released before anything was sent. */
   Released = 'released',
-  /** Told something else. */
+  /** The caller got any other decision. */
   Refused = 'refused',
-  /** Its daemon died while it held the right to run. */
+  /** Its daemon crashed while the attempt held the claim. */
   DaemonCrashed = 'gone',
 }
 
-/** One request under a key, through one daemon. */
+/** One request with a key, through one daemon. */
 export interface KeyedAttempt {
   readonly key: string;
   readonly incarnation: string;
-  /** Earlier requests of the key that ran, or held the right to, when this one came. */
+  /** Earlier requests of the key that had run or held the claim when this one began. */
   readonly earlier: readonly KeyedAttempt[];
   state: AttemptState;
   outcome?: KeyedRequestOutcome;
@@ -34,104 +34,106 @@
   AttemptState.DaemonCrashed,
 ]);
 
-/** Errors that say nothing of the key's earlier requests and need not. */
+/** Errors that concern only this request and say nothing about earlier requests of the key. */
 const ABOUT_THIS_REQUEST = new Set(['caller_gone']);
 
-/** The model: what callers were told and what ran, held against the promises. */
+/** The model, which checks the responses to callers and the runs against the guarantees. */
 export class KeyedRequestModel {
   readonly attempts: KeyedAttempt[] = [];
   crashes = 0;
-  /** Broken promises that were heard of outside a command. */
+  /** Violations that were detected outside a command. */
   readonly violations: Error[] = [];
 
   begin(key: string, incarnation: string): KeyedAttempt {
     const earlier = this.attempts.filter(
-      entry => entry.key === key && MAY_HAVE_RUN.has(entry.state),
+      attempt => attempt.key === key && MAY_HAVE_RUN.has(attempt.state),
     );
-    const entry = {key, incarnation, earlier, state: AttemptState.Asking};
-    this.attempts.push(entry);
-    return entry;
+    const attempt = {key, incarnation, earlier, state: AttemptState.Asking};
+    this.attempts.push(attempt);
+    return attempt;
   }
 
-  /** Takes in what a try was told; throws where that breaks a promise. */
-  recordOutcome(entry: KeyedAttempt, told: KeyedRequestOutcome): void {
-    // A daemon that died tells nobody anything.
-    if (entry.state !== AttemptState.Asking) return;
-    entry.outcome = told;
-    if (told.decision === 'run') {
+  /** Records the outcome of an attempt; throws if the outcome breaks a guarantee. */
+  recordOutcome(attempt: KeyedAttempt, outcome: KeyedRequestOutcome): void {
+    // A crashed daemon sends no response.
+    if (attempt.state !== AttemptState.Asking) return;
+    attempt.outcome = outcome;
+    if (outcome.decision === 'run') {
       assert.ok(
-        !this.mayHaveRun(entry.key),
-        `${entry.key} may run a second time, at ${entry.incarnation}`,
+        !this.mayHaveRun(attempt.key),
+        `${attempt.key} may run a second time, at ${attempt.incarnation}`,
       );
-      entry.state = AttemptState.Holding;
+      attempt.state = AttemptState.Holding;
       return;
     }
-    entry.state = AttemptState.Refused;
-    this.checkRefusal(entry, told);
+    attempt.state = AttemptState.Refused;
+    this.checkRefusal(attempt, outcome);
   }
 
-  finish(entry: KeyedAttempt): void {
-    entry.state = AttemptState.Finished;
+  finish(attempt: KeyedAttempt): void {
+    attempt.state = AttemptState.Finished;
   }
 
-  lose(entry: KeyedAttempt): void {
-    entry.state = AttemptState.Lost;
+  lose(attempt: KeyedAttempt): void {
+    attempt.state = AttemptState.Lost;
   }
 
-  release(entry: KeyedAttempt): void {
-    entry.state = AttemptState.Released;
+  release(attempt: KeyedAttempt): void {
+    attempt.state = AttemptState.Released;
   }
 
   crash(incarnation: string): void {
     this.crashes++;
-    for (const entry of this.attempts) {
-      if (entry.incarnation !== incarnation) continue;
-      if (entry.state === AttemptState.Holding)
-        entry.state = AttemptState.DaemonCrashed;
-      if (entry.state === AttemptState.Asking)
-        entry.state = AttemptState.Refused;
+    for (const attempt of this.attempts) {
+      if (attempt.incarnation !== incarnation) continue;
+      if (attempt.state === AttemptState.Holding)
+        attempt.state = AttemptState.DaemonCrashed;
+      if (attempt.state === AttemptState.Asking)
+        attempt.state = AttemptState.Refused;
     }
   }
 
-  /** Tries that hold the right to run. */
+  /** Returns the attempts that hold the claim of their key. */
   attemptsHoldingClaim(): KeyedAttempt[] {
     return this.attempts.filter(({state}) => state === AttemptState.Holding);
   }
 
   mayHaveRun(key: string): boolean {
     return this.attempts.some(
-      entry => entry.key === key && MAY_HAVE_RUN.has(entry.state),
+      attempt => attempt.key === key && MAY_HAVE_RUN.has(attempt.state),
     );
   }
 
-  /** Everything that callers heard, and how their requests ended. */
+  /** Returns all states and decisions that occurred. */
   observations(): string[] {
-    return this.attempts.flatMap(({state, outcome: told}) => {
-      const said = told?.decision ?? '';
-      return [state, said, `${said}, run: ${told?.runStatement}`];
+    return this.attempts.flatMap(({state, outcome}) => {
+      const decision = outcome?.decision ?? '';
+      return [state, decision, `${decision}, run: ${outcome?.runStatement}`];
     });
   }
 
-  /** Throws the first broken promise. */
+  /** Throws the first recorded violation. */
   check(): void {
     if (this.violations.length > 0) throw this.violations[0];
   }
 
-  /** After everything is mended: what a new request of the key must be told. */
-  checkAfterRecovery(key: string, told: KeyedRequestOutcome): void {
-    const ended = this.attempts.filter(entry => entry.key === key);
-    if (ended.some(({state}) => state === AttemptState.Finished)) {
-      const isSaid = ['replayed', 'key_already_run'].includes(told.decision);
+  /** Checks the outcome of a new request of the key after all faults are over. */
+  checkAfterRecovery(key: string, outcome: KeyedRequestOutcome): void {
+    const attempts = this.attempts.filter(attempt => attempt.key === key);
+    if (attempts.some(({state}) => state === AttemptState.Finished)) {
+      const isReportedAsRun = ['replayed', 'key_already_run'].includes(
+        outcome.decision,
+      );
       assert.ok(
-        isSaid || this.crashes > 0,
-        `${key}: ${told.decision} after a run`,
+        isReportedAsRun || this.crashes > 0,
+        `${key}: ${outcome.decision} after a run`,
       );
-      if (this.crashes === 0) assert.equal(told.decision, 'replayed');
+      if (this.crashes === 0) assert.equal(outcome.decision, 'replayed');
     } else if (this.mayHaveRun(key)) {
-      assert.equal(told.decision, 'key_outcome_unknown');
+      assert.equal(outcome.decision, 'key_outcome_unknown');
     } else if (this.crashes === 0) {
       assert.equal(
-        told.decision,
+        outcome.decision,
         'run',
         `${key} is blocked though it never ran`,
       );
@@ -139,24 +141,25 @@
   }
 
   private checkRefusal(
-    entry: KeyedAttempt,
-    {decision: said, runStatement: run, answer}: KeyedRequestOutcome,
+    attempt: KeyedAttempt,
+    {decision, runStatement, answer}: KeyedRequestOutcome,
   ): void {
-    const {key, earlier} = entry;
-    // One that held the right and gave it back unsent meanwhile has not run.
+    const {key, earlier} = attempt;
+    // An attempt that held the claim and has released it unsent since then has not run.
     const ranBefore = earlier.some(({state}) => MAY_HAVE_RUN.has(state));
-    if (run === 'no' && !ABOUT_THIS_REQUEST.has(said))
-      assert.ok(!ranBefore, `${key}: ${said} says "not run" after a run`);
+    if (runStatement === 'no' && !ABOUT_THIS_REQUEST.has(decision))
+      assert.ok(!ranBefore, `${key}: ${decision} says "not run" after a run`);
     const isFinished = this.attempts.some(
       other => other.key === key && other.state === AttemptState.Finished,
     );
-    if (run === 'yes') assert.ok(isFinished, `${key}: ${said} before a run`);
+    if (runStatement === 'yes')
+      assert.ok(isFinished, `${key}: ${decision} before a run`);
     if (answer)
       assert.equal(Buffer.from(answer.body).toString(), answerText(key));
   }
 }
 
-/** The one answer of a key. */
+/** Returns the only valid answer for a key. */
 export function answerText(key: string): string {
   return `the answer to ${key}`;
 }
--- a/packages/specification/src/__tests__/once-only-sessions.test.ts
+++ b/packages/specification/src/__tests__/once-only-sessions.test.ts
@@ -6,11 +6,11 @@
 
 const MINUTE = 60_000;
 
-describe('sessions of keyed requests', () => {
-  // The caller is cut off and retries through another daemon: while the first still runs it
-  // waits for that one's end, afterwards it gets the same whole answer. Nothing runs twice,
-  // because the first claim in log order holds the key and the others ask its holder.
-  it('retries through another daemon', async () => {
+describe('a keyed request', () => {
+  // Guards against a second run when a caller loses its connection and retries through another
+  // daemon. The first claim in log order holds the key and other daemons ask its holder, so the
+  // retry waits for the first run and gets the same complete answer.
+  it('gets the same answer when retried through another daemon', async () => {
     const session = new RecordedSession('a retry through another daemon');
     const one = await session.start('entry-1');
     const two = await session.start('entry-2', 'hall-b');
@@ -36,34 +36,32 @@
     assertGolden('retry-through-another-daemon', session.lines);
   });
 
-  // The same request comes to two daemons at once. Both claim, the log has one of them
-  // first, and only that one runs; the other waits for its answer.
-  it('is doubled on its way', async () => {
+  // Guards against two runs when the same request arrives at two daemons at once. Both claim the
+  // key; only the first claim in the log runs, and the other daemon waits for its answer.
+  it('runs once when duplicated to two daemons', async () => {
     const session = new RecordedSession(
       'the same request at two daemons at once',
     );
     const one = await session.start('entry-1');
     const two = await session.start('entry-2', 'hall-b');
-    const asked = [one, two, two].map(daemon =>
+    const requests = [one, two, two].map(daemon =>
       session.askInBackground(daemon, 'order-1'),
     );
     await session.fleet.advance(50);
-    const run = await Promise.race(asked);
+    const run = await Promise.race(requests);
     session.finish(run, 'stitched 400');
-    const decided = await Promise.all(
-      asked.map(item => session.fleet.settle(item)),
-    );
-    assert.equal(
-      decided.filter(({decision: said}) => said === 'run').length,
-      1,
+    const outcomes = await Promise.all(
+      requests.map(item => session.fleet.settle(item)),
     );
+    assert.equal(outcomes.filter(({decision}) => decision === 'run').length, 1);
     await session.fleet.stopAll();
     assertGolden('doubled', session.lines);
   });
 
-  // The daemon dies while its request runs. Nobody knows whether it ran, so it is never run
-  // again; what had finished before the crash is told as run, from its outcome in the log.
-  it('loses its owner', async () => {
+  // Guards against a second run after a daemon crashes while its request runs. The outcome is
+  // unknown, so the key never runs again; a request that had finished before the crash is
+  // reported as run, from its outcome in the log.
+  it('does not run again after the owner of its claim crashes', async () => {
     const session = new RecordedSession('the owner of a claim dies');
     const one = await session.start('entry-1');
     const two = await session.start('entry-2', 'hall-b');
@@ -82,10 +80,10 @@
     assertGolden('owner-died', session.lines);
   });
 
-  // The log is out for ten minutes. The first callers wait a bounded time, the later ones
-  // are refused at once and told when to come back; answers that are held are replayed all
-  // the while. Nothing that was refused runs when the log is back.
-  it('meets a log that is down', async () => {
+  // Guards against callers that wait without limit, and against late runs, when the log is
+  // unreachable for ten minutes. The first callers wait a bounded time; later ones are refused at
+  // once with a time to retry. Held answers are still replayed, and no refused request runs later.
+  it('is refused, and never runs later, while the log is unreachable', async () => {
     const session = new RecordedSession('the log is down for ten minutes');
     const one = await session.start('entry-1');
     const two = await session.start('entry-2', 'hall-b');
@@ -106,9 +104,9 @@
     assertGolden('log-down', session.lines);
   });
 
-  // The answer to an append is lost. Whether it took effect, takes effect later or twice,
-  // the caller is told the truth, and the key is neither blocked nor run twice.
-  it('loses the answer to its claim', async () => {
+  // Guards against a wrong response, a blocked key or a second run when the response to an append
+  // is lost, whether the append took effect, takes effect later or takes effect twice.
+  it('gets a correct response when the response to an append is lost', async () => {
     const session = new RecordedSession('the answer to a claim is lost');
     const one = await session.start('entry-1');
     const two = await session.start('entry-2', 'hall-b');
@@ -118,8 +116,11 @@
     );
     const landed = await session.ask(one, 'order-1');
     session.finish(landed, 'stitched 400');
-    const fates = Array.from({length: 12}, () => InjectedAppendResult.Delayed);
-    one.log.nextAppendResults.push(...fates);
+    const results = Array.from(
+      {length: 12},
+      () => InjectedAppendResult.Delayed,
+    );
+    one.log.nextAppendResults.push(...results);
     session.recordLine('the next appends of entry-1 are held up on their way');
     await session.ask(one, 'order-2');
     const elsewhere = await session.ask(two, 'order-2');
@@ -135,10 +136,10 @@
     assertGolden('lost-answer', session.lines);
   });
 
-  // A data centre is cut off from the log and from its peers. It ends what runs; a retry on
-  // the other side hears that the outcome is not known and when to ask again, and gets the
-  // whole answer after the cut.
-  it('is in a data centre that is cut off', async () => {
+  // Guards against a second run while a data centre is partitioned from the log and its peers. It
+  // finishes its active requests; a retry on the other side is told that the outcome is unknown
+  // and when to retry, and gets the complete answer after the partition.
+  it('runs once when its data centre is partitioned', async () => {
     const session = new RecordedSession('a data centre is cut off');
     const one = await session.start('entry-1');
     const two = await session.start('entry-2', 'hall-b');
@@ -163,9 +164,10 @@
     assertGolden('data-centre-cut-off', session.lines);
   });
 
-  // A key comes again after its claim was forgotten. An issued key tells its birth by its
-  // offset and is refused; a caller's own key runs again after the documented window.
-  it('is forgotten', async () => {
+  // Guards against a second run of an issued key after its claim was evicted. An issued key
+  // contains the offset at which it was issued and is refused; a caller's own key runs again
+  // after the documented retention window.
+  it('is refused with an issued key whose claim was evicted', async () => {
     const session = new RecordedSession(
       'a key comes again after its claim is forgotten',
       {
@@ -190,9 +192,9 @@
     assertGolden('forgotten-key', session.lines);
   });
 
-  // All daemons are replaced one after the other by plan. Each hands its held answers to
-  // another before it goes, so that a retry still gets its whole answer; only a crash
-  // leaves keys whose answer is gone.
+  // Guards against lost answers when all daemons are restarted one after the other. Each daemon
+  // hands its held answers to another one before it stops, so a retry still gets the complete
+  // answer; only a crash loses answers.
   it('outlives a rolling restart', async () => {
     const session = new RecordedSession('a rolling restart, then a crash');
     await session.start('entry-1');
--- a/packages/specification/src/__tests__/recorded-session.ts
+++ b/packages/specification/src/__tests__/recorded-session.ts
@@ -6,7 +6,7 @@
   type KeyedRequestOutcome,
 } from './claims-fleet.js';
 
-/** A fleet whose requests and events are written down, line by line. */
+/** A fleet whose requests and events are recorded, one line each. */
 export class RecordedSession {
   readonly fleet: ClaimsFleet;
   readonly lines: string[] = [];
@@ -17,8 +17,8 @@
   }
 
   recordLine(text: string): void {
-    const at = Math.round(this.fleet.clock.monotonicMilliseconds());
-    this.lines.push(`${String(at).padStart(8)} ms  ${text}`);
+    const milliseconds = Math.round(this.fleet.clock.monotonicMilliseconds());
+    this.lines.push(`${String(milliseconds).padStart(8)} ms  ${text}`);
   }
 
   async start(name: string, dataCentre?: string): Promise<ClaimsFleetDaemon> {
@@ -27,7 +27,7 @@
     return daemon;
   }
 
-  /** Asks and waits for the decision. */
+  /** Sends a keyed request and waits for the decision. */
   async ask(
     daemon: ClaimsFleetDaemon,
     key: string,
@@ -35,7 +35,7 @@
     return this.fleet.settle(this.askInBackground(daemon, key));
   }
 
-  /** Asks; the decision is written when it comes. */
+  /** Sends a keyed request; the decision is recorded when it arrives. */
   async askInBackground(
     daemon: ClaimsFleetDaemon,
     key: string,
@@ -43,28 +43,28 @@
   ): Promise<KeyedRequestOutcome> {
     const name = key.startsWith('gd1-') ? 'issued key' : key;
     this.recordLine(`${daemon.name} <- ${name}`);
-    const decided = await this.fleet.ask(daemon, key, fingerprint);
-    this.recordLine(`${daemon.name} -> ${name}: ${describeOutcome(decided)}`);
-    return decided;
+    const outcome = await this.fleet.ask(daemon, key, fingerprint);
+    this.recordLine(`${daemon.name} -> ${name}: ${describeOutcome(outcome)}`);
+    return outcome;
   }
 
-  finish(told: KeyedRequestOutcome, text: string): void {
+  finish(outcome: KeyedRequestOutcome, text: string): void {
     this.recordLine(`the target answers "${text}"`);
-    told.claim!.finish(answerOf(text));
+    outcome.claim!.finish(answerOf(text));
   }
 }
 
 function describeOutcome({
-  decision: said,
-  runStatement: run,
+  decision,
+  runStatement,
   answer,
   retryAfterSeconds,
 }: KeyedRequestOutcome): string {
-  if (said === 'run') return 'run it';
+  if (decision === 'run') return 'run it';
   const body = answer ? ` "${Buffer.from(answer.body).toString()}"` : '';
   const retry =
     retryAfterSeconds === undefined
       ? ''
       : `, retry after ${retryAfterSeconds} s`;
-  return `${said}${body}, run: ${run}${retry}`;
+  return `${decision}${body}, run: ${runStatement}${retry}`;
 }
--- a/packages/specification/src/__tests__/stepwise-peer-links.ts
+++ b/packages/specification/src/__tests__/stepwise-peer-links.ts
@@ -5,7 +5,7 @@
   PeerTopic,
 } from '@gentiandoor/shared-state';
 
-/** Peer links whose requests wait for a gate on the way there and on the way back. */
+/** Peer links that wait for `waitForStep` before each request and before each response. */
 export class StepwisePeerLinks implements PeerLinks {
   constructor(
     private readonly links: PeerLinks,
--- a/packages/specification/src/array-updates.ts
+++ b/packages/specification/src/array-updates.ts
@@ -1,33 +1,37 @@
-/** The items with one of them changed; states of a model are never changed in place. */
+/** Returns a copy with `change` merged into one item; states of a model are never mutated. */
 export function mergeAt<Item extends object>(
   items: readonly Item[],
   index: number,
   change: Partial<Item>,
 ): Item[] {
-  return items.map((item, place) =>
-    place === index ? {...item, ...change} : item,
+  return items.map((item, itemIndex) =>
+    itemIndex === index ? {...item, ...change} : item,
   );
 }
 
-/** The items with another one in place of one of them. */
+/** Returns a copy with the item at `index` replaced. */
 export function replaceAt<Item>(
   items: readonly Item[],
   index: number,
   item: Item,
 ): Item[] {
-  return items.map((before, place) => (place === index ? item : before));
+  return items.map((existing, itemIndex) =>
+    itemIndex === index ? item : existing,
+  );
 }
 
-/** The items with one of them made anew from what it was. */
+/** Returns a copy with the item at `index` replaced by the result of `update`. */
 export function updateAt<Item>(
   items: readonly Item[],
   index: number,
   update: (item: Item) => Item,
 ): Item[] {
-  return items.map((item, place) => (place === index ? update(item) : item));
+  return items.map((item, itemIndex) =>
+    itemIndex === index ? update(item) : item,
+  );
 }
 
-/** The items without one of them. */
+/** Returns a copy without the item at `index`. */
 export function removeAt<Item>(items: readonly Item[], index: number): Item[] {
-  return items.filter((_, place) => place !== index);
+  return items.filter((_, itemIndex) => itemIndex !== index);
 }
--- a/packages/specification/src/bin/specification.ts
+++ b/packages/specification/src/bin/specification.ts
@@ -13,24 +13,24 @@
 }
 
 function printViolations({violations}: Exploration): void {
-  for (const {guarantee: promise, invariant, trace} of violations) {
-    print(`    ${promise} broken: ${invariant}`);
+  for (const {guarantee, invariant, trace} of violations) {
+    print(`    ${guarantee} broken: ${invariant}`);
     trace.forEach((step, index) => print(`      ${index + 1}. ${step}`));
   }
 }
 
-function checkUnmutated(subject: ModelCheck): boolean {
-  const result = subject.explore();
+function checkUnmutated(modelCheck: ModelCheck): boolean {
+  const result = modelCheck.explore();
   const {specification, states, transitions, violations} = result;
   print(`${specification}: ${states} states, ${transitions} transitions`);
   printViolations(result);
   return violations.length === 0;
 }
 
-function checkMutations(subject: ModelCheck): boolean {
+function checkMutations(modelCheck: ModelCheck): boolean {
   let allCaught = true;
-  for (const mutation of subject.mutations) {
-    const result = subject.exploreMutation(mutation);
+  for (const mutation of modelCheck.mutations) {
+    const result = modelCheck.exploreMutation(mutation);
     const caught = result.violations.some(
       ({invariant}) => invariant === mutation.brokenInvariant,
     );
@@ -44,15 +44,18 @@
   return allCaught;
 }
 
-/** Prints the states explored, the mutations and their shortest traces; `--long` adds larger bounds. */
+/**
+ * Prints the number of explored states, the mutations and their shortest traces; `--long`
+ * adds larger bounds.
+ */
 function main(): number {
-  const long = process.argv.includes('--long') ? LONG_MODEL_CHECKS : [];
-  let isWhole = true;
-  for (const subject of [...MODEL_CHECKS, ...long]) {
-    isWhole = checkUnmutated(subject) && isWhole;
-    isWhole = checkMutations(subject) && isWhole;
+  const longChecks = process.argv.includes('--long') ? LONG_MODEL_CHECKS : [];
+  let allPassed = true;
+  for (const modelCheck of [...MODEL_CHECKS, ...longChecks]) {
+    allPassed = checkUnmutated(modelCheck) && allPassed;
+    allPassed = checkMutations(modelCheck) && allPassed;
   }
-  return isWhole ? 0 : VIOLATION_EXIT_CODE;
+  return allPassed ? 0 : VIOLATION_EXIT_CODE;
 }
 
 process.exitCode = main();
--- a/packages/specification/src/budget-model.ts
+++ b/packages/specification/src/budget-model.ts
@@ -20,39 +20,39 @@
   readonly planner: number;
   readonly term: number;
   readonly vm: number;
-  /** For an end: offset of the drain that it ends. */
+  /** For the end of a drain: offset of the record that started it. */
   readonly startedAt: number;
 }
 
-/** What the fold says. */
+/** State according to the fold. */
 export interface FoldedBudget {
   readonly term: number;
   readonly holder: number;
-  /** By VM: offset of the drain that has it out; -1 when it is in service. */
+  /** By VM: offset of the drain that takes it out of service; -1 when it is in service. */
   readonly drains: readonly number[];
 }
 
-/** A planner: it decides on what it has read. */
+/** A planner, which decides by what it has read. */
 export interface BudgetPlanner {
   readonly nextOffset: number;
-  /** Records on their way, oldest first; any may land late. */
+  /** Records in flight, oldest first; any of them may be appended late. */
   readonly pendingRecords: readonly BudgetRecord[];
-  /** By VM: the drain that it is done with; -1 before the first. */
+  /** By VM: the last drain that it acted on; -1 before the first. */
   readonly lastActedDrains: readonly number[];
 }
 
-/** The whole state: what is agreed, and how the VMs really are. */
+/** The complete state: the agreed log and the actual condition of the VMs. */
 export interface BudgetState {
   readonly log: readonly BudgetRecord[];
   readonly planners: readonly BudgetPlanner[];
-  /** Offset of the drain under which a VM reboots; -1 when it does not. */
+  /** By VM: offset of the drain under which it reboots; -1 when it does not reboot. */
   readonly rebooting: readonly number[];
   readonly failed: readonly boolean[];
   readonly drainsLeft: number;
   readonly failuresLeft: number;
   readonly termsLeft: number;
   readonly duplicatesLeft: number;
-  /** Copies of records that landed, still on their way. */
+  /** Duplicates of appended records that are still in flight. */
   readonly pendingDuplicates: readonly BudgetRecord[];
 }
 
@@ -63,33 +63,33 @@
   readonly duplicates: number;
 }
 
-/** What may happen. */
+/** Events of the planners and the VMs. */
 export enum BudgetEventType {
   Read = 'read',
-  /** A planner takes the role; it believes in it when it reads it back. */
+  /** A planner takes a term; it acts in the term only after reading the record back. */
   TakeTerm = 'take_term',
   ProposeDrain = 'propose',
-  /** The oldest record that a planner said lands. */
+  /** The oldest pending record of a planner is appended. */
   Append = 'land',
-  /** It lands, and a copy is still under way. */
+  /** The oldest pending record is appended, and a duplicate is still in flight. */
   AppendTwice = 'land_twice',
-  /** A copy of a record lands, however late. */
+  /** A duplicate of a record is appended, however late. */
   AppendDuplicate = 'land_copy',
-  /** A planner whose drain stands in the log reboots the VM. */
+  /** A planner whose drain is in the log reboots the VM. */
   Reboot = 'reboot',
-  /** The VM is back; its planner says so. */
+  /** The VM is back, and its planner sends the record that ends the drain. */
   FinishReboot = 'return',
   FailVm = 'fail',
 }
 
-/** One thing that happens. */
+/** One event; `planner` and `vm` are -1 where the event has none. */
 export interface BudgetEvent {
   readonly type: BudgetEventType;
   readonly planner: number;
   readonly vm: number;
 }
 
-/** Safeguards that a mutation takes out. */
+/** Mutations, each of which removes one safeguard. */
 export enum BudgetMutation {
   NoBudgetCheckInFold = 'planner-checks-alone',
   NoReserve = 'no-reserve',
@@ -100,7 +100,10 @@
 }
 
 const VMS = [0, 1, 2];
-/** The VMs are alike: those that drain and the one that fails are named beforehand. */
+/**
+ * The VMs are interchangeable, so the VMs that drain and the one that fails are fixed. This
+ * symmetry reduces the number of states.
+ */
 const DRAINABLE_VMS = [0, 1];
 const FAILING_VM = 2;
 const REQUIRED_VMS = 1;
@@ -121,18 +124,18 @@
   drains: VMS.map(() => -1),
 };
 
-/** Whether one more VM may leave by plan. */
+/** Returns whether the budget allows a planned drain of the VM. */
 function allowsDrain(
   {drains}: FoldedBudget,
   vm: number,
   reserve: number,
 ): boolean {
   if (drains[vm] >= 0) return false;
-  const available = VMS.filter(of => drains[of] < 0).length;
+  const available = VMS.filter(other => drains[other] < 0).length;
   return available - 1 - reserve >= REQUIRED_VMS;
 }
 
-/** Three VMs of one service that needs one, and must live through the loss of one. */
+/** Three VMs of one service that needs one VM and has to survive the loss of one. */
 class BudgetSpecification implements Specification<BudgetState, BudgetEvent> {
   readonly name: string;
   readonly bounds: string;
@@ -150,17 +153,19 @@
       name: TERMS_IN_ORDER,
       holds: ({log}) => {
         const terms = this.acceptedTerms(log);
-        return terms.every((term, at) => at === 0 || term >= terms[at - 1]);
+        return terms.every(
+          (term, index) => index === 0 || term >= terms[index - 1],
+        );
       },
     },
   ];
 
   constructor(
-    {planners, drains, duplicates: copies}: BudgetBounds,
+    {planners, drains, duplicates}: BudgetBounds,
     private readonly mutation: string | undefined,
   ) {
-    this.name = `budget (${planners} planners, ${drains} drains, 1 failure, ${copies} doubled)`;
-    this.bounds = `3 VMs, 1 needed after the loss of 1; ${planners} planners, each once in office, ${drains} drains, 1 failure, ${copies} doubled records, any record late`;
+    this.name = `budget (${planners} planners, ${drains} drains, 1 failure, ${duplicates} doubled)`;
+    this.bounds = `3 VMs, 1 needed after the loss of 1; ${planners} planners, each once in office, ${drains} drains, 1 failure, ${duplicates} doubled records, any record late`;
     this.initialState = {
       log: [],
       planners: Array.from({length: planners}, () => ({
@@ -173,14 +178,16 @@
       drainsLeft: drains,
       failuresLeft: 1,
       termsLeft: planners,
-      duplicatesLeft: copies,
+      duplicatesLeft: duplicates,
       pendingDuplicates: [],
     };
   }
 
   describe({type, planner, vm}: BudgetEvent): string {
-    const at = vm < 0 ? '' : ` VM ${vm}`;
-    return planner < 0 ? `${type}${at}` : `planner ${planner}: ${type}${at}`;
+    const suffix = vm < 0 ? '' : ` VM ${vm}`;
+    return planner < 0
+      ? `${type}${suffix}`
+      : `planner ${planner}: ${type}${suffix}`;
   }
 
   enabledEvents(state: BudgetState): BudgetEvent[] {
@@ -193,31 +200,29 @@
     ) => {
       if (when) events.push({type, planner, vm});
     };
-    const folds = state.planners.map(({nextOffset: read}) =>
-      this.fold(state.log.slice(0, read)),
-    );
-    state.planners.forEach(
-      ({nextOffset: read, pendingRecords: saying}, planner) => {
-        const isIdle = saying.length === 0;
-        const holds = folds[planner].holder === planner;
-        const mayTake = state.termsLeft > 0 && isIdle && !holds;
-        add(EventType.Read, planner, -1, read < state.log.length);
-        add(
-          EventType.TakeTerm,
-          planner,
-          -1,
-          mayTake && isFirst(state, planner),
-        );
-        add(EventType.Append, planner, -1, !isIdle);
-        add(
-          EventType.AppendTwice,
-          planner,
-          -1,
-          !isIdle && state.duplicatesLeft > 0,
-        );
-        if (holds) this.addHolderEvents(state, planner, folds[planner], add);
-      },
+    const folds = state.planners.map(({nextOffset}) =>
+      this.fold(state.log.slice(0, nextOffset)),
     );
+    state.planners.forEach(({nextOffset, pendingRecords}, planner) => {
+      const isIdle = pendingRecords.length === 0;
+      const isHolder = folds[planner].holder === planner;
+      const mayTake = state.termsLeft > 0 && isIdle && !isHolder;
+      add(EventType.Read, planner, -1, nextOffset < state.log.length);
+      add(
+        EventType.TakeTerm,
+        planner,
+        -1,
+        mayTake && isAllowedBySymmetry(state, planner),
+      );
+      add(EventType.Append, planner, -1, !isIdle);
+      add(
+        EventType.AppendTwice,
+        planner,
+        -1,
+        !isIdle && state.duplicatesLeft > 0,
+      );
+      if (isHolder) this.addHolderEvents(state, planner, folds[planner], add);
+    });
     add(EventType.AppendDuplicate, -1, -1, state.pendingDuplicates.length > 0);
     add(EventType.FailVm, -1, FAILING_VM, state.failuresLeft > 0);
     return events;
@@ -226,7 +231,8 @@
   step(state: BudgetState, {type, planner, vm}: BudgetEvent): BudgetState {
     switch (type) {
       case EventType.Read:
-        // Reading changes nothing but what is known: to stop halfway is to have read earlier.
+        // Always reads to the end: reading changes only what the planner knows, so a partial
+        // read is the same as an earlier read.
         return withPlanner(state, planner, {nextOffset: state.log.length});
       case EventType.TakeTerm:
         return {
@@ -243,16 +249,16 @@
       case EventType.AppendTwice:
         return appendOldestPending(state, planner, true);
       case EventType.AppendDuplicate: {
-        const [copy, ...copies] = state.pendingDuplicates;
-        return {...state, log: [...state.log, copy], pendingDuplicates: copies};
+        const [duplicate, ...pendingDuplicates] = state.pendingDuplicates;
+        return {...state, log: [...state.log, duplicate], pendingDuplicates};
       }
       case EventType.Reboot: {
-        const at = this.drainOf(state, planner, vm);
-        const noted = this.recordActedDrain(state, planner, vm, at);
-        return {...noted, rebooting: withValueAt(state.rebooting, vm, at)};
+        const drain = this.actionableDrain(state, planner, vm);
+        const acted = this.recordActedDrain(state, planner, vm, drain);
+        return {...acted, rebooting: withValueAt(state.rebooting, vm, drain)};
       }
       case EventType.FinishReboot: {
-        const noted = this.recordActedDrain(
+        const acted = this.recordActedDrain(
           state,
           planner,
           vm,
@@ -260,7 +266,7 @@
         );
         const rebooting = withValueAt(state.rebooting, vm, -1);
         return this.queueRecord(
-          {...noted, rebooting},
+          {...acted, rebooting},
           planner,
           RecordKind.DrainEnded,
           vm,
@@ -290,26 +296,26 @@
     const reserve = this.reserve();
     for (const vm of DRAINABLE_VMS) {
       const {drains} = folded;
-      const sees = isIdle && state.drainsLeft > 0;
+      const mayPropose = isIdle && state.drainsLeft > 0;
       add(
         EventType.ProposeDrain,
         planner,
         vm,
-        sees && allowsDrain(folded, vm, reserve),
+        mayPropose && allowsDrain(folded, vm, reserve),
       );
-      const isOut = state.rebooting[vm] >= 0;
+      const isRebooting = state.rebooting[vm] >= 0;
       const mayReboot = this.mayReboot(state, planner, vm);
-      add(EventType.Reboot, planner, vm, !isOut && mayReboot);
-      const isOwn = isOut && state.rebooting[vm] === drains[vm];
-      add(EventType.FinishReboot, planner, vm, isIdle && isOwn);
+      add(EventType.Reboot, planner, vm, !isRebooting && mayReboot);
+      const isOwnDrain = isRebooting && state.rebooting[vm] === drains[vm];
+      add(EventType.FinishReboot, planner, vm, isIdle && isOwnDrain);
     }
   }
 
-  // The log cannot stop a call to the platform by a planner that is paused between its
-  // decision and the call. It is assumed that the platform refuses it: the call names the
-  // lease of the planner, which a new term has ended.
+  // The log cannot stop a call to the platform by a planner that is paused between its decision
+  // and the call. The model assumes that the platform refuses such a call: the call names the
+  // lease of the planner, and a new term has ended that lease.
   private mayReboot(state: BudgetState, planner: number, vm: number): boolean {
-    const drain = this.drainOf(state, planner, vm);
+    const drain = this.actionableDrain(state, planner, vm);
     if (drain < 0 || drain <= state.planners[planner].lastActedDrains[vm])
       return false;
     if (
@@ -321,29 +327,36 @@
     return holder === planner && drains[vm] === drain;
   }
 
-  /** The drain on which a planner may act: one that it has read in the log. */
-  private drainOf(state: BudgetState, planner: number, vm: number): number {
-    const {nextOffset: read, pendingRecords: saying} = state.planners[planner];
-    const known = this.fold(state.log.slice(0, read));
+  /** Returns the drain that a planner may act on: one that it has read in the log. */
+  private actionableDrain(
+    state: BudgetState,
+    planner: number,
+    vm: number,
+  ): number {
+    const {nextOffset, pendingRecords} = state.planners[planner];
+    const readState = this.fold(state.log.slice(0, nextOffset));
     if (this.mutation === MutationName.ActBeforeReadBack) {
-      const isSaid = saying.some(
+      const isPending = pendingRecords.some(
         record => record.kind === RecordKind.DrainStarted && record.vm === vm,
       );
-      if (isSaid) return state.log.length;
+      if (isPending) return state.log.length;
     }
-    return known.drains[vm];
+    return readState.drains[vm];
   }
 
-  /** A planner acts once under one drain, and not at all after it said that it ended. */
+  /**
+   * Records the drain that a planner acted on. A planner acts only once on a drain, and never
+   * after it has sent the record that ends it.
+   */
   private recordActedDrain(
     state: BudgetState,
     planner: number,
     vm: number,
     drain: number,
   ): BudgetState {
-    const {lastActedDrains: done} = state.planners[planner];
+    const {lastActedDrains} = state.planners[planner];
     return withPlanner(state, planner, {
-      lastActedDrains: withValueAt(done, vm, drain),
+      lastActedDrains: withValueAt(lastActedDrains, vm, drain),
     });
   }
 
@@ -353,11 +366,13 @@
     kind: BudgetRecordKind,
     vm: number,
   ): BudgetState {
-    const {nextOffset: read, pendingRecords: saying} = state.planners[planner];
-    const {term, drains} = this.fold(state.log.slice(0, read));
+    const {nextOffset, pendingRecords} = state.planners[planner];
+    const {term, drains} = this.fold(state.log.slice(0, nextOffset));
     const startedAt = kind === RecordKind.DrainEnded ? drains[vm] : -1;
     const record = {kind, planner, term, vm, startedAt};
-    return withPlanner(state, planner, {pendingRecords: [...saying, record]});
+    return withPlanner(state, planner, {
+      pendingRecords: [...pendingRecords, record],
+    });
   }
 
   private fold(log: readonly BudgetRecord[]): FoldedBudget {
@@ -367,7 +382,7 @@
     );
   }
 
-  /** Terms of the records that took effect, in their order. */
+  /** Returns the terms of the accepted records in log order. */
   private acceptedTerms(log: readonly BudgetRecord[]): number[] {
     const terms: number[] = [];
     let state = INITIAL_BUDGET;
@@ -382,7 +397,7 @@
     return terms;
   }
 
-  /** Undefined when the record is rejected. */
+  /** Applies a record; returns undefined when the record is rejected. */
   private apply(
     state: FoldedBudget,
     record: BudgetRecord,
@@ -398,18 +413,18 @@
     const {drains} = state;
     switch (kind) {
       case RecordKind.DrainStarted: {
-        const checks = this.mutation !== MutationName.NoBudgetCheckInFold;
-        const isAllowed = checks
+        const checksBudget = this.mutation !== MutationName.NoBudgetCheckInFold;
+        const isAllowed = checksBudget
           ? allowsDrain(state, vm, this.reserve())
           : drains[vm] < 0;
         if (!isAllowed) return undefined;
         return {...state, drains: withValueAt(drains, vm, offset)};
       }
       case RecordKind.DrainEnded: {
-        const isNamed = drains[vm] === startedAt;
-        const isAny =
+        const isNamedDrain = drains[vm] === startedAt;
+        const endsAnyDrain =
           this.mutation === MutationName.EndAnyDrain && drains[vm] >= 0;
-        if (!isNamed && !isAny) return undefined;
+        if (!isNamedDrain && !endsAnyDrain) return undefined;
         return {...state, drains: withValueAt(drains, vm, -1)};
       }
     }
@@ -420,24 +435,27 @@
   }
 }
 
-// The planners are alike, so the first term may as well be the first planner's.
-function isFirst(state: BudgetState, planner: number): boolean {
+// The planners are interchangeable, so the first planner always takes the first term. This
+// symmetry reduces the number of states.
+function isAllowedBySymmetry(state: BudgetState, planner: number): boolean {
   return planner === 0 || state.log.length > 0;
 }
 
 function appendOldestPending(
   state: BudgetState,
   planner: number,
-  twice: boolean,
+  isDuplicated: boolean,
 ): BudgetState {
-  const [record, ...saying] = state.planners[planner].pendingRecords;
-  const landed = withPlanner(state, planner, {pendingRecords: saying});
-  const {pendingDuplicates: copies, duplicatesLeft: copiesLeft} = state;
+  const [record, ...pendingRecords] = state.planners[planner].pendingRecords;
+  const appended = withPlanner(state, planner, {pendingRecords});
+  const {pendingDuplicates, duplicatesLeft} = state;
   return {
-    ...landed,
+    ...appended,
     log: [...state.log, record],
-    pendingDuplicates: twice ? [...copies, record] : copies,
-    duplicatesLeft: copiesLeft - (twice ? 1 : 0),
+    pendingDuplicates: isDuplicated
+      ? [...pendingDuplicates, record]
+      : pendingDuplicates,
+    duplicatesLeft: duplicatesLeft - (isDuplicated ? 1 : 0),
   };
 }
 
@@ -452,10 +470,10 @@
 
 function withValueAt<Value>(
   values: readonly Value[],
-  place: number,
+  index: number,
   value: Value,
 ): readonly Value[] {
-  return values.map((item, at) => (at === place ? value : item));
+  return values.map((item, itemIndex) => (itemIndex === index ? value : item));
 }
 
 const ONE_PLANNER_MUTATIONS: readonly Mutation[] = [
@@ -495,7 +513,7 @@
   },
 ];
 
-/** The availability budget of one service, within the given bounds. */
+/** Returns the specification of the availability budget of one service. */
 export function budgetSpecifications(
   bounds: BudgetBounds,
 ): SpecificationFactory<BudgetState, BudgetEvent> {
--- a/packages/specification/src/bundle-model.ts
+++ b/packages/specification/src/bundle-model.ts
@@ -6,7 +6,7 @@
   type SpecificationFactory,
 } from './specification.js';
 
-/** A signed-off bundle: its version, the version that it builds on, what it says. */
+/** A signed-off bundle: its version, the version that it builds on and its digest. */
 export interface SignedBundle {
   readonly version: number;
   readonly base: number;
@@ -19,7 +19,7 @@
   readonly digest: string;
 }
 
-/** What a daemon's state was at an offset. */
+/** The bundle in force at a daemon when it had read up to an offset. */
 export interface BundleSnapshot extends BundleVersion {
   readonly offset: number;
 }
@@ -28,13 +28,13 @@
 export interface BundleDaemon {
   /** Offset that it reads next. */
   readonly nextOffset: number;
-  /** In force by what it has read. */
+  /** Version in force according to the records that it has read. */
   readonly folded: BundleVersion;
-  /** The newest that a peer gave it. */
+  /** The latest version received from a peer. */
   readonly receivedFromPeer: BundleVersion;
-  /** It serves nothing before it has read so far. */
+  /** End of the log when it started; it serves nothing before it has read up to there. */
   readonly endOffsetAtStart: number;
-  /** Version in force in the log when it started. */
+  /** Version that the log had in force when it started. */
   readonly versionAtStart: number;
   /** Highest version under which this incarnation served. */
   readonly highestServedVersion: number;
@@ -42,10 +42,10 @@
   readonly hasServedStaleAtStart: boolean;
 }
 
-/** The whole state. */
+/** The complete state: the log, its snapshots and the daemons. */
 export interface BundleState {
   readonly log: readonly SignedBundle[];
-  /** Oldest offset that is kept. */
+  /** Oldest offset that the log retains. */
   readonly oldest: number;
   readonly snapshots: readonly BundleSnapshot[];
   readonly daemons: readonly BundleDaemon[];
@@ -54,29 +54,30 @@
   readonly snapshotsLeft: number;
 }
 
-/** What may happen. */
+/** Events of operators, daemons and the log. */
 export enum BundleEventType {
-  /** An operator's bundle lands; `of` tells how far behind its base is. */
+  /** An operator's bundle is appended, with a base some versions behind the newest. */
   Publish = 'publish',
   Read = 'read',
-  /** A daemon takes the bundle of the other one. */
+  /** A daemon receives the bundle of the other daemon. */
   ReceiveFromPeer = 'hear',
   Restart = 'restart',
   WriteSnapshot = 'write_snapshot',
-  /** The log lets its oldest record go. */
+  /** The log drops its oldest record. */
   TruncateLog = 'retain',
   LoadSnapshot = 'load_snapshot',
 }
 
-/** One thing that happens. */
+/** One event. */
 export interface BundleEvent {
   readonly type: BundleEventType;
+  /** Index of a daemon; for `Publish`, the number of versions that the base is behind. */
   readonly daemonOrVersionsBehind: number;
-  /** Place of a snapshot. */
+  /** Index of a snapshot; 0 for other events. */
   readonly snapshotIndex: number;
 }
 
-/** Safeguards that a mutation takes out. */
+/** Mutations, each of which removes one safeguard. */
 export enum BundleMutation {
   AnyBase = 'any-base',
   SnapshotAnyAge = 'snapshot-any-age',
@@ -97,19 +98,20 @@
 const EventType = BundleEventType;
 const MutationName = BundleMutation;
 
-/** The fold of the specification over a stretch of the log. */
+/** Folds a section of the log into the bundle in force. */
 export function foldBundles(
   log: readonly SignedBundle[],
-  from: BundleVersion,
+  initial: BundleVersion,
   mutation?: string,
 ): BundleVersion {
   return log.reduce((inForce, {version, base, digest}) => {
-    const fits = base === inForce.version || mutation === MutationName.AnyBase;
-    return fits ? {version, digest} : inForce;
-  }, from);
+    const isAccepted =
+      base === inForce.version || mutation === MutationName.AnyBase;
+    return isAccepted ? {version, digest} : inForce;
+  }, initial);
 }
 
-/** Bundles in force at two daemons, with racing operators, restarts, peers and retention. */
+/** Bundles in force at two daemons, with concurrent operators, restarts, peers and retention. */
 class BundleSpecification implements Specification<BundleState, BundleEvent> {
   readonly name = 'bundles (2 published, 1 restart, 1 snapshot)';
   readonly bounds =
@@ -127,14 +129,13 @@
     {
       guarantee: Guarantee.NoVersionRollback,
       name: NO_VERSION_ROLLBACK,
-      holds: ({daemons}) =>
-        daemons.every(({hasRolledBack: wentBack}) => !wentBack),
+      holds: ({daemons}) => daemons.every(({hasRolledBack}) => !hasRolledBack),
     },
     {
       guarantee: Guarantee.NoVersionRollback,
       name: NOT_STALE_AT_START,
       holds: ({daemons}) =>
-        daemons.every(({hasServedStaleAtStart: servedOld}) => !servedOld),
+        daemons.every(({hasServedStaleAtStart}) => !hasServedStaleAtStart),
     },
     {
       guarantee: Guarantee.NoVersionRollback,
@@ -148,52 +149,67 @@
 
   constructor(private readonly mutation: string | undefined) {}
 
-  describe({
-    type,
-    daemonOrVersionsBehind: of,
-    snapshotIndex: which,
-  }: BundleEvent): string {
+  describe({type, daemonOrVersionsBehind, snapshotIndex}: BundleEvent): string {
     if (type === EventType.Publish)
-      return `an operator publishes, ${of} versions behind`;
+      return `an operator publishes, ${daemonOrVersionsBehind} versions behind`;
     if (type === EventType.TruncateLog)
       return 'the log lets its oldest record go';
-    const name = `daemon ${DAEMONS[of]}: ${type}`;
-    return type === EventType.LoadSnapshot ? `${name} ${which}` : name;
+    const step = `daemon ${DAEMONS[daemonOrVersionsBehind]}: ${type}`;
+    return type === EventType.LoadSnapshot ? `${step} ${snapshotIndex}` : step;
   }
 
   enabledEvents(state: BundleState): BundleEvent[] {
     const events: BundleEvent[] = [];
     const add = (
       type: BundleEventType,
-      of: number,
+      daemonOrVersionsBehind: number,
       when: boolean,
-      which = 0,
+      snapshotIndex = 0,
     ) => {
-      if (when)
-        events.push({type, daemonOrVersionsBehind: of, snapshotIndex: which});
+      if (when) events.push({type, daemonOrVersionsBehind, snapshotIndex});
     };
     const {version} = this.newestInLog(state);
-    for (const behind of VERSIONS_BEHIND)
+    for (const versionsBehind of VERSIONS_BEHIND)
       add(
         EventType.Publish,
-        behind,
-        state.publishesLeft > 0 && version >= behind,
+        versionsBehind,
+        state.publishesLeft > 0 && version >= versionsBehind,
+      );
+    const isCoveredBySnapshot = state.snapshots.some(
+      ({offset}) => offset > state.oldest,
+    );
+    add(
+      EventType.TruncateLog,
+      -1,
+      isCoveredBySnapshot && state.oldest < state.log.length,
+    );
+    state.daemons.forEach((daemon, daemonIndex) => {
+      const {nextOffset} = daemon;
+      const peerVersion = this.inForce(state.daemons[1 - daemonIndex]);
+      const isNewer = peerVersion.version > this.inForce(daemon).version;
+      const mayReceive =
+        isNewer || this.mutation === MutationName.PeerAnyVersion;
+      add(
+        EventType.Read,
+        daemonIndex,
+        nextOffset >= state.oldest && nextOffset < state.log.length,
       );
-    const covered = state.snapshots.some(({offset}) => offset > state.oldest);
-    add(EventType.TruncateLog, -1, covered && state.oldest < state.log.length);
-    state.daemons.forEach((daemon, of) => {
-      const {nextOffset: read} = daemon;
-      const other = this.inForce(state.daemons[1 - of]);
-      const isNewer = other.version > this.inForce(daemon).version;
-      const mayHear = isNewer || this.mutation === MutationName.PeerAnyVersion;
-      add(EventType.Read, of, read >= state.oldest && read < state.log.length);
-      add(EventType.ReceiveFromPeer, of, other.version > 0 && mayHear);
-      add(EventType.Restart, of, state.restartsLeft > 0);
-      add(EventType.WriteSnapshot, of, state.snapshotsLeft > 0 && read > 0);
-      state.snapshots.forEach(({offset}, which) => {
-        const helps = read < state.oldest && offset > read;
-        const may = helps || this.mutation === MutationName.SnapshotAnyAge;
-        add(EventType.LoadSnapshot, of, may, which);
+      add(
+        EventType.ReceiveFromPeer,
+        daemonIndex,
+        peerVersion.version > 0 && mayReceive,
+      );
+      add(EventType.Restart, daemonIndex, state.restartsLeft > 0);
+      add(
+        EventType.WriteSnapshot,
+        daemonIndex,
+        state.snapshotsLeft > 0 && nextOffset > 0,
+      );
+      state.snapshots.forEach(({offset}, snapshotIndex) => {
+        const isUseful = nextOffset < state.oldest && offset > nextOffset;
+        const mayLoad =
+          isUseful || this.mutation === MutationName.SnapshotAnyAge;
+        add(EventType.LoadSnapshot, daemonIndex, mayLoad, snapshotIndex);
       });
     });
     return events;
@@ -201,26 +217,30 @@
 
   step(
     state: BundleState,
-    {type, daemonOrVersionsBehind: of, snapshotIndex: which}: BundleEvent,
+    {type, daemonOrVersionsBehind, snapshotIndex}: BundleEvent,
   ): BundleState {
     switch (type) {
       case EventType.Publish:
-        return this.publish(state, of);
+        return this.publish(state, daemonOrVersionsBehind);
       case EventType.TruncateLog:
         return {...state, oldest: state.oldest + 1};
       case EventType.Restart: {
         const {version} = this.newestInLog(state);
         const started = createDaemon(state.log.length, version);
-        const restarted = this.withDaemon(state, of, started);
+        const restarted = this.withDaemon(
+          state,
+          daemonOrVersionsBehind,
+          started,
+        );
         return {...restarted, restartsLeft: state.restartsLeft - 1};
       }
       case EventType.WriteSnapshot:
-        return writeSnapshot(state, of);
+        return writeSnapshot(state, daemonOrVersionsBehind);
       default:
         return this.withDaemon(
           state,
-          of,
-          this.stepDaemon(state, type, of, which),
+          daemonOrVersionsBehind,
+          this.stepDaemon(state, type, daemonOrVersionsBehind, snapshotIndex),
         );
     }
   }
@@ -228,30 +248,36 @@
   private stepDaemon(
     state: BundleState,
     type: BundleEventType,
-    of: number,
-    which: number,
+    daemonIndex: number,
+    snapshotIndex: number,
   ): BundleDaemon {
-    const daemon = state.daemons[of];
+    const daemon = state.daemons[daemonIndex];
     if (type === EventType.ReceiveFromPeer)
-      return {...daemon, receivedFromPeer: this.inForce(state.daemons[1 - of])};
+      return {
+        ...daemon,
+        receivedFromPeer: this.inForce(state.daemons[1 - daemonIndex]),
+      };
     if (type === EventType.LoadSnapshot) {
-      const {offset, version, digest} = state.snapshots[which];
+      const {offset, version, digest} = state.snapshots[snapshotIndex];
       return {...daemon, nextOffset: offset, folded: {version, digest}};
     }
     const next = state.log.slice(daemon.nextOffset, daemon.nextOffset + 1);
     const folded = foldBundles(next, daemon.folded, this.mutation);
-    const isForgotten = this.mutation === MutationName.ForgetPeerVersionOnRead;
-    const taken = isForgotten ? NO_BUNDLE : daemon.receivedFromPeer;
+    const forgetsPeerVersion =
+      this.mutation === MutationName.ForgetPeerVersionOnRead;
+    const receivedFromPeer = forgetsPeerVersion
+      ? NO_BUNDLE
+      : daemon.receivedFromPeer;
     return {
       ...daemon,
       nextOffset: daemon.nextOffset + 1,
       folded,
-      receivedFromPeer: taken,
+      receivedFromPeer,
     };
   }
 
-  private publish(state: BundleState, behind: number): BundleState {
-    const base = this.newestInLog(state).version - behind;
+  private publish(state: BundleState, versionsBehind: number): BundleState {
+    const base = this.newestInLog(state).version - versionsBehind;
     const digest = String.fromCharCode(120 + state.publishesLeft);
     return {
       ...state,
@@ -260,33 +286,35 @@
     };
   }
 
-  /** What the whole log has in force. */
+  /** Returns the version that the complete log has in force. */
   private newestInLog({log}: BundleState): BundleVersion {
     return foldBundles(log, NO_BUNDLE, this.mutation);
   }
 
-  /** What a daemon follows: the higher of what it read and what it heard. */
-  private inForce({
-    folded,
-    receivedFromPeer: taken,
-  }: BundleDaemon): BundleVersion {
-    if (this.mutation === MutationName.PeerAnyVersion && taken.version > 0)
-      return taken;
-    return taken.version > folded.version ? taken : folded;
+  /** Returns the version a daemon uses: the higher one of its fold and its peer's version. */
+  private inForce({folded, receivedFromPeer}: BundleDaemon): BundleVersion {
+    if (
+      this.mutation === MutationName.PeerAnyVersion &&
+      receivedFromPeer.version > 0
+    )
+      return receivedFromPeer;
+    return receivedFromPeer.version > folded.version
+      ? receivedFromPeer
+      : folded;
   }
 
   private withDaemon(
     state: BundleState,
-    of: number,
+    daemonIndex: number,
     changed: BundleDaemon,
   ): BundleState {
-    const daemons = state.daemons.map((daemon, place) =>
-      place === of ? this.recordServedVersion(changed) : daemon,
+    const daemons = state.daemons.map((daemon, index) =>
+      index === daemonIndex ? this.recordServedVersion(changed) : daemon,
     );
     return {...state, daemons};
   }
 
-  /** Notes the version under which a daemon serves. */
+  /** Records the version under which a daemon serves, and whether that is a rollback. */
   private recordServedVersion(daemon: BundleDaemon): BundleDaemon {
     const {version} = this.inForce(daemon);
     const isReady =
@@ -305,24 +333,30 @@
   }
 }
 
-/** Reads from the first offset on; where that is gone, it has to load a snapshot. */
-function createDaemon(target: number, startVersion: number): BundleDaemon {
+/**
+ * Creates a daemon that reads from the first offset; if the log no longer retains that offset,
+ * it has to load a snapshot.
+ */
+function createDaemon(
+  endOffsetAtStart: number,
+  versionAtStart: number,
+): BundleDaemon {
   return {
     nextOffset: 0,
     folded: NO_BUNDLE,
     receivedFromPeer: NO_BUNDLE,
-    endOffsetAtStart: target,
-    versionAtStart: startVersion,
+    endOffsetAtStart,
+    versionAtStart,
     highestServedVersion: 0,
     hasRolledBack: false,
     hasServedStaleAtStart: false,
   };
 }
 
-function writeSnapshot(state: BundleState, of: number): BundleState {
-  const {nextOffset: offset, folded} = state.daemons[of];
-  const isWhole = folded.version > 0;
-  const snapshots = isWhole
+function writeSnapshot(state: BundleState, daemonIndex: number): BundleState {
+  const {nextOffset: offset, folded} = state.daemons[daemonIndex];
+  const hasBundle = folded.version > 0;
+  const snapshots = hasBundle
     ? [...state.snapshots, {offset, ...folded}]
     : state.snapshots;
   return {...state, snapshots, snapshotsLeft: state.snapshotsLeft - 1};
@@ -358,7 +392,7 @@
   },
 ];
 
-/** The bundle in force. */
+/** Specification of the bundle in force. */
 export const BUNDLE_SPECIFICATIONS: SpecificationFactory<
   BundleState,
   BundleEvent
--- a/packages/specification/src/canonical-order.ts
+++ b/packages/specification/src/canonical-order.ts
@@ -1,6 +1,9 @@
-/** Items whose order says nothing: one order for each content keeps the states few. */
+/**
+ * Sorts items whose order has no meaning. One order for each content keeps the number of
+ * states small.
+ */
 export function inCanonicalOrder<Item>(items: readonly Item[]): Item[] {
-  return [...items].sort((one, other) =>
-    JSON.stringify(one) < JSON.stringify(other) ? -1 : 1,
+  return [...items].sort((left, right) =>
+    JSON.stringify(left) < JSON.stringify(right) ? -1 : 1,
   );
 }
--- a/packages/specification/src/claim-retention-model.ts
+++ b/packages/specification/src/claim-retention-model.ts
@@ -6,31 +6,32 @@
   type SpecificationFactory,
 } from './specification.js';
 
-/** A claim in the stream: of the key that is watched, or of another. */
+/** A claim in the stream, of the issued key or of another key. */
 export interface RetentionClaim {
   readonly isOfIssuedKey: boolean;
-  /** Daemon and number of its request; -1 for claims of other keys. */
+  /** Number of the request that claims the key; -1 for claims of other keys. */
   readonly request: number;
 }
 
-/** A daemon: it reads the stream and forgets its oldest claims. */
+/** A daemon, which reads the stream and evicts its oldest claims. */
 export interface RetentionDaemon {
   readonly nextOffset: number;
-  /** Claims below this offset may be forgotten or were never read. */
+  /** Claims below this offset may be evicted or were never read. */
   readonly retainedFromOffset: number;
-  /** Offset of the claim of the key that it knows; -1 when it knows none. */
+  /** Offset of the known claim of the issued key; -1 when it knows none. */
   readonly knownClaimOffset: number;
-  /** Request that waits for its claim, with the offset up to which it knew; -1 for none. */
+  /** Request that waits for its claim; -1 for none. */
   readonly pendingRequest: number;
+  /** Offset up to which the daemon had read when the pending request began. */
   readonly nextOffsetAtRequest: number;
   readonly hasClaimed: boolean;
 }
 
-/** The whole state: one issued key, two daemons, a bounded window. */
+/** The complete state: one issued key, two daemons and a bounded retention window. */
 export interface RetentionState {
   readonly log: readonly RetentionClaim[];
   readonly oldest: number;
-  /** Offset at which the key was issued; -1 before. */
+  /** Offset at which the key was issued; -1 before that. */
   readonly issueOffset: number;
   readonly daemons: readonly RetentionDaemon[];
   readonly requestsLeft: number;
@@ -39,26 +40,26 @@
   readonly runCount: number;
 }
 
-/** What may happen. */
+/** Events of callers, daemons and the log. */
 export enum RetentionEventType {
   IssueKey = 'issue',
   BeginRequest = 'begin',
   AppendClaim = 'land',
   Read = 'read',
-  /** A claim of another key pushes the window on. */
+  /** A claim of another key advances the retention window. */
   ClaimOtherKey = 'other',
-  /** The log lets its oldest record go. */
+  /** The log drops its oldest record. */
   TruncateLog = 'retain',
   Restart = 'restart',
 }
 
-/** One thing that happens. */
+/** One event; `daemonIndex` is -1 for an event of no daemon. */
 export interface RetentionEvent {
   readonly type: RetentionEventType;
   readonly daemonIndex: number;
 }
 
-/** Safeguards that a mutation takes out. */
+/** Mutations, each of which removes one safeguard. */
 export enum RetentionMutation {
   NoIssueOffsetCheck = 'no-birth',
   NoRecheckAtReadBack = 'no-second-look',
@@ -71,7 +72,7 @@
 const MutationName = RetentionMutation;
 const DAEMONS = ['a', 'b'];
 
-/** A key that comes again after its claim was forgotten. */
+/** An issued key that is used again after its claim was evicted. */
 class RetentionSpecification implements Specification<
   RetentionState,
   RetentionEvent
@@ -93,47 +94,56 @@
     {
       guarantee: Guarantee.AtMostOnce,
       name: AT_MOST_ONCE,
-      holds: ({runCount: runs}) => runs <= 1,
+      holds: ({runCount}) => runCount <= 1,
     },
   ];
 
   constructor(private readonly mutation: string | undefined) {}
 
-  describe({type, daemonIndex: of}: RetentionEvent): string {
-    return of < 0 ? type : `daemon ${DAEMONS[of]}: ${type}`;
+  describe({type, daemonIndex}: RetentionEvent): string {
+    return daemonIndex < 0 ? type : `daemon ${DAEMONS[daemonIndex]}: ${type}`;
   }
 
   enabledEvents(state: RetentionState): RetentionEvent[] {
     const events: RetentionEvent[] = [];
-    const add = (type: RetentionEventType, of: number, when: boolean) => {
-      if (when) events.push({type, daemonIndex: of});
+    const add = (
+      type: RetentionEventType,
+      daemonIndex: number,
+      when: boolean,
+    ) => {
+      if (when) events.push({type, daemonIndex});
     };
     const end = state.log.length;
     add(EventType.ClaimOtherKey, -1, state.otherClaimsLeft > 0);
     add(EventType.TruncateLog, -1, state.oldest < end);
-    state.daemons.forEach((daemon, of) => {
+    state.daemons.forEach((daemon, daemonIndex) => {
       const isPending = daemon.pendingRequest >= 0;
       const mayBegin =
         state.requestsLeft > 0 && state.issueOffset >= 0 && !isPending;
-      // The daemons are alike, so the first may as well issue the key.
-      add(EventType.IssueKey, of, of === 0 && state.issueOffset < 0);
+      // The daemons are interchangeable, so the first one always issues the key. This symmetry
+      // reduces the number of states.
+      add(
+        EventType.IssueKey,
+        daemonIndex,
+        daemonIndex === 0 && state.issueOffset < 0,
+      );
       add(
         EventType.BeginRequest,
-        of,
+        daemonIndex,
         mayBegin && this.isAdmitted(state, daemon),
       );
-      add(EventType.AppendClaim, of, isPending && !daemon.hasClaimed);
-      add(EventType.Read, of, daemon.nextOffset < end);
-      add(EventType.Restart, of, state.restartsLeft > 0);
+      add(EventType.AppendClaim, daemonIndex, isPending && !daemon.hasClaimed);
+      add(EventType.Read, daemonIndex, daemon.nextOffset < end);
+      add(EventType.Restart, daemonIndex, state.restartsLeft > 0);
     });
     return events;
   }
 
   step(
     state: RetentionState,
-    {type, daemonIndex: of}: RetentionEvent,
+    {type, daemonIndex}: RetentionEvent,
   ): RetentionState {
-    const daemon = state.daemons[of];
+    const daemon = state.daemons[daemonIndex];
     switch (type) {
       case EventType.IssueKey:
         return {...state, issueOffset: daemon.nextOffset};
@@ -144,14 +154,18 @@
       case EventType.TruncateLog:
         return {...state, oldest: state.oldest + 1};
       case EventType.Restart: {
-        const restarted = withDaemon(state, of, createDaemon(state.oldest));
+        const restarted = withDaemon(
+          state,
+          daemonIndex,
+          createDaemon(state.oldest),
+        );
         return {...restarted, restartsLeft: state.restartsLeft - 1};
       }
       case EventType.BeginRequest: {
-        const pending = state.requestsLeft;
-        const begun = withDaemon(state, of, {
+        const pendingRequest = state.requestsLeft;
+        const begun = withDaemon(state, daemonIndex, {
           ...daemon,
-          pendingRequest: pending,
+          pendingRequest,
           nextOffsetAtRequest: daemon.nextOffset,
           hasClaimed: false,
         });
@@ -159,11 +173,14 @@
       }
       case EventType.AppendClaim: {
         const claim = {isOfIssuedKey: true, request: daemon.pendingRequest};
-        const landed = withDaemon(state, of, {...daemon, hasClaimed: true});
-        return {...landed, log: [...state.log, claim]};
+        const appended = withDaemon(state, daemonIndex, {
+          ...daemon,
+          hasClaimed: true,
+        });
+        return {...appended, log: [...state.log, claim]};
       }
       case EventType.Read:
-        return this.read(state, of);
+        return this.read(state, daemonIndex);
     }
   }
 
@@ -175,24 +192,27 @@
     );
   }
 
-  private read(state: RetentionState, of: number): RetentionState {
-    const daemon = state.daemons[of];
-    if (daemon.nextOffset < state.oldest) return skipGap(state, of);
-    const {isOfIssuedKey: isWatched, request} = state.log[daemon.nextOffset];
-    const isFirst = isWatched && daemon.knownClaimOffset < 0;
-    const isOwn = isWatched && request === daemon.pendingRequest;
-    const known = isFirst ? daemon.nextOffset : daemon.knownClaimOffset;
+  private read(state: RetentionState, daemonIndex: number): RetentionState {
+    const daemon = state.daemons[daemonIndex];
+    if (daemon.nextOffset < state.oldest) return skipGap(state, daemonIndex);
+    const {isOfIssuedKey, request} = state.log[daemon.nextOffset];
+    const isFirst = isOfIssuedKey && daemon.knownClaimOffset < 0;
+    const isOwn = isOfIssuedKey && request === daemon.pendingRequest;
+    const knownClaimOffset = isFirst
+      ? daemon.nextOffset
+      : daemon.knownClaimOffset;
     const next = evictOldClaim({
       ...daemon,
-      knownClaimOffset: known,
+      knownClaimOffset,
       nextOffset: daemon.nextOffset + 1,
     });
     const settled = isOwn ? {...next, pendingRequest: -1} : next;
-    const isSure =
+    const isWithinRetention =
       daemon.retainedFromOffset <= daemon.nextOffsetAtRequest ||
       this.mutation === MutationName.NoRecheckAtReadBack;
-    const runs = state.runCount + (isFirst && isOwn && isSure ? 1 : 0);
-    return {...withDaemon(state, of, settled), runCount: runs};
+    const runCount =
+      state.runCount + (isFirst && isOwn && isWithinRetention ? 1 : 0);
+    return {...withDaemon(state, daemonIndex, settled), runCount};
   }
 }
 
@@ -207,39 +227,41 @@
   };
 }
 
-// What waits for its claim gives up: the batch that told its fate may be lost.
-function skipGap(state: RetentionState, of: number): RetentionState {
+// A request that waits for its claim is abandoned: the batch that would have settled it may be
+// lost.
+function skipGap(state: RetentionState, daemonIndex: number): RetentionState {
   const {oldest} = state;
-  return withDaemon(state, of, {
-    ...state.daemons[of],
+  return withDaemon(state, daemonIndex, {
+    ...state.daemons[daemonIndex],
     nextOffset: oldest,
     retainedFromOffset: oldest,
     pendingRequest: -1,
   });
 }
 
-/** Forgets what stands more than the window behind. */
+/** Evicts the known claim when it is older than the retention window. */
 function evictOldClaim(daemon: RetentionDaemon): RetentionDaemon {
-  const horizon = Math.max(
+  const retainedFromOffset = Math.max(
     daemon.retainedFromOffset,
     daemon.nextOffset - MAXIMUM_CLAIMS,
   );
-  const isForgotten =
-    daemon.knownClaimOffset >= 0 && daemon.knownClaimOffset < horizon;
+  const isEvicted =
+    daemon.knownClaimOffset >= 0 &&
+    daemon.knownClaimOffset < retainedFromOffset;
   return {
     ...daemon,
-    retainedFromOffset: horizon,
-    knownClaimOffset: isForgotten ? -1 : daemon.knownClaimOffset,
+    retainedFromOffset,
+    knownClaimOffset: isEvicted ? -1 : daemon.knownClaimOffset,
   };
 }
 
 function withDaemon(
   state: RetentionState,
-  of: number,
+  daemonIndex: number,
   changed: RetentionDaemon,
 ): RetentionState {
-  const daemons = state.daemons.map((daemon, place) =>
-    place === of ? changed : daemon,
+  const daemons = state.daemons.map((daemon, index) =>
+    index === daemonIndex ? changed : daemon,
   );
   return {...state, daemons};
 }
@@ -258,7 +280,7 @@
   },
 ];
 
-/** Claims that are forgotten. */
+/** Specification of claims with bounded retention. */
 export const RETENTION_SPECIFICATIONS: SpecificationFactory<
   RetentionState,
   RetentionEvent
--- a/packages/specification/src/claims-model.ts
+++ b/packages/specification/src/claims-model.ts
@@ -16,39 +16,39 @@
 } from './specification.js';
 import {mergeAt} from './array-updates.js';
 
-/** What may happen to claims. */
+/** Events of callers, daemons and the log. */
 export enum ClaimsEventType {
-  /** The caller tries, at a daemon. */
+  /** The caller begins an attempt at a daemon. */
   BeginAttempt = 'begin',
-  /** A daemon sends what has gathered. */
+  /** A daemon sends its pending claims and releases. */
   SendBatch = 'send',
   /** An append takes effect. */
   Append = 'land',
-  /** An append takes effect and a copy of it is still under way. */
+  /** An append takes effect and a duplicate of it is still in flight. */
   AppendTwice = 'land_twice',
-  /** The daemon hears that its append took effect; matters only to one mutation. */
+  /** The daemon is notified that its append took effect; only one mutation uses this. */
   ReceiveResponse = 'answer',
-  /** The answer is lost, whether or not the append took effect. */
+  /** The response is lost, whether or not the append took effect. */
   LoseResponse = 'lose_answer',
   /** The daemon reads the next batch. */
   Read = 'read',
-  /** Bytes go to a target. */
+  /** Bytes are sent to a target. */
   Dispatch = 'dispatch',
-  /** The daemon turns a won try away before it runs: the queue is full. */
+  /** The daemon rejects an attempt with a won claim before it runs, as with a full queue. */
   RejectBeforeRun = 'refuse',
-  /** The daemon ends a wait for the log. */
+  /** The daemon stops waiting for the log. */
   TimeOut = 'give_up',
-  /** The daemon dies; its successor starts empty. */
+  /** The daemon crashes; its successor starts without any state. */
   Crash = 'crash',
 }
 
-/** One thing that happens; `of` is a daemon, a try or an append in flight by its place. */
+/** One event; `index` is the index of a daemon, an attempt or an append in flight. */
 export interface ClaimsEvent {
   readonly type: ClaimsEventType;
   readonly index: number;
 }
 
-/** Safeguards that a mutation takes out. */
+/** Mutations, each of which removes one safeguard. */
 export enum ClaimsMutation {
   DispatchBeforeReadBack = 'dispatch-before-read-back',
   NoSequence = 'no-sequence',
@@ -77,7 +77,7 @@
 const EventType = ClaimsEventType;
 const MutationName = ClaimsMutation;
 
-/** Claims of one key over the log, by two daemons, under lost and doubled appends and crashes. */
+/** Claims of one key by two daemons over the log, with lost responses, duplicates and crashes. */
 class ClaimsSpecification implements Specification<ClaimsState, ClaimsEvent> {
   readonly name: string;
   readonly bounds: string;
@@ -111,235 +111,253 @@
     bounds: ClaimsBounds,
     private readonly mutation: string | undefined,
   ) {
-    const {
-      attempts,
-      lostResponses: losses,
-      duplicates: doubles,
-      crashes,
-      rejections: refusals,
-    } = bounds;
-    this.name = `claims (${attempts} tries, ${losses} lost, ${doubles} doubled, ${crashes} crashes, ${refusals} refused)`;
-    this.bounds = `one key, 2 daemons, ${attempts} tries, ${losses} lost answers, ${doubles} doubled appends, ${crashes} crashes, ${refusals} refusals after a won claim`;
+    const {attempts, lostResponses, duplicates, crashes, rejections} = bounds;
+    this.name = `claims (${attempts} tries, ${lostResponses} lost, ${duplicates} doubled, ${crashes} crashes, ${rejections} refused)`;
+    this.bounds = `one key, 2 daemons, ${attempts} tries, ${lostResponses} lost answers, ${duplicates} doubled appends, ${crashes} crashes, ${rejections} refusals after a won claim`;
     this.initialState = {
       log: [],
       appendsInFlight: [],
       daemons: DAEMONS.map(name => createDaemon(`${name}1`, 0)),
       attempts: Array.from({length: attempts}, () => UNSTARTED_ATTEMPT),
-      lostResponsesLeft: losses,
-      duplicatesLeft: doubles,
+      lostResponsesLeft: lostResponses,
+      duplicatesLeft: duplicates,
       crashesLeft: crashes,
-      rejectionsLeft: refusals,
+      rejectionsLeft: rejections,
     };
   }
 
-  describe({type, index: of}: ClaimsEvent): string {
+  describe({type, index}: ClaimsEvent): string {
     switch (type) {
       case EventType.Append:
       case EventType.AppendTwice:
-        return `${type} append ${of}`;
+        return `${type} append ${index}`;
       case EventType.Dispatch:
       case EventType.RejectBeforeRun:
       case EventType.TimeOut:
-        return `${type} try ${of}`;
+        return `${type} try ${index}`;
       default:
-        return `${type} at daemon ${DAEMONS[of]}`;
+        return `${type} at daemon ${DAEMONS[index]}`;
     }
   }
 
   enabledEvents(state: ClaimsState): ClaimsEvent[] {
     const events: ClaimsEvent[] = [];
-    const add = (type: ClaimsEventType, of: number, when: boolean) => {
-      if (when) events.push({type, index: of});
+    const add = (type: ClaimsEventType, index: number, when: boolean) => {
+      if (when) events.push({type, index});
     };
-    state.daemons.forEach((daemon, of) => {
-      add(EventType.BeginAttempt, of, mayBegin(state, of));
+    state.daemons.forEach((daemon, index) => {
+      add(EventType.BeginAttempt, index, mayBegin(state, index));
       add(
         EventType.SendBatch,
-        of,
+        index,
         !daemon.appendInFlight && hasPendingItems(daemon),
       );
       add(
         EventType.ReceiveResponse,
-        of,
+        index,
         this.mayReceiveResponse(state, daemon),
       );
       add(
         EventType.LoseResponse,
-        of,
+        index,
         state.lostResponsesLeft > 0 && daemon.appendInFlight !== null,
       );
-      add(EventType.Read, of, mayRead(state, daemon));
-      add(EventType.Crash, of, state.crashesLeft > 0);
+      add(EventType.Read, index, mayRead(state, daemon));
+      add(EventType.Crash, index, state.crashesLeft > 0);
     });
-    state.appendsInFlight.forEach((_, of) => {
-      add(EventType.Append, of, true);
+    state.appendsInFlight.forEach((_, index) => {
+      add(EventType.Append, index, true);
       add(
         EventType.AppendTwice,
-        of,
+        index,
         this.mutation === MutationName.NoSequence && state.duplicatesLeft > 0,
       );
     });
-    state.attempts.forEach(({stage}, of) => {
-      add(EventType.Dispatch, of, stage === AttemptStage.Won);
+    state.attempts.forEach(({stage}, index) => {
+      add(EventType.Dispatch, index, stage === AttemptStage.Won);
       add(
         EventType.RejectBeforeRun,
-        of,
+        index,
         state.rejectionsLeft > 0 && this.mayReject(stage),
       );
-      add(EventType.TimeOut, of, stage === AttemptStage.Pending);
+      add(EventType.TimeOut, index, stage === AttemptStage.Pending);
     });
     return events;
   }
 
-  step(state: ClaimsState, {type, index: of}: ClaimsEvent): ClaimsState {
+  step(state: ClaimsState, {type, index}: ClaimsEvent): ClaimsState {
     switch (type) {
       case EventType.BeginAttempt:
-        return this.begin(state, of);
+        return this.begin(state, index);
       case EventType.SendBatch:
-        return sendBatch(state, of);
+        return sendBatch(state, index);
       case EventType.Append:
-        return this.append(state, of, false);
+        return this.append(state, index, false);
       case EventType.AppendTwice:
-        return this.append(state, of, true);
+        return this.append(state, index, true);
       case EventType.ReceiveResponse:
-        return this.receiveResponse(state, of);
+        return this.receiveResponse(state, index);
       case EventType.LoseResponse:
-        return loseResponse(state, of);
+        return loseResponse(state, index);
       case EventType.Read:
-        return this.read(state, of);
+        return this.read(state, index);
       case EventType.Dispatch:
-        return withAttempt(state, of, {stage: AttemptStage.Ran, ran: true});
+        return withAttempt(state, index, {stage: AttemptStage.Ran, ran: true});
       case EventType.RejectBeforeRun:
-        return this.rejectBeforeRun(state, of);
+        return this.rejectBeforeRun(state, index);
       case EventType.TimeOut:
-        return this.timeOut(state, of);
+        return this.timeOut(state, index);
       case EventType.Crash:
-        return this.crash(state, of);
+        return this.crash(state, index);
     }
   }
 
-  private begin(state: ClaimsState, of: number): ClaimsState {
-    const index = nextAttempt(state);
-    const daemon = state.daemons[of];
+  private begin(state: ClaimsState, daemonIndex: number): ClaimsState {
+    const attemptIndex = nextAttempt(state);
+    const daemon = state.daemons[daemonIndex];
     const ranBefore = state.attempts.some(({ran}) => ran);
-    const at = daemon.incarnation;
+    const incarnation = daemon.incarnation;
     const {owner} = this.foldRead(state, daemon);
     if (owner !== undefined && !this.isFree(state, owner))
-      return withAttempt(state, index, {
+      return withAttempt(state, attemptIndex, {
         stage: AttemptStage.ToldUnknown,
-        incarnation: at,
+        incarnation,
         ranBefore,
       });
-    const begun = withAttempt(state, index, {
+    const begun = withAttempt(state, attemptIndex, {
       stage: AttemptStage.Pending,
-      incarnation: at,
+      incarnation,
       ranBefore,
     });
-    return withDaemon(begun, of, {
-      pendingClaims: [...daemon.pendingClaims, index],
+    return withDaemon(begun, daemonIndex, {
+      pendingClaims: [...daemon.pendingClaims, attemptIndex],
     });
   }
 
-  // The fold drops what stands behind its successor, wherever it lands: such an append is
-  // taken out at once, which changes no fold and keeps the number of states small.
-  private append(state: ClaimsState, of: number, twice: boolean): ClaimsState {
-    const batch = state.appendsInFlight[of];
-    const fenced = this.mutation !== MutationName.NoSequence;
-    const flight = state.appendsInFlight.filter(
-      (other, place) =>
-        (twice && place === of && !fenced) ||
-        (place !== of && !(fenced && isSupersededBy(other, batch))),
+  // The fold drops a batch that follows its successor, wherever it is appended. Such an append
+  // is removed at once, which changes no fold and keeps the number of states small.
+  private append(
+    state: ClaimsState,
+    appendIndex: number,
+    isDuplicated: boolean,
+  ): ClaimsState {
+    const batch = state.appendsInFlight[appendIndex];
+    const dropsStaleBatches = this.mutation !== MutationName.NoSequence;
+    const appendsInFlight = state.appendsInFlight.filter(
+      (other, otherIndex) =>
+        (isDuplicated && otherIndex === appendIndex && !dropsStaleBatches) ||
+        (otherIndex !== appendIndex &&
+          !(dropsStaleBatches && isSupersededBy(other, batch))),
     );
-    const doubles = state.duplicatesLeft - (twice ? 1 : 0);
+    const duplicatesLeft = state.duplicatesLeft - (isDuplicated ? 1 : 0);
     return {
       ...state,
       log: [...state.log, batch],
-      appendsInFlight: flight,
-      duplicatesLeft: doubles,
+      appendsInFlight,
+      duplicatesLeft,
     };
   }
 
-  private receiveResponse(state: ClaimsState, of: number): ClaimsState {
-    const {appendInFlight: sending} = state.daemons[of];
-    return sending!.claims.reduce(
-      (next, index) =>
-        next.attempts[index].stage === AttemptStage.Pending
-          ? withAttempt(next, index, {stage: AttemptStage.Won})
+  private receiveResponse(
+    state: ClaimsState,
+    daemonIndex: number,
+  ): ClaimsState {
+    const {appendInFlight} = state.daemons[daemonIndex];
+    return appendInFlight!.claims.reduce(
+      (next, attemptIndex) =>
+        next.attempts[attemptIndex].stage === AttemptStage.Pending
+          ? withAttempt(next, attemptIndex, {stage: AttemptStage.Won})
           : next,
       state,
     );
   }
 
-  private read(state: ClaimsState, of: number): ClaimsState {
-    const daemon = state.daemons[of];
+  private read(state: ClaimsState, daemonIndex: number): ClaimsState {
+    const daemon = state.daemons[daemonIndex];
     const batch = state.log[daemon.nextOffset];
     const fold = this.fold(
       state,
       state.log.slice(daemon.startOffset, daemon.nextOffset + 1),
     );
-    let next = withDaemon(state, of, {nextOffset: daemon.nextOffset + 1});
+    let next = withDaemon(state, daemonIndex, {
+      nextOffset: daemon.nextOffset + 1,
+    });
     if (batch.holder !== daemon.incarnation || !fold.accepted.at(-1))
       return next;
-    const {appendInFlight: sending} = daemon;
-    next = withDaemon(next, of, {
-      appendInFlight: sending?.sequence === batch.sequence ? null : sending,
+    const {appendInFlight} = daemon;
+    next = withDaemon(next, daemonIndex, {
+      appendInFlight:
+        appendInFlight?.sequence === batch.sequence ? null : appendInFlight,
       pendingClaims: without(daemon.pendingClaims, batch.claims),
       pendingReleases: without(daemon.pendingReleases, batch.releases),
     });
-    for (const index of batch.claims) {
-      next = this.settle(next, of, index, fold.owner === index);
+    for (const attemptIndex of batch.claims) {
+      next = this.settle(
+        next,
+        daemonIndex,
+        attemptIndex,
+        fold.owner === attemptIndex,
+      );
     }
     return next;
   }
 
   private settle(
     state: ClaimsState,
-    of: number,
-    index: number,
+    daemonIndex: number,
+    attemptIndex: number,
     isOwner: boolean,
   ): ClaimsState {
-    const {stage} = state.attempts[index];
+    const {stage} = state.attempts[attemptIndex];
     if (stage === AttemptStage.Pending) {
       const settled = isOwner ? AttemptStage.Won : AttemptStage.ToldUnknown;
-      return withAttempt(state, index, {stage: settled});
+      return withAttempt(state, attemptIndex, {stage: settled});
     }
-    const gaveUp =
+    const hasResponse =
       stage === AttemptStage.ToldNotRun || stage === AttemptStage.ToldUnknown;
-    if (!gaveUp || !isOwner) return state;
+    if (!hasResponse || !isOwner) return state;
     if (this.mutation === MutationName.LateWinRuns)
-      return withAttempt(state, index, {ran: true});
-    const releases = [...state.daemons[of].pendingReleases, index];
-    return withDaemon(state, of, {pendingReleases: releases});
+      return withAttempt(state, attemptIndex, {ran: true});
+    const releases = [
+      ...state.daemons[daemonIndex].pendingReleases,
+      attemptIndex,
+    ];
+    return withDaemon(state, daemonIndex, {pendingReleases: releases});
   }
 
-  private rejectBeforeRun(state: ClaimsState, index: number): ClaimsState {
-    const attempt = state.attempts[index];
-    const of = daemonOf(state, attempt);
-    const {pendingReleases: releases} = state.daemons[of];
+  private rejectBeforeRun(
+    state: ClaimsState,
+    attemptIndex: number,
+  ): ClaimsState {
+    const attempt = state.attempts[attemptIndex];
+    const daemonIndex = daemonOf(state, attempt);
+    const {pendingReleases} = state.daemons[daemonIndex];
     const stage = attempt.ran
       ? AttemptStage.ToldUnknown
       : AttemptStage.ToldNotRun;
-    const told = withAttempt(state, index, {stage});
-    const counted = {...told, rejectionsLeft: state.rejectionsLeft - 1};
-    return withDaemon(counted, of, {pendingReleases: [...releases, index]});
+    const decided = withAttempt(state, attemptIndex, {stage});
+    const rejected = {...decided, rejectionsLeft: state.rejectionsLeft - 1};
+    return withDaemon(rejected, daemonIndex, {
+      pendingReleases: [...pendingReleases, attemptIndex],
+    });
   }
 
-  // "Not run" needs the log's word that nothing stands there that this daemon has not read:
-  // an earlier try may have run elsewhere.
-  private timeOut(state: ClaimsState, index: number): ClaimsState {
-    const daemon = state.daemons[daemonOf(state, state.attempts[index])];
-    const proven =
+  // "Not run" requires that the daemon has read the log to its end: an earlier attempt may have
+  // run at another daemon.
+  private timeOut(state: ClaimsState, attemptIndex: number): ClaimsState {
+    const daemon = state.daemons[daemonOf(state, state.attempts[attemptIndex])];
+    const isProvenNotRun =
       daemon.nextOffset === state.log.length &&
       this.foldRead(state, daemon).owner === undefined;
     const mayTell =
-      proven || this.mutation === MutationName.NotRunWithoutReading;
+      isProvenNotRun || this.mutation === MutationName.NotRunWithoutReading;
     const stage = mayTell ? AttemptStage.ToldNotRun : AttemptStage.ToldUnknown;
-    return withAttempt(state, index, {stage});
+    return withAttempt(state, attemptIndex, {stage});
   }
 
-  private crash(state: ClaimsState, of: number): ClaimsState {
-    const {incarnation} = state.daemons[of];
-    const from =
+  private crash(state: ClaimsState, daemonIndex: number): ClaimsState {
+    const {incarnation} = state.daemons[daemonIndex];
+    const startOffset =
       this.mutation === MutationName.ReadFromEnd ? state.log.length : 0;
     const successor = `${incarnation[0]}${Number(incarnation.slice(1)) + 1}`;
     const attempts = state.attempts.map(attempt =>
@@ -348,18 +366,26 @@
         : attempt,
     );
     const crashed = {...state, attempts, crashesLeft: state.crashesLeft - 1};
-    return withDaemon(crashed, of, createDaemon(successor, from));
+    return withDaemon(
+      crashed,
+      daemonIndex,
+      createDaemon(successor, startOffset),
+    );
   }
 
   private mayReceiveResponse(
     state: ClaimsState,
-    {appendInFlight: sending}: ClaimsDaemon,
+    {appendInFlight}: ClaimsDaemon,
   ): boolean {
-    if (this.mutation !== MutationName.DispatchBeforeReadBack || !sending)
+    if (
+      this.mutation !== MutationName.DispatchBeforeReadBack ||
+      !appendInFlight
+    )
       return false;
     return state.log.some(
       ({holder, sequence}) =>
-        holder === sending.holder && sequence === sending.sequence,
+        holder === appendInFlight.holder &&
+        sequence === appendInFlight.sequence,
     );
   }
 
@@ -382,8 +408,10 @@
     state: ClaimsState,
     log: readonly ModelClaimBatch[],
   ): ClaimsFold {
-    const fenced = this.mutation !== MutationName.NoSequence;
-    return foldClaims(log, fenced, owner => this.isFree(state, owner));
+    const dropsStaleBatches = this.mutation !== MutationName.NoSequence;
+    return foldClaims(log, dropsStaleBatches, owner =>
+      this.isFree(state, owner),
+    );
   }
 
   private isFree(state: ClaimsState, owner: number): boolean {
@@ -405,11 +433,11 @@
   AttemptStage.Ran,
 ]);
 
-function createDaemon(incarnation: string, from: number): ClaimsDaemon {
+function createDaemon(incarnation: string, startOffset: number): ClaimsDaemon {
   return {
     incarnation,
-    startOffset: from,
-    nextOffset: from,
+    startOffset,
+    nextOffset: startOffset,
     sequence: 0,
     appendInFlight: null,
     pendingClaims: [],
@@ -428,37 +456,39 @@
 }
 
 function hasPendingItems({
-  pendingClaims: claims,
-  pendingReleases: releases,
+  pendingClaims,
+  pendingReleases,
 }: ClaimsDaemon): boolean {
-  return claims.length + releases.length > 0;
+  return pendingClaims.length + pendingReleases.length > 0;
 }
 
-// The daemons are alike, so the first try may as well begin at the first.
-function mayBegin(state: ClaimsState, of: number): boolean {
-  const next = nextAttempt(state);
-  return next > 0 || (next === 0 && of === 0);
+// The daemons are interchangeable, so the first attempt always begins at the first daemon. This
+// symmetry reduces the number of states.
+function mayBegin(state: ClaimsState, daemonIndex: number): boolean {
+  const attemptIndex = nextAttempt(state);
+  return attemptIndex > 0 || (attemptIndex === 0 && daemonIndex === 0);
 }
 
-// What a daemon reads that waits for nothing and will be asked nothing changes nothing.
+// A read by a daemon that waits for nothing and will receive no further attempt has no effect,
+// so it is not explored.
 function mayRead(state: ClaimsState, daemon: ClaimsDaemon): boolean {
   if (daemon.nextOffset >= state.log.length) return false;
   if (nextAttempt(state) >= 0 || hasPendingItems(daemon)) return true;
   return state.attempts.some(
-    ({stage, incarnation: at}) =>
-      at === daemon.incarnation && stage === AttemptStage.Pending,
+    ({stage, incarnation}) =>
+      incarnation === daemon.incarnation && stage === AttemptStage.Pending,
   );
 }
 
-function sendBatch(state: ClaimsState, of: number): ClaimsState {
+function sendBatch(state: ClaimsState, daemonIndex: number): ClaimsState {
   const {
     incarnation: holder,
     pendingClaims: claims,
     pendingReleases: releases,
     sequence,
-  } = state.daemons[of];
+  } = state.daemons[daemonIndex];
   const batch = {holder, sequence: sequence + 1, claims, releases};
-  const sent = withDaemon(state, of, {
+  const sent = withDaemon(state, daemonIndex, {
     sequence: sequence + 1,
     appendInFlight: batch,
   });
@@ -468,47 +498,50 @@
   };
 }
 
-function loseResponse(state: ClaimsState, of: number): ClaimsState {
-  const lost = withDaemon(state, of, {appendInFlight: null});
+function loseResponse(state: ClaimsState, daemonIndex: number): ClaimsState {
+  const lost = withDaemon(state, daemonIndex, {appendInFlight: null});
   return {...lost, lostResponsesLeft: state.lostResponsesLeft - 1};
 }
 
 function isSupersededBy(
   batch: ModelClaimBatch,
-  landed: ModelClaimBatch,
+  appended: ModelClaimBatch,
 ): boolean {
-  return batch.holder === landed.holder && batch.sequence <= landed.sequence;
+  return (
+    batch.holder === appended.holder && batch.sequence <= appended.sequence
+  );
 }
 
 function inBatchOrder(batches: readonly ModelClaimBatch[]): ModelClaimBatch[] {
-  const rank = ({holder, sequence}: ModelClaimBatch) => `${holder}/${sequence}`;
+  const sortKey = ({holder, sequence}: ModelClaimBatch) =>
+    `${holder}/${sequence}`;
   return [...batches].sort((left, right) =>
-    rank(left) < rank(right) ? -1 : 1,
+    sortKey(left) < sortKey(right) ? -1 : 1,
   );
 }
 
 function without(
   items: readonly number[],
-  gone: readonly number[],
+  removed: readonly number[],
 ): readonly number[] {
-  return items.filter(item => !gone.includes(item));
+  return items.filter(item => !removed.includes(item));
 }
 
 function withDaemon(
   state: ClaimsState,
-  of: number,
+  daemonIndex: number,
   change: Partial<ClaimsDaemon>,
 ): ClaimsState {
-  const daemons = mergeAt(state.daemons, of, change);
+  const daemons = mergeAt(state.daemons, daemonIndex, change);
   return {...state, daemons};
 }
 
 function withAttempt(
   state: ClaimsState,
-  index: number,
+  attemptIndex: number,
   change: Partial<Attempt>,
 ): ClaimsState {
-  const attempts = mergeAt(state.attempts, index, change);
+  const attempts = mergeAt(state.attempts, attemptIndex, change);
   return {...state, attempts};
 }
 
@@ -554,7 +587,7 @@
   },
 ];
 
-/** Claims within the given bounds. */
+/** Returns the specification of claims within the given bounds. */
 export function claimsSpecifications(
   bounds: ClaimsBounds,
 ): SpecificationFactory<ClaimsState, ClaimsEvent> {
--- a/packages/specification/src/claims-state.ts
+++ b/packages/specification/src/claims-state.ts
@@ -1,82 +1,82 @@
-/** Where a try to run the key stands. */
+/** Stage of an attempt to run the key. */
 export enum AttemptStage {
   NotBegun = 'not_begun',
-  /** Its claim is not read back yet. */
+  /** Its claim has not been read back yet. */
   Pending = 'pending',
-  /** Its claim stands in the log: it may run. */
+  /** Its claim in the log holds the key, so it may run. */
   Won = 'won',
-  /** Bytes went to a target. */
+  /** Bytes were sent to a target. */
   Ran = 'ran',
   /** The caller was told that it was not run. */
   ToldNotRun = 'told_not_run',
-  /** The caller was told that the key is taken, or that nothing is known. */
+  /** The caller was told that the key is taken or that the outcome is unknown. */
   ToldUnknown = 'told_unknown',
-  /** Its daemon died; the caller was told nothing. */
+  /** Its daemon crashed; the caller got no response. */
   DaemonCrashed = 'gone',
 }
 
-/** One try of the caller under the one key. */
+/** One attempt of the caller to run the key. */
 export interface Attempt {
   readonly stage: AttemptStage;
-  /** Incarnation that has it; empty before it begins. */
+  /** Incarnation that handles the attempt; empty before it begins. */
   readonly incarnation: string;
   readonly ran: boolean;
-  /** An earlier try had run when this one began. */
+  /** Whether an earlier attempt had run when this one began. */
   readonly ranBefore: boolean;
 }
 
-/** One append of the claims stream. */
+/** One append to the claims stream. */
 export interface ModelClaimBatch {
   readonly holder: string;
   readonly sequence: number;
-  /** Tries that claim the key. */
+  /** Attempts that claim the key. */
   readonly claims: readonly number[];
-  /** Tries that give it back. */
+  /** Attempts that release the key. */
   readonly releases: readonly number[];
 }
 
-/** An entry daemon, as it is in memory. */
+/** In-memory state of an entry daemon. */
 export interface ClaimsDaemon {
   readonly incarnation: string;
-  /** Offset where it began to read. */
+  /** Offset at which it began to read. */
   readonly startOffset: number;
   /** Offset that it reads next. */
   readonly nextOffset: number;
   readonly sequence: number;
-  /** The append whose answer it waits for. */
+  /** The append whose response it waits for. */
   readonly appendInFlight: ModelClaimBatch | null;
   readonly pendingClaims: readonly number[];
   readonly pendingReleases: readonly number[];
 }
 
-/** The whole state: the log, the network, two daemons, one key. */
+/** The complete state: the log, the network, two daemons and one key. */
 export interface ClaimsState {
   readonly log: readonly ModelClaimBatch[];
-  /** Appends that may still land. */
+  /** Appends that may still take effect. */
   readonly appendsInFlight: readonly ModelClaimBatch[];
   readonly daemons: readonly ClaimsDaemon[];
   readonly attempts: readonly Attempt[];
-  /** Answers left that are lost. */
+  /** Responses that may still be lost. */
   readonly lostResponsesLeft: number;
-  /** Landings left that happen twice. */
+  /** Appends that may still take effect twice. */
   readonly duplicatesLeft: number;
-  /** Crashes left. */
+  /** Crashes that may still happen. */
   readonly crashesLeft: number;
-  /** Refusals after a won claim left. */
+  /** Rejections after a won claim that may still happen. */
   readonly rejectionsLeft: number;
 }
 
-/** What the fold makes of a stretch of the log. */
+/** Result of folding a section of the log. */
 export interface ClaimsFold {
-  /** The try that holds the key; undefined when it is free. */
+  /** The attempt that holds the key; undefined when the key is free. */
   readonly owner: number | undefined;
-  /** Tries whose release stands in the log. */
+  /** Attempts whose release took effect in the log. */
   readonly released: readonly number[];
-  /** Tells for each batch whether it counted. */
+  /** Whether each batch was accepted. */
   readonly accepted: readonly boolean[];
 }
 
-/** The fold of the specification; `fenced` drops what stands behind its successor. */
+/** Folds batches of claims; with `fenced`, a batch that follows its successor is dropped. */
 export function foldClaims(
   log: readonly ModelClaimBatch[],
   fenced: boolean,
@@ -84,13 +84,14 @@
 ): ClaimsFold {
   let owner: number | undefined;
   const released: number[] = [];
-  const counted: boolean[] = [];
-  const last = new Map<string, number>();
+  const accepted: boolean[] = [];
+  const lastSequences = new Map<string, number>();
   for (const batch of log) {
-    const next = !fenced || batch.sequence > (last.get(batch.holder) ?? 0);
-    counted.push(next);
-    if (!next) continue;
-    last.set(batch.holder, batch.sequence);
+    const isAccepted =
+      !fenced || batch.sequence > (lastSequences.get(batch.holder) ?? 0);
+    accepted.push(isAccepted);
+    if (!isAccepted) continue;
+    lastSequences.set(batch.holder, batch.sequence);
     for (const attempt of batch.releases) {
       if (owner !== attempt) continue;
       owner = undefined;
@@ -100,5 +101,5 @@
       if (owner === undefined || isFree(owner)) owner = attempt;
     }
   }
-  return {owner, released, accepted: counted};
+  return {owner, released, accepted};
 }
--- a/packages/specification/src/coordinator-worker-state.ts
+++ b/packages/specification/src/coordinator-worker-state.ts
@@ -1,37 +1,40 @@
 import {removeAt, updateAt} from './array-updates.js';
 
-/** The state with one coordinator changed. */
+/** Returns the state with one coordinator changed. */
 export function updateCoordinator<
   State extends {readonly coordinators: readonly object[]},
 >(
   state: State,
-  of: number,
+  coordinatorIndex: number,
   change: (
     coordinator: State['coordinators'][number],
   ) => State['coordinators'][number],
 ): State {
-  return {...state, coordinators: updateAt(state.coordinators, of, change)};
+  return {
+    ...state,
+    coordinators: updateAt(state.coordinators, coordinatorIndex, change),
+  };
 }
 
-/** The state with one worker changed. */
+/** Returns the state with one worker changed. */
 export function updateWorker<
   State extends {readonly workers: readonly object[]},
 >(
   state: State,
-  of: number,
+  workerIndex: number,
   change: (worker: State['workers'][number]) => State['workers'][number],
 ): State {
-  return {...state, workers: updateAt(state.workers, of, change)};
+  return {...state, workers: updateAt(state.workers, workerIndex, change)};
 }
 
-/** The state without one of the orders under way. */
+/** Returns the state without one of the orders in flight. */
 export function withoutOrder<
   State extends {readonly orders: readonly unknown[]},
->(state: State, of: number): State {
-  return {...state, orders: removeAt(state.orders, of)};
+>(state: State, orderIndex: number): State {
+  return {...state, orders: removeAt(state.orders, orderIndex)};
 }
 
-/** A coordinator that has seen a later term. */
+/** Marks a coordinator as fenced, because it has seen a later term. */
 export function markFenced<Coordinator extends {readonly fenced: boolean}>(
   coordinator: Coordinator,
 ): Coordinator {
--- a/packages/specification/src/crash-model.ts
+++ b/packages/specification/src/crash-model.ts
@@ -8,12 +8,12 @@
   type SpecificationFactory,
 } from './specification.js';
 
-/** What a coordinator believes of the task's last run. */
+/** State of the task's last run, as a coordinator assumes it. */
 export enum CrashAssumedRunState {
   None = 'none',
-  /** In the log, the order not sent yet. */
+  /** In the log; the order is not sent yet. */
   Stored = 'stored',
-  /** Sent, its fate not known. */
+  /** The order is sent; its outcome is unknown. */
   Sent = 'sent',
   /** Read from the log of an earlier coordinator. */
   Recovered = 'recovered',
@@ -24,57 +24,58 @@
   readonly term: number;
   readonly assumedRunState: CrashAssumedRunState;
   readonly run: number;
-  /** Crashes under the task that it knows of. */
+  /** Known crashes of workers that ran the task. */
   readonly crashes: number;
-  /** A later term was seen. */
+  /** It has seen a later term. */
   readonly fenced: boolean;
 }
 
-/** What the log says of the task. */
+/** State of the task according to the log. */
 export interface CrashRecord {
   readonly run: number;
-  /** The run may be alive. */
+  /** The run may be active. */
   readonly isOpen: boolean;
   readonly crashes: number;
 }
 
-/** The whole state: one task that crashes each worker that starts it. */
+/** The complete state: one task that crashes every worker that starts it. */
 export interface CrashState {
   readonly term: number;
   readonly stored: CrashRecord;
   readonly coordinators: readonly CrashCoordinator[];
-  /** Runs whose orders may arrive at any time. */
+  /** Runs whose orders are in flight and may arrive at any time. */
   readonly orders: readonly number[];
-  /** Runs that their workers refuse: a stop or a higher token came first. */
+  /** Runs that their workers refuse, because a stop or a higher token arrived first. */
   readonly refusedRuns: readonly number[];
-  /** Runs under which a worker has crashed. */
+  /** Runs during which the worker crashed. */
   readonly crashedRuns: readonly number[];
   readonly startsAfterThirdCrash: number;
 }
 
-/** What may happen. */
+/** Events of the coordinators and the orders. */
 export enum CrashEventType {
-  /** A coordinator stores a run, with what it knows of crashes. */
+  /** A coordinator stores a run with the number of crashes that it knows of. */
   StoreRun = 'store',
   SendOrder = 'send',
   /** An order arrives: the task starts and its worker crashes. */
   DeliverOrder = 'arrive',
-  /** A coordinator learns that the worker of its run has ended. */
+  /** A coordinator learns that the worker of its run has crashed. */
   LearnCrash = 'learn crash',
-  /** A stop is answered: the run never was, and never will be. */
+  /** A worker answers a stop: the run never started and never will. */
   LearnNeverStarted = 'learn never',
-  /** A coordinator stores what it has learned. */
+  /** A coordinator stores the number of crashes without a new run. */
   StoreCrashCount = 'keep',
   TakeOver = 'take over',
 }
 
-/** One thing that happens; `of`: a coordinator, or the run of an order. */
+/** One event. */
 export interface CrashEvent {
   readonly type: CrashEventType;
+  /** Index of a coordinator, or the run of an order; -1 for neither. */
   readonly coordinatorOrRun: number;
 }
 
-/** Safeguards that a mutation takes out. */
+/** Mutations, each of which removes one safeguard. */
 export enum CrashMutation {
   CountNotStored = 'count-not-stored',
   RecoveredNotCounted = 'recovered-not-counted',
@@ -83,10 +84,10 @@
 
 const MAXIMUM_RUN = 7;
 const MAXIMUM_TERM = 2;
-/** Crashes that the rule counts, and the starts that may follow them. */
+/** Number of crashes after which starts are limited, and the starts that may follow. */
 const CRASHES_BEFORE_START_LIMIT = 3;
 const MAXIMUM_FURTHER_STARTS = 2;
-/** Crashes of any kind after which the task is given up. */
+/** Number of crashes of any kind after which the task is abandoned. */
 const MAXIMUM_CRASHES = 5;
 const BOUNDED_STARTS =
   'a task that crashes its workers starts twice at most after three crashes';
@@ -94,7 +95,10 @@
 const MutationName = CrashMutation;
 const AssumedRunState = CrashAssumedRunState;
 
-/** How often a task starts that crashes its workers, over late orders and changes of coordinator. */
+/**
+ * Bounds how often a task that crashes its workers is started, with late orders and changes of
+ * coordinator.
+ */
 class CrashSpecification implements Specification<CrashState, CrashEvent> {
   readonly name = 'crash (2 terms, 7 runs)';
   readonly bounds =
@@ -112,23 +116,23 @@
     {
       guarantee: Guarantee.BudgetHeld,
       name: BOUNDED_STARTS,
-      holds: ({startsAfterThirdCrash: startsAfterThird}) =>
-        startsAfterThird <= MAXIMUM_FURTHER_STARTS,
+      holds: ({startsAfterThirdCrash}) =>
+        startsAfterThirdCrash <= MAXIMUM_FURTHER_STARTS,
     },
   ];
 
   constructor(private readonly mutation: string | undefined) {}
 
-  describe({type, coordinatorOrRun: of}: CrashEvent): string {
-    return `${type} (${of})`;
+  describe({type, coordinatorOrRun}: CrashEvent): string {
+    return `${type} (${coordinatorOrRun})`;
   }
 
   enabledEvents(state: CrashState): CrashEvent[] {
     const events: CrashEvent[] = [];
-    state.coordinators.forEach((coordinator, of) => {
+    state.coordinators.forEach((coordinator, coordinatorIndex) => {
       if (coordinator.fenced) return;
       for (const type of this.coordinatorEvents(state, coordinator))
-        events.push({type, coordinatorOrRun: of});
+        events.push({type, coordinatorOrRun: coordinatorIndex});
     });
     for (const run of state.orders)
       events.push({type: EventType.DeliverOrder, coordinatorOrRun: run});
@@ -137,23 +141,20 @@
     return events;
   }
 
-  step(
-    state: CrashState,
-    {type, coordinatorOrRun: of}: CrashEvent,
-  ): CrashState {
+  step(state: CrashState, {type, coordinatorOrRun}: CrashEvent): CrashState {
     switch (type) {
       case EventType.StoreRun:
-        return this.store(state, of);
+        return this.store(state, coordinatorOrRun);
       case EventType.SendOrder:
-        return sendOrder(state, of);
+        return sendOrder(state, coordinatorOrRun);
       case EventType.DeliverOrder:
-        return deliverOrder(state, of);
+        return deliverOrder(state, coordinatorOrRun);
       case EventType.LearnCrash:
-        return this.learnCrash(state, of);
+        return this.learnCrash(state, coordinatorOrRun);
       case EventType.LearnNeverStarted:
-        return learnNeverStarted(state, of);
+        return learnNeverStarted(state, coordinatorOrRun);
       case EventType.StoreCrashCount:
-        return this.storeRecord(state, of, false);
+        return this.storeRecord(state, coordinatorOrRun, false);
       case EventType.TakeOver:
         return this.takeOver(state);
     }
@@ -161,14 +162,15 @@
 
   private coordinatorEvents(
     state: CrashState,
-    {assumedRunState: belief, run, crashes}: CrashCoordinator,
+    {assumedRunState, run, crashes}: CrashCoordinator,
   ): CrashEventType[] {
-    if (belief === AssumedRunState.Stored) return [EventType.SendOrder];
-    if (belief === AssumedRunState.None) {
-      const isGivenUp =
+    if (assumedRunState === AssumedRunState.Stored)
+      return [EventType.SendOrder];
+    if (assumedRunState === AssumedRunState.None) {
+      const isAbandoned =
         this.mutation !== MutationName.NoCrashLimit &&
         crashes >= MAXIMUM_CRASHES;
-      if (isGivenUp || run >= MAXIMUM_RUN) return [];
+      if (isAbandoned || run >= MAXIMUM_RUN) return [];
       return crashes > state.stored.crashes
         ? [EventType.StoreRun, EventType.StoreCrashCount]
         : [EventType.StoreRun];
@@ -178,88 +180,100 @@
       : [EventType.LearnNeverStarted];
   }
 
-  private store(state: CrashState, of: number): CrashState {
-    const planned = updateCoordinator(state, of, one => ({
-      ...one,
+  private store(state: CrashState, coordinatorIndex: number): CrashState {
+    const planned = updateCoordinator(state, coordinatorIndex, previous => ({
+      ...previous,
       assumedRunState: AssumedRunState.Stored,
-      run: one.run + 1,
+      run: previous.run + 1,
     }));
-    return this.storeRecord(planned, of, true);
+    return this.storeRecord(planned, coordinatorIndex, true);
   }
 
-  /** The log is closed to earlier terms. */
+  /** Stores the task's state; the log rejects a coordinator of an earlier term. */
   private storeRecord(
     state: CrashState,
-    of: number,
+    coordinatorIndex: number,
     isOpen: boolean,
   ): CrashState {
-    const {term, run, crashes} = state.coordinators[of];
-    if (term < state.term) return updateCoordinator(state, of, markFenced);
-    const kept = this.mutation === MutationName.CountNotStored ? 0 : crashes;
-    return {...state, stored: {run, isOpen, crashes: kept}};
+    const {term, run, crashes} = state.coordinators[coordinatorIndex];
+    if (term < state.term)
+      return updateCoordinator(state, coordinatorIndex, markFenced);
+    const storedCrashes =
+      this.mutation === MutationName.CountNotStored ? 0 : crashes;
+    return {...state, stored: {run, isOpen, crashes: storedCrashes}};
   }
 
-  private learnCrash(state: CrashState, of: number): CrashState {
-    const isBlind = this.mutation === MutationName.RecoveredNotCounted;
-    return updateCoordinator(state, of, one => ({
-      ...one,
+  private learnCrash(state: CrashState, coordinatorIndex: number): CrashState {
+    const ignoresRecovered = this.mutation === MutationName.RecoveredNotCounted;
+    return updateCoordinator(state, coordinatorIndex, previous => ({
+      ...previous,
       assumedRunState: AssumedRunState.None,
       crashes:
-        isBlind && one.assumedRunState === AssumedRunState.Recovered
-          ? one.crashes
-          : one.crashes + 1,
+        ignoresRecovered &&
+        previous.assumedRunState === AssumedRunState.Recovered
+          ? previous.crashes
+          : previous.crashes + 1,
     }));
   }
 
   private takeOver(state: CrashState): CrashState {
     const {run, isOpen, crashes} = state.stored;
     const term = state.term + 1;
-    const belief = isOpen ? AssumedRunState.Recovered : AssumedRunState.None;
-    const next = createCoordinator(term, belief, run, crashes);
+    const assumedRunState = isOpen
+      ? AssumedRunState.Recovered
+      : AssumedRunState.None;
+    const next = createCoordinator(term, assumedRunState, run, crashes);
     return {...state, term, coordinators: [...state.coordinators, next]};
   }
 }
 
 function createCoordinator(
   term: number,
-  belief: CrashAssumedRunState,
+  assumedRunState: CrashAssumedRunState,
   run: number,
   crashes: number,
 ): CrashCoordinator {
-  return {term, assumedRunState: belief, run, crashes, fenced: false};
+  return {term, assumedRunState, run, crashes, fenced: false};
 }
 
-function sendOrder(state: CrashState, of: number): CrashState {
-  const {run} = state.coordinators[of];
-  const sent = updateCoordinator(state, of, one => ({
-    ...one,
+function sendOrder(state: CrashState, coordinatorIndex: number): CrashState {
+  const {run} = state.coordinators[coordinatorIndex];
+  const sent = updateCoordinator(state, coordinatorIndex, previous => ({
+    ...previous,
     assumedRunState: AssumedRunState.Sent,
   }));
-  // An order finds nobody where the worker has crashed, and is refused where the run is barred.
-  const isVain =
+  // The order has no effect if its worker has already crashed or refuses the run.
+  const hasNoEffect =
     state.crashedRuns.includes(run) || state.refusedRuns.includes(run);
-  return isVain ? sent : {...sent, orders: sortedSet([...state.orders, run])};
+  return hasNoEffect
+    ? sent
+    : {...sent, orders: sortedSet([...state.orders, run])};
 }
 
 function deliverOrder(state: CrashState, run: number): CrashState {
-  const counts = state.crashedRuns.length >= CRASHES_BEFORE_START_LIMIT;
+  const isAfterThirdCrash =
+    state.crashedRuns.length >= CRASHES_BEFORE_START_LIMIT;
   return {
     ...state,
     orders: without(state.orders, run),
     crashedRuns: sortedSet([...state.crashedRuns, run]),
-    startsAfterThirdCrash: state.startsAfterThirdCrash + (counts ? 1 : 0),
+    startsAfterThirdCrash:
+      state.startsAfterThirdCrash + (isAfterThirdCrash ? 1 : 0),
   };
 }
 
-/** The stop bars the run on its worker, so that its order does nothing any more. */
-function learnNeverStarted(state: CrashState, of: number): CrashState {
-  const {run} = state.coordinators[of];
-  const barred = updateCoordinator(state, of, one => ({
-    ...one,
+/** Makes the worker refuse the stopped run, so that an order in flight has no effect any more. */
+function learnNeverStarted(
+  state: CrashState,
+  coordinatorIndex: number,
+): CrashState {
+  const {run} = state.coordinators[coordinatorIndex];
+  const updated = updateCoordinator(state, coordinatorIndex, previous => ({
+    ...previous,
     assumedRunState: AssumedRunState.None,
   }));
   return {
-    ...barred,
+    ...updated,
     refusedRuns: sortedSet([...state.refusedRuns, run]),
     orders: without(state.orders, run),
   };
@@ -291,7 +305,7 @@
   },
 ];
 
-/** How often a task starts that crashes its workers. */
+/** Specification of how often a task that crashes its workers is started. */
 export const CRASH_SPECIFICATIONS: SpecificationFactory<
   CrashState,
   CrashEvent
--- a/packages/specification/src/explore.ts
+++ b/packages/specification/src/explore.ts
@@ -6,26 +6,29 @@
 import {getAdjacencyMap} from 'xstate/graph';
 import type {Invariant, Specification} from './specification.js';
 
-/** Steps that one exploration may take; the library throws above it, so a result is always whole. */
+/**
+ * Maximum number of steps of one exploration. The library throws above it, so a result is
+ * always complete.
+ */
 const MAXIMUM_EXPLORATION_STEPS = 2_000_000;
 
-/** A shortest way into a state that breaks an invariant. */
+/** A shortest trace to a state that breaks an invariant. */
 export interface Violation {
   readonly invariant: string;
   readonly guarantee: string;
   readonly trace: readonly string[];
 }
 
-/** What an exploration found. */
+/** The result of an exploration. */
 export interface Exploration {
   readonly specification: string;
   readonly states: number;
   readonly transitions: number;
-  /** One for each broken invariant. */
+  /** One violation for each broken invariant. */
   readonly violations: readonly Violation[];
 }
 
-/** The library's map of states, as far as it is used here. */
+/** The part of the library's adjacency map that is used here. */
 type AdjacencyMap<State, Event> = Readonly<
   Record<
     string,
@@ -52,8 +55,8 @@
 }
 
 /**
- * Visits every reachable state and holds the invariants against each; with `until`, the
- * name of an invariant, no further than the first state that breaks it.
+ * Visits every reachable state and checks the invariants in each. With `until`, the name of
+ * an invariant, the exploration ends at the first state that breaks it.
  */
 export function explore<State extends object, Event extends EventObject>(
   specification: Specification<State, Event>,
@@ -74,10 +77,12 @@
   specification: Specification<State, Event>,
   until: string | undefined,
 ): Map<string, GraphNode<State, Event>> {
-  const last = specification.invariants.find(({name}) => name === until);
+  const stopInvariant = specification.invariants.find(
+    ({name}) => name === until,
+  );
   let isBroken = false;
   const eventsOf = (state: State) => {
-    isBroken ||= last !== undefined && !last.holds(state);
+    isBroken ||= stopInvariant !== undefined && !stopInvariant.holds(state);
     return isBroken ? [] : specification.enabledEvents(state);
   };
   const logic = fromTransition(
@@ -105,33 +110,40 @@
   specification: Specification<State, Event>,
   nodes: ReadonlyMap<string, GraphNode<State, Event>>,
 ): Violation[] {
-  const open = new Set<Invariant<State>>(specification.invariants);
+  const unbroken = new Set<Invariant<State>>(specification.invariants);
   const violations: Violation[] = [];
-  const start = JSON.stringify(specification.initialState);
-  const arrivals = new Map<string, {from: string; event: Event} | undefined>([
-    [start, undefined],
-  ]);
+  const initialKey = JSON.stringify(specification.initialState);
+  const predecessors = new Map<
+    string,
+    {from: string; event: Event} | undefined
+  >([[initialKey, undefined]]);
   const traceTo = (key: string) => {
     const trace: string[] = [];
-    for (let at = arrivals.get(key); at; at = arrivals.get(at.from))
-      trace.unshift(specification.describe(at.event));
+    for (
+      let predecessor = predecessors.get(key);
+      predecessor;
+      predecessor = predecessors.get(predecessor.from)
+    )
+      trace.unshift(specification.describe(predecessor.event));
     return trace;
   };
-  // A map is walked in order of insertion, so this is breadth first: the first trace is a shortest.
-  for (const key of arrivals.keys()) {
+  // A map iterates in insertion order, so this is a breadth-first search and the first trace
+  // found is a shortest one.
+  for (const key of predecessors.keys()) {
     const node = nodes.get(key)!;
-    for (const invariant of open) {
+    for (const invariant of unbroken) {
       if (invariant.holds(node.state)) continue;
-      open.delete(invariant);
-      const {name, guarantee: promise} = invariant;
+      unbroken.delete(invariant);
+      const {name, guarantee} = invariant;
       violations.push({
         invariant: name,
-        guarantee: promise,
+        guarantee,
         trace: traceTo(key),
       });
     }
     for (const {event, target} of node.edges) {
-      if (!arrivals.has(target)) arrivals.set(target, {from: key, event});
+      if (!predecessors.has(target))
+        predecessors.set(target, {from: key, event});
     }
   }
   return violations;
--- a/packages/specification/src/model-checks.ts
+++ b/packages/specification/src/model-checks.ts
@@ -10,27 +10,27 @@
 import type {Mutation, SpecificationFactory} from './specification.js';
 import {RETENTION_SPECIFICATIONS} from './claim-retention-model.js';
 
-/** A specification with the ways to explore it, its types closed over. */
+/** Explorations of one specification, with its state and event types hidden. */
 export interface ModelCheck {
   readonly mutations: readonly Mutation[];
-  /** Explores every state of the whole specification. */
+  /** Explores every state of the unmutated specification. */
   explore(): Exploration;
-  /** Explores a mutated one until the invariant that it names breaks. */
+  /** Explores a mutated specification until the invariant named by the mutation breaks. */
   exploreMutation(mutation: Mutation): Exploration;
 }
 
 function createModelCheck<State extends object, Event extends EventObject>(
-  subject: SpecificationFactory<State, Event>,
+  factory: SpecificationFactory<State, Event>,
 ): ModelCheck {
   return {
-    mutations: subject.mutations,
-    explore: () => explore(subject.create()),
-    exploreMutation: ({name, brokenInvariant: breaks}) =>
-      explore(subject.create(name), breaks),
+    mutations: factory.mutations,
+    explore: () => explore(factory.create()),
+    exploreMutation: ({name, brokenInvariant}) =>
+      explore(factory.create(name), brokenInvariant),
   };
 }
 
-/** What every change is held against. */
+/** Checks that every change has to pass. */
 export const MODEL_CHECKS: readonly ModelCheck[] = [
   createModelCheck(
     claimsSpecifications({
@@ -65,7 +65,7 @@
   ),
 ];
 
-/** Larger bounds, for the run by command. */
+/** Checks with larger bounds, which run only on request (`--long`). */
 export const LONG_MODEL_CHECKS: readonly ModelCheck[] = [
   createModelCheck(
     claimsSpecifications({
--- a/packages/specification/src/organisation-limit-model.ts
+++ b/packages/specification/src/organisation-limit-model.ts
@@ -14,23 +14,23 @@
   type SpecificationFactory,
 } from './specification.js';
 
-/** What a coordinator believes of the last run of a task. */
+/** State of the last run of a task, as a coordinator assumes it. */
 export enum LimitAssumedRunState {
-  /** Nothing of it is alive. */
+  /** No run is active. */
   None = 'none',
-  /** In the log, the order not sent yet. */
+  /** In the log; the order is not sent yet. */
   Stored = 'stored',
-  /** Sent, and not seen since. */
+  /** The order is sent, and the run has not been seen yet. */
   Sent = 'sent',
-  /** Seen alive. */
+  /** Seen active at its worker. */
   SeenAlive = 'seen',
   /** Read from the log of an earlier coordinator. */
   Recovered = 'recovered',
-  /** Told to stop, which takes a while. */
+  /** The stop is requested; the run ends some time later. */
   Stopping = 'stopping',
 }
 
-/** A coordinator of one term, with its belief about each task. */
+/** A coordinator of one term, with the state that it assumes for each task. */
 export interface LimitCoordinator {
   readonly term: number;
   readonly fenced: boolean;
@@ -44,22 +44,25 @@
   readonly token: number;
   /** This run and earlier ones are refused. */
   readonly refusedUpToRun: number;
-  /** Run that is alive; 0 for none. */
+  /** The active run; 0 for none. */
   readonly activeRun: number;
   readonly isStopping: boolean;
   readonly isPartitioned: boolean;
 }
 
-/** An order to start that may arrive at any time. */
+/** An order to start a run, which may arrive at any time. */
 export interface LimitOrder {
   readonly term: number;
   readonly task: number;
   readonly run: number;
-  /** The lease that it carries has run out. */
+  /** The lease that it carries has expired. */
   readonly isLeaseExpired: boolean;
 }
 
-/** The whole state: two tasks of one organisation, each with its own worker; the limit is one of them. */
+/**
+ * The complete state: two tasks of one organisation, each with its own worker. The limit of
+ * the organisation is one task.
+ */
 export interface LimitState {
   readonly storedRuns: readonly number[];
   readonly term: number;
@@ -69,7 +72,7 @@
   readonly partitionsLeft: number;
 }
 
-/** What may happen. */
+/** Events of the coordinators, the orders and the workers. */
 export enum LimitEventType {
   StoreRun = 'store',
   SendOrder = 'send',
@@ -86,15 +89,15 @@
   LearnLeaseExpiry = 'lease over',
 }
 
-/** One thing that happens. */
+/** One event; `task` is -1 where the event has none. */
 export interface LimitEvent {
   readonly type: LimitEventType;
-  /** Coordinator, or index of an order. */
+  /** Index of a coordinator or of an order; -1 for neither. */
   readonly coordinatorOrOrder: number;
   readonly task: number;
 }
 
-/** Safeguards that a mutation takes out. */
+/** Mutations, each of which removes one safeguard. */
 export enum LimitMutation {
   UnansweredNotCounted = 'unanswered-is-free',
   RecoveredNotCounted = 'successor-counts-nothing',
@@ -114,7 +117,10 @@
 const MutationName = LimitMutation;
 const AssumedRunState = LimitAssumedRunState;
 
-/** When a task may start as its organisation's limit allows, over late orders, stops, cuts and a change of coordinator. */
+/**
+ * Decides when the organisation's limit lets a task start, with late orders, stops, partitions
+ * and a change of coordinator.
+ */
 class LimitSpecification implements Specification<LimitState, LimitEvent> {
   readonly name = 'limit (2 tasks, limit 1, 2 terms, 1 run each)';
   readonly bounds =
@@ -145,31 +151,34 @@
       guarantee: Guarantee.BudgetHeld,
       name: WITHIN_LIMIT,
       holds: ({workers}) =>
-        workers.filter(({activeRun: alive}) => alive > 0).length <=
+        workers.filter(({activeRun}) => activeRun > 0).length <=
         ORGANISATION_LIMIT,
     },
   ];
 
   constructor(private readonly mutation: string | undefined) {}
 
-  describe({type, coordinatorOrOrder: of, task}: LimitEvent): string {
-    return `${type} (${of})${task >= 0 ? ` task ${task}` : ''}`;
+  describe({type, coordinatorOrOrder, task}: LimitEvent): string {
+    return `${type} (${coordinatorOrOrder})${task >= 0 ? ` task ${task}` : ''}`;
   }
 
   enabledEvents(state: LimitState): LimitEvent[] {
     const events: LimitEvent[] = [];
-    const add = (type: LimitEventType, of: number, task: number) =>
-      events.push({type, coordinatorOrOrder: of, task});
-    state.coordinators.forEach((coordinator, of) => {
+    const add = (
+      type: LimitEventType,
+      coordinatorOrOrder: number,
+      task: number,
+    ) => events.push({type, coordinatorOrOrder, task});
+    state.coordinators.forEach((coordinator, coordinatorOrOrder) => {
       if (coordinator.fenced) return;
       for (const task of TASKS)
         for (const type of this.coordinatorEvents(state, coordinator, task))
-          add(type, of, task);
+          add(type, coordinatorOrOrder, task);
     });
-    state.orders.forEach(({task}, of) => {
+    state.orders.forEach(({task}, coordinatorOrOrder) => {
       if (!state.workers[task].isPartitioned)
-        add(EventType.DeliverOrder, of, task);
-      add(EventType.LoseOrder, of, task);
+        add(EventType.DeliverOrder, coordinatorOrOrder, task);
+      add(EventType.LoseOrder, coordinatorOrOrder, task);
     });
     state.workers.forEach((worker, task) => {
       if (worker.activeRun > 0) add(EventType.Finish, -1, task);
@@ -186,20 +195,20 @@
   }
 
   step(state: LimitState, event: LimitEvent): LimitState {
-    const {coordinatorOrOrder: of, task} = event;
+    const {coordinatorOrOrder, task} = event;
     switch (event.type) {
       case EventType.StoreRun:
-        return this.store(state, of, task);
+        return this.store(state, coordinatorOrOrder, task);
       case EventType.SendOrder:
-        return sendOrder(state, of, task);
+        return sendOrder(state, coordinatorOrOrder, task);
       case EventType.DeliverOrder:
-        return this.deliverOrder(state, of);
+        return this.deliverOrder(state, coordinatorOrOrder);
       case EventType.LoseOrder:
-        return withoutOrder(state, of);
+        return withoutOrder(state, coordinatorOrOrder);
       case EventType.PollWorker:
-        return pollWorker(state, of, task);
+        return pollWorker(state, coordinatorOrOrder, task);
       case EventType.RequestStop:
-        return requestStop(state, of, task);
+        return requestStop(state, coordinatorOrOrder, task);
       case EventType.CompleteStop:
       case EventType.Finish:
         return updateWorker(state, task, withoutActiveRun);
@@ -207,18 +216,26 @@
         return takeOver(state);
       case EventType.Partition:
         return {
-          ...updateWorker(state, task, one => ({...one, isPartitioned: true})),
+          ...updateWorker(state, task, previous => ({
+            ...previous,
+            isPartitioned: true,
+          })),
           partitionsLeft: state.partitionsLeft - 1,
         };
       case EventType.HealPartition:
-        return updateWorker(state, task, one => ({
-          ...one,
+        return updateWorker(state, task, previous => ({
+          ...previous,
           isPartitioned: false,
         }));
       case EventType.ExpireLease:
         return expireLease(state, task);
       case EventType.LearnLeaseExpiry:
-        return withAssumedRunState(state, of, task, AssumedRunState.None);
+        return withAssumedRunState(
+          state,
+          coordinatorOrOrder,
+          task,
+          AssumedRunState.None,
+        );
     }
   }
 
@@ -227,89 +244,98 @@
     coordinator: LimitCoordinator,
     task: number,
   ): LimitEventType[] {
-    const belief = coordinator.assumedRunStates[task];
-    if (belief === AssumedRunState.None)
+    const assumedRunState = coordinator.assumedRunStates[task];
+    if (assumedRunState === AssumedRunState.None)
       return this.mayStart(coordinator, task) ? [EventType.StoreRun] : [];
-    if (belief === AssumedRunState.Stored) return [EventType.SendOrder];
+    if (assumedRunState === AssumedRunState.Stored)
+      return [EventType.SendOrder];
     const events: LimitEventType[] = [];
     if (this.isLeaseExpired(state, task))
       events.push(EventType.LearnLeaseExpiry);
     if (state.workers[task].isPartitioned) return events;
     events.push(EventType.PollWorker);
-    if (belief !== AssumedRunState.Stopping) events.push(EventType.RequestStop);
+    if (assumedRunState !== AssumedRunState.Stopping)
+      events.push(EventType.RequestStop);
     return events;
   }
 
-  /** What may be alive counts, whatever is known of it. */
+  /** Counts every run that may be active towards the limit, whatever is known about it. */
   private mayStart(
-    {assumedRunStates: beliefs, lastRuns: runs}: LimitCoordinator,
+    {assumedRunStates, lastRuns}: LimitCoordinator,
     task: number,
   ): boolean {
-    const counted = beliefs.filter(belief => !this.isNotCounted(belief)).length;
-    return runs[task] < MAXIMUM_RUN && counted < ORGANISATION_LIMIT;
+    const countedRuns = assumedRunStates.filter(
+      assumedRunState => !this.isNotCounted(assumedRunState),
+    ).length;
+    return lastRuns[task] < MAXIMUM_RUN && countedRuns < ORGANISATION_LIMIT;
   }
 
-  private isNotCounted(belief: LimitAssumedRunState): boolean {
+  private isNotCounted(assumedRunState: LimitAssumedRunState): boolean {
     if (
       this.mutation === MutationName.UnansweredNotCounted &&
-      belief === AssumedRunState.Sent
+      assumedRunState === AssumedRunState.Sent
     )
       return true;
     if (
       this.mutation === MutationName.StoppingNotCounted &&
-      belief === AssumedRunState.Stopping
+      assumedRunState === AssumedRunState.Stopping
     )
       return true;
-    const isBlind = this.mutation === MutationName.RecoveredNotCounted;
-    if (isBlind && belief === AssumedRunState.Recovered) return true;
-    return belief === AssumedRunState.None;
+    const ignoresRecovered = this.mutation === MutationName.RecoveredNotCounted;
+    if (ignoresRecovered && assumedRunState === AssumedRunState.Recovered)
+      return true;
+    return assumedRunState === AssumedRunState.None;
   }
 
-  /** Nothing that was started on the task's worker, or is on its way there, can be alive. */
+  /** Returns whether no run on the task's worker can be active and no order can start one. */
   private isLeaseExpired(state: LimitState, task: number): boolean {
-    const {isPartitioned: cut, activeRun: alive} = state.workers[task];
-    if (!cut) return false;
+    const {isPartitioned, activeRun} = state.workers[task];
+    if (!isPartitioned) return false;
     if (this.mutation === MutationName.NoLeaseWait) return true;
-    const coming = state.orders.some(
+    const hasOrderInFlight = state.orders.some(
       order => order.task === task && !order.isLeaseExpired,
     );
-    // A paused coordinator may still send an order whose lease began while its term was good.
-    const pausedSender = state.coordinators.some(
-      ({assumedRunStates: beliefs}) => beliefs[task] === AssumedRunState.Stored,
+    // A paused coordinator may still send an order whose lease began during its own term.
+    const mayBeSentLater = state.coordinators.some(
+      ({assumedRunStates}) => assumedRunStates[task] === AssumedRunState.Stored,
     );
-    return alive === 0 && !coming && !pausedSender;
+    return activeRun === 0 && !hasOrderInFlight && !mayBeSentLater;
   }
 
-  private store(state: LimitState, of: number, task: number): LimitState {
-    const coordinator = state.coordinators[of];
+  private store(
+    state: LimitState,
+    coordinatorIndex: number,
+    task: number,
+  ): LimitState {
+    const coordinator = state.coordinators[coordinatorIndex];
     const run = coordinator.lastRuns[task] + 1;
-    const planned = updateCoordinator(state, of, one => ({
-      ...one,
-      lastRuns: replaceAt(one.lastRuns, task, run),
+    const planned = updateCoordinator(state, coordinatorIndex, previous => ({
+      ...previous,
+      lastRuns: replaceAt(previous.lastRuns, task, run),
       assumedRunStates: replaceAt(
-        one.assumedRunStates,
+        previous.assumedRunStates,
         task,
         AssumedRunState.Stored,
       ),
     }));
     if (this.mutation === MutationName.SendBeforeStore)
-      return sendOrder(planned, of, task);
+      return sendOrder(planned, coordinatorIndex, task);
     // The log is closed to earlier terms.
     if (coordinator.term < state.term)
-      return updateCoordinator(state, of, markFenced);
+      return updateCoordinator(state, coordinatorIndex, markFenced);
     return {...planned, storedRuns: replaceAt(state.storedRuns, task, run)};
   }
 
-  private deliverOrder(state: LimitState, of: number): LimitState {
-    const {term, task, run, isLeaseExpired: late} = state.orders[of];
-    const next = withoutOrder(state, of);
+  private deliverOrder(state: LimitState, orderIndex: number): LimitState {
+    const {term, task, run, isLeaseExpired} = state.orders[orderIndex];
+    const next = withoutOrder(state, orderIndex);
     const worker = state.workers[task];
     const isFenced =
       this.mutation !== MutationName.NoFence && term < worker.token;
-    if (isFenced || late || run <= worker.refusedUpToRun) return next;
-    return updateWorker(next, task, one => ({
-      ...one,
-      token: Math.max(one.token, term),
+    if (isFenced || isLeaseExpired || run <= worker.refusedUpToRun) return next;
+    return updateWorker(next, task, previous => ({
+      ...previous,
+      token: Math.max(previous.token, term),
       refusedUpToRun: run,
       activeRun: run,
       isStopping: false,
@@ -317,56 +343,90 @@
   }
 }
 
-function sendOrder(state: LimitState, of: number, task: number): LimitState {
-  const {term, lastRuns: runs} = state.coordinators[of];
+function sendOrder(
+  state: LimitState,
+  coordinatorIndex: number,
+  task: number,
+): LimitState {
+  const {term, lastRuns} = state.coordinators[coordinatorIndex];
   const order: LimitOrder = {
     term,
     task,
-    run: runs[task],
+    run: lastRuns[task],
     isLeaseExpired: false,
   };
   return {
-    ...withAssumedRunState(state, of, task, AssumedRunState.Sent),
+    ...withAssumedRunState(state, coordinatorIndex, task, AssumedRunState.Sent),
     orders: inCanonicalOrder([...state.orders, order]),
   };
 }
 
-function pollWorker(state: LimitState, of: number, task: number): LimitState {
-  const {
-    term,
-    lastRuns: runs,
-    assumedRunStates: beliefs,
-  } = state.coordinators[of];
-  const seen = state.workers[task];
-  if (term < seen.token) return updateCoordinator(state, of, markFenced);
-  const shown = updateWorker(state, task, one => ({...one, token: term}));
-  if (seen.activeRun === runs[task])
-    return beliefs[task] === AssumedRunState.Stopping
-      ? shown
-      : withAssumedRunState(shown, of, task, AssumedRunState.SeenAlive);
-  // An order that was sent and has not come may still come; one of an earlier term can't, now that the token is shown.
-  const mayCome =
-    beliefs[task] === AssumedRunState.Sent && seen.refusedUpToRun < runs[task];
-  return mayCome
-    ? shown
-    : withAssumedRunState(shown, of, task, AssumedRunState.None);
+function pollWorker(
+  state: LimitState,
+  coordinatorIndex: number,
+  task: number,
+): LimitState {
+  const {term, lastRuns, assumedRunStates} =
+    state.coordinators[coordinatorIndex];
+  const workerState = state.workers[task];
+  if (term < workerState.token)
+    return updateCoordinator(state, coordinatorIndex, markFenced);
+  const withToken = updateWorker(state, task, previous => ({
+    ...previous,
+    token: term,
+  }));
+  if (workerState.activeRun === lastRuns[task])
+    return assumedRunStates[task] === AssumedRunState.Stopping
+      ? withToken
+      : withAssumedRunState(
+          withToken,
+          coordinatorIndex,
+          task,
+          AssumedRunState.SeenAlive,
+        );
+  // An order that was sent and has not arrived may still arrive. One of an earlier term can no
+  // longer start a run, because the worker has now seen this coordinator's token.
+  const mayStillArrive =
+    assumedRunStates[task] === AssumedRunState.Sent &&
+    workerState.refusedUpToRun < lastRuns[task];
+  return mayStillArrive
+    ? withToken
+    : withAssumedRunState(
+        withToken,
+        coordinatorIndex,
+        task,
+        AssumedRunState.None,
+      );
 }
 
-/** A stop that is answered: the run is barred, and ends a while later if it is alive. */
-function requestStop(state: LimitState, of: number, task: number): LimitState {
-  const {term, lastRuns: runs} = state.coordinators[of];
-  const seen = state.workers[task];
-  if (term < seen.token) return updateCoordinator(state, of, markFenced);
-  const stopped = updateWorker(state, task, one => ({
-    ...one,
+/** Requests a stop, which the worker answers: it refuses the run, and ends it later if active. */
+function requestStop(
+  state: LimitState,
+  coordinatorIndex: number,
+  task: number,
+): LimitState {
+  const {term, lastRuns} = state.coordinators[coordinatorIndex];
+  const workerState = state.workers[task];
+  if (term < workerState.token)
+    return updateCoordinator(state, coordinatorIndex, markFenced);
+  const stopped = updateWorker(state, task, previous => ({
+    ...previous,
     token: term,
-    refusedUpToRun: Math.max(one.refusedUpToRun, runs[task]),
-    isStopping: one.activeRun === runs[task],
+    refusedUpToRun: Math.max(previous.refusedUpToRun, lastRuns[task]),
+    isStopping: previous.activeRun === lastRuns[task],
   }));
-  return withAssumedRunState(stopped, of, task, AssumedRunState.Stopping);
+  return withAssumedRunState(
+    stopped,
+    coordinatorIndex,
+    task,
+    AssumedRunState.Stopping,
+  );
 }
 
-/** The next coordinator closes the log to the one before, and counts every run that it finds there. */
+/**
+ * Starts the next coordinator, which closes the log to its predecessor and counts every run
+ * that it finds there.
+ */
 function takeOver(state: LimitState): LimitState {
   const term = state.term + 1;
   const next: LimitCoordinator = {
@@ -380,7 +440,7 @@
   return {...state, term, coordinators: [...state.coordinators, next]};
 }
 
-/** The lease on a worker that is cut off runs out, and with it all orders that carry it. */
+/** Expires the lease on a partitioned worker, and with it all orders that carry the lease. */
 function expireLease(state: LimitState, task: number): LimitState {
   return {
     ...updateWorker(state, task, withoutActiveRun),
@@ -398,13 +458,17 @@
 
 function withAssumedRunState(
   state: LimitState,
-  of: number,
+  coordinatorIndex: number,
   task: number,
-  belief: LimitAssumedRunState,
+  assumedRunState: LimitAssumedRunState,
 ): LimitState {
-  return updateCoordinator(state, of, one => ({
-    ...one,
-    assumedRunStates: replaceAt(one.assumedRunStates, task, belief),
+  return updateCoordinator(state, coordinatorIndex, previous => ({
+    ...previous,
+    assumedRunStates: replaceAt(
+      previous.assumedRunStates,
+      task,
+      assumedRunState,
+    ),
   }));
 }
 
@@ -442,7 +506,7 @@
   },
 ];
 
-/** When an organisation's limit lets a task start. */
+/** Specification of when an organisation's limit lets a task start. */
 export const ORGANISATION_LIMIT_SPECIFICATIONS: SpecificationFactory<
   LimitState,
   LimitEvent
--- a/packages/specification/src/ownership-model.ts
+++ b/packages/specification/src/ownership-model.ts
@@ -17,26 +17,26 @@
   MoveAborted = 'move_aborted',
 }
 
-/** One record; the fields that its kind needs. */
+/** One record, with the fields that its kind needs. */
 export interface OwnershipRecord {
   readonly kind: OwnershipRecordKind;
   /** Incarnation of a daemon. */
   readonly incarnation?: string;
   readonly pool?: string;
   readonly epoch?: number;
-  /** Offset of the move's first record: the identity of the move. */
+  /** Offset of the record that started the move; it identifies the move. */
   readonly startedAt?: number;
 }
 
-/** A move under way, as the fold has it. */
+/** A move in progress, according to the fold. */
 export interface FoldedMove {
   readonly startedAt: number;
   readonly toPool: string;
-  /** Members that have not acknowledged. */
+  /** Members that have not acknowledged the move. */
   readonly awaiting: readonly string[];
 }
 
-/** What the fold says of the VM. */
+/** State of the VM according to the fold. */
 export interface FoldedOwnership {
   readonly pool: string;
   readonly epoch: number;
@@ -50,11 +50,11 @@
   readonly isUp: boolean;
   /** Offset that it reads next. */
   readonly nextOffset: number;
-  /** Pool for which it has a request on the VM; empty when none. */
+  /** Pool of its request in flight on the VM; empty when there is none. */
   readonly requestPool: string;
-  /** Move that it acknowledged last; -1 before the first. */
+  /** Move that it last acknowledged; -1 before the first. */
   readonly acknowledgedMove: number;
-  /** What it says to the log and has not landed yet. */
+  /** Record that it has sent to the log and that is not appended yet. */
   readonly pendingRecord: OwnershipRecord | null;
 }
 
@@ -65,7 +65,7 @@
   readonly crashes: number;
 }
 
-/** The whole state. */
+/** The complete state: the log, the daemons and the events that may still happen. */
 export interface OwnershipState {
   readonly log: readonly OwnershipRecord[];
   readonly daemons: readonly OwnershipDaemon[];
@@ -74,32 +74,32 @@
   readonly crashesLeft: number;
 }
 
-/** What may happen to the VM and the daemons. */
+/** Events of the VM, the daemons and the planner. */
 export enum OwnershipEventType {
   Read = 'read',
-  /** A request goes to the VM under the pool that the daemon's fold names. */
+  /** A daemon sends a request to the VM for the pool that its fold names. */
   Dispatch = 'dispatch',
   ReceiveResponse = 'answer',
   Acknowledge = 'acknowledge',
-  /** What a daemon said lands, however late. */
+  /** The pending record of a daemon is appended, however late. */
   Append = 'land',
   StartMove = 'start_move',
   AssignMove = 'assign_move',
   AbortMove = 'abort_move',
   Crash = 'crash',
-  /** A successor starts and says that it joins. */
+  /** A successor starts and sends its joined record. */
   Restart = 'restart',
-  /** The planner takes a daemon out of the members. */
+  /** The planner removes a daemon from the members. */
   RemoveMember = 'remove',
 }
 
-/** One thing that happens; `of` is the place of a daemon. */
+/** One event; `daemonIndex` is -1 for an event of the planner. */
 export interface OwnershipEvent {
   readonly type: OwnershipEventType;
   readonly daemonIndex: number;
 }
 
-/** Safeguards that a mutation takes out. */
+/** Mutations, each of which removes one safeguard. */
 export enum OwnershipMutation {
   AssignUnacknowledged = 'assign-unacknowledged',
   AcknowledgeEarly = 'acknowledge-early',
@@ -116,7 +116,7 @@
 const RecordKind = OwnershipRecordKind;
 const MutationName = OwnershipMutation;
 
-/** The fold of the specification over a stretch of the log. */
+/** Folds a section of the log into the ownership of the VM. */
 export function foldOwnership(
   log: readonly OwnershipRecord[],
   mutation?: string,
@@ -140,15 +140,18 @@
   mutation: string | undefined,
 ): FoldedOwnership {
   const {move, members} = state;
-  const of = record.incarnation ?? '';
-  const isNamed = move?.startedAt === record.startedAt;
+  const incarnation = record.incarnation ?? '';
+  const isCurrentMove = move?.startedAt === record.startedAt;
   switch (record.kind) {
     case RecordKind.Joined: {
-      const others = members.filter(member => member[0] !== of[0]);
-      return {...state, members: [...others, of].sort()};
+      const others = members.filter(member => member[0] !== incarnation[0]);
+      return {...state, members: [...others, incarnation].sort()};
     }
     case RecordKind.Left:
-      return {...state, members: members.filter(member => member !== of)};
+      return {
+        ...state,
+        members: members.filter(member => member !== incarnation),
+      };
     case RecordKind.MoveStarted:
       if (move || record.epoch !== state.epoch) return state;
       return {
@@ -156,21 +159,24 @@
         move: {startedAt: offset, toPool: record.pool!, awaiting: members},
       };
     case RecordKind.Acknowledged: {
-      if (!move || !members.includes(of)) return state;
-      if (!isNamed && mutation !== MutationName.AcknowledgeAnyMove)
+      if (!move || !members.includes(incarnation)) return state;
+      if (!isCurrentMove && mutation !== MutationName.AcknowledgeAnyMove)
         return state;
-      const awaiting = move.awaiting.filter(member => member !== of);
+      const awaiting = move.awaiting.filter(member => member !== incarnation);
       return {...state, move: {...move, awaiting}};
     }
     case RecordKind.MoveAssigned:
-      if (!move || !isNamed || !isDrained(state, mutation)) return state;
+      if (!move || !isCurrentMove || !isDrained(state, mutation)) return state;
       return {...state, pool: move.toPool, epoch: state.epoch + 1, move: null};
     case RecordKind.MoveAborted:
-      return move && isNamed ? {...state, move: null} : state;
+      return move && isCurrentMove ? {...state, move: null} : state;
   }
 }
 
-/** Every daemon that could route under the old owner has acknowledged or is gone. */
+/**
+ * Returns whether every daemon that could route to the VM for its old pool has acknowledged
+ * the move or left.
+ */
 function isDrained(
   {move, members}: FoldedOwnership,
   mutation: string | undefined,
@@ -179,7 +185,7 @@
   return !move!.awaiting.some(member => members.includes(member));
 }
 
-/** One VM between two pools, two daemons that route to it, one planner. */
+/** One VM that moves between two pools, two daemons that route to it, and one planner. */
 class OwnershipSpecification implements Specification<
   OwnershipState,
   OwnershipEvent
@@ -193,7 +199,7 @@
       name: SINGLE_POOL_PER_VM,
       holds: ({daemons}) => {
         const pools = daemons
-          .map(({requestPool: carries}) => carries)
+          .map(({requestPool}) => requestPool)
           .filter(Boolean);
         return new Set(pools).size <= 1;
       },
@@ -201,11 +207,11 @@
   ];
 
   constructor(
-    {moves: starts, aborts, crashes}: OwnershipBounds,
+    {moves, aborts, crashes}: OwnershipBounds,
     private readonly mutation: string | undefined,
   ) {
-    this.name = `ownership (${starts} moves, ${aborts} aborts, ${crashes} crashes)`;
-    this.bounds = `1 VM, 2 pools, 2 daemons, ${starts} moves, ${aborts} aborts, ${crashes} crashes, any record of a daemon late`;
+    this.name = `ownership (${moves} moves, ${aborts} aborts, ${crashes} crashes)`;
+    this.bounds = `1 VM, 2 pools, 2 daemons, ${moves} moves, ${aborts} aborts, ${crashes} crashes, any record of a daemon late`;
     this.initialState = {
       log: DAEMON_NAMES.map(name => ({
         kind: RecordKind.Joined,
@@ -219,40 +225,54 @@
         acknowledgedMove: -1,
         pendingRecord: null,
       })),
-      movesLeft: starts,
+      movesLeft: moves,
       abortsLeft: aborts,
       crashesLeft: crashes,
     };
   }
 
-  describe({type, daemonIndex: of}: OwnershipEvent): string {
-    return of < 0 ? `planner: ${type}` : `daemon ${DAEMON_NAMES[of]}: ${type}`;
+  describe({type, daemonIndex}: OwnershipEvent): string {
+    return daemonIndex < 0
+      ? `planner: ${type}`
+      : `daemon ${DAEMON_NAMES[daemonIndex]}: ${type}`;
   }
 
   enabledEvents(state: OwnershipState): OwnershipEvent[] {
     const events: OwnershipEvent[] = [];
-    const add = (type: OwnershipEventType, of: number, when: boolean) => {
-      if (when) events.push({type, daemonIndex: of});
+    const add = (
+      type: OwnershipEventType,
+      daemonIndex: number,
+      when: boolean,
+    ) => {
+      if (when) events.push({type, daemonIndex});
     };
     const folded = this.fold(state.log);
-    state.daemons.forEach((daemon, of) => {
-      const known = this.fold(state.log.slice(0, daemon.nextOffset));
-      const {isUp, requestPool: carries, pendingRecord: saying} = daemon;
-      add(EventType.Read, of, isUp && daemon.nextOffset < state.log.length);
+    state.daemons.forEach((daemon, daemonIndex) => {
+      const readState = this.fold(state.log.slice(0, daemon.nextOffset));
+      const {isUp, requestPool, pendingRecord} = daemon;
+      add(
+        EventType.Read,
+        daemonIndex,
+        isUp && daemon.nextOffset < state.log.length,
+      );
       add(
         EventType.Dispatch,
-        of,
-        carries === '' && this.mayRoute(daemon, known),
+        daemonIndex,
+        requestPool === '' && this.mayRoute(daemon, readState),
       );
-      add(EventType.ReceiveResponse, of, carries !== '');
-      add(EventType.Acknowledge, of, this.mayAcknowledge(daemon, known));
-      add(EventType.Append, of, saying !== null);
-      add(EventType.Crash, of, isUp && state.crashesLeft > 0);
-      add(EventType.Restart, of, !isUp);
+      add(EventType.ReceiveResponse, daemonIndex, requestPool !== '');
+      add(
+        EventType.Acknowledge,
+        daemonIndex,
+        this.mayAcknowledge(daemon, readState),
+      );
+      add(EventType.Append, daemonIndex, pendingRecord !== null);
+      add(EventType.Crash, daemonIndex, isUp && state.crashesLeft > 0);
+      add(EventType.Restart, daemonIndex, !isUp);
       const isMember = folded.members.includes(daemon.incarnation);
       const mayRemove =
         !isUp || this.mutation === MutationName.RemoveRunningMembers;
-      add(EventType.RemoveMember, of, isMember && mayRemove);
+      add(EventType.RemoveMember, daemonIndex, isMember && mayRemove);
     });
     add(EventType.StartMove, -1, state.movesLeft > 0 && folded.move === null);
     add(
@@ -266,7 +286,7 @@
 
   step(
     state: OwnershipState,
-    {type, daemonIndex: of}: OwnershipEvent,
+    {type, daemonIndex}: OwnershipEvent,
   ): OwnershipState {
     const folded = this.fold(state.log);
     const startedAt = folded.move?.startedAt;
@@ -291,58 +311,68 @@
         return {...aborted, abortsLeft: state.abortsLeft - 1};
       }
       case EventType.RemoveMember: {
-        const {incarnation} = state.daemons[of];
-        return append(state, {kind: RecordKind.Left, incarnation: incarnation});
+        const {incarnation} = state.daemons[daemonIndex];
+        return append(state, {kind: RecordKind.Left, incarnation});
       }
       case EventType.Crash: {
-        const gone = {isUp: false, requestPool: '', pendingRecord: null};
+        const crashedFields = {
+          isUp: false,
+          requestPool: '',
+          pendingRecord: null,
+        };
         return {
-          ...withDaemon(state, of, gone),
+          ...withDaemon(state, daemonIndex, crashedFields),
           crashesLeft: state.crashesLeft - 1,
         };
       }
       default:
-        return this.stepDaemon(state, type, of);
+        return this.stepDaemon(state, type, daemonIndex);
     }
   }
 
   private stepDaemon(
     state: OwnershipState,
     type: OwnershipEventType,
-    of: number,
+    daemonIndex: number,
   ): OwnershipState {
-    const daemon = state.daemons[of];
-    const known = this.fold(state.log.slice(0, daemon.nextOffset));
+    const daemon = state.daemons[daemonIndex];
+    const readState = this.fold(state.log.slice(0, daemon.nextOffset));
     switch (type) {
       case EventType.Read:
-        return withDaemon(state, of, {nextOffset: daemon.nextOffset + 1});
+        return withDaemon(state, daemonIndex, {
+          nextOffset: daemon.nextOffset + 1,
+        });
       case EventType.Dispatch:
-        return withDaemon(state, of, {requestPool: known.pool});
+        return withDaemon(state, daemonIndex, {requestPool: readState.pool});
       case EventType.ReceiveResponse:
-        return withDaemon(state, of, {requestPool: ''});
+        return withDaemon(state, daemonIndex, {requestPool: ''});
       case EventType.Acknowledge:
-        return withDaemon(state, of, {
-          acknowledgedMove: known.move!.startedAt,
+        return withDaemon(state, daemonIndex, {
+          acknowledgedMove: readState.move!.startedAt,
           pendingRecord: {
             kind: RecordKind.Acknowledged,
             incarnation: daemon.incarnation,
-            startedAt: known.move!.startedAt,
+            startedAt: readState.move!.startedAt,
           },
         });
       case EventType.Append:
         return append(
-          withDaemon(state, of, {pendingRecord: null}),
+          withDaemon(state, daemonIndex, {pendingRecord: null}),
           daemon.pendingRecord!,
         );
       default:
-        return restart(state, of);
+        return restart(state, daemonIndex);
     }
   }
 
-  private mayRoute(daemon: OwnershipDaemon, known: FoldedOwnership): boolean {
-    if (!daemon.isUp || known.move) return false;
-    // A daemon that is no member in its own fold is awaited by no move.
-    const isJoined = known.members.includes(daemon.incarnation);
+  private mayRoute(
+    daemon: OwnershipDaemon,
+    readState: FoldedOwnership,
+  ): boolean {
+    if (!daemon.isUp || readState.move) return false;
+    // No move waits for the acknowledgement of a daemon that is not a member yet, so such a
+    // daemon must not route.
+    const isJoined = readState.members.includes(daemon.incarnation);
     return isJoined || this.mutation === MutationName.RouteBeforeJoined;
   }
 
@@ -350,16 +380,16 @@
     {
       isUp,
       incarnation,
-      requestPool: carries,
-      acknowledgedMove: acknowledged,
-      pendingRecord: saying,
+      requestPool,
+      acknowledgedMove,
+      pendingRecord,
     }: OwnershipDaemon,
     {move}: FoldedOwnership,
   ): boolean {
-    if (!isUp || saying !== null || !move) return false;
-    if (move.startedAt === acknowledged) return false;
+    if (!isUp || pendingRecord !== null || !move) return false;
+    if (move.startedAt === acknowledgedMove) return false;
     const isIdle =
-      carries === '' || this.mutation === MutationName.AcknowledgeEarly;
+      requestPool === '' || this.mutation === MutationName.AcknowledgeEarly;
     return isIdle && move.awaiting.includes(incarnation);
   }
 
@@ -375,10 +405,10 @@
   return {...state, log: [...state.log, record]};
 }
 
-function restart(state: OwnershipState, of: number): OwnershipState {
-  const {incarnation} = state.daemons[of];
+function restart(state: OwnershipState, daemonIndex: number): OwnershipState {
+  const {incarnation} = state.daemons[daemonIndex];
   const successor = `${incarnation[0]}${Number(incarnation.slice(1)) + 1}`;
-  return withDaemon(state, of, {
+  return withDaemon(state, daemonIndex, {
     incarnation: successor,
     isUp: true,
     nextOffset: 0,
@@ -389,10 +419,10 @@
 
 function withDaemon(
   state: OwnershipState,
-  of: number,
+  daemonIndex: number,
   change: Partial<OwnershipDaemon>,
 ): OwnershipState {
-  const daemons = mergeAt(state.daemons, of, change);
+  const daemons = mergeAt(state.daemons, daemonIndex, change);
   return {...state, daemons};
 }
 
@@ -428,7 +458,7 @@
   },
 ];
 
-/** Ownership of one VM while it moves, within the given bounds. */
+/** Returns the specification of the ownership of one VM while it moves. */
 export function ownershipSpecifications(
   bounds: OwnershipBounds,
 ): SpecificationFactory<OwnershipState, OwnershipEvent> {
