--- a/packages/specification/src/run-model.ts
+++ b/packages/specification/src/run-model.ts
@@ -13,12 +13,12 @@
   type SpecificationFactory,
 } from './specification.js';
 
-/** What a coordinator believes of the task's last run. */
+/** State of the task's last run, as a coordinator assumes it. */
 export enum AssumedRunState {
   None = 'none',
-  /** In the log, the order not sent yet. */
+  /** In the log; the order is not sent yet. */
   Stored = 'stored',
-  /** Sent, not known to have arrived. */
+  /** The order is sent, but is not known to have arrived. */
   Sent = 'sent',
   /** Read from the log of an earlier coordinator. */
   Recovered = 'recovered',
@@ -30,33 +30,33 @@
   readonly assumedRunState: AssumedRunState;
   readonly run: number;
   readonly worker: number;
-  /** It has read the task's end as done. */
+  /** It has read that the task ended as done. */
   readonly knowsDone: boolean;
-  /** A later term was seen. */
+  /** It has seen a later term. */
   readonly fenced: boolean;
 }
 
-/** A worker with its highest token and the run that it would refuse. */
+/** A worker, with the highest token it has seen and the runs that it refuses. */
 export interface RunWorker {
   readonly token: number;
   readonly refusedUpToRun: number;
-  /** Run that is alive; 0 for none. */
+  /** The active run; 0 for none. */
   readonly activeRun: number;
-  /** Run that has ended as done and is not acknowledged; 0 for none. */
+  /** Run that has ended as done without an acknowledgement yet; 0 for none. */
   readonly unacknowledgedRun: number;
   readonly isPartitioned: boolean;
 }
 
-/** An order to start that may arrive at any time. */
+/** An order to start a run, which may arrive at any time. */
 export interface RunOrder {
   readonly term: number;
   readonly run: number;
   readonly worker: number;
-  /** The lease that it carries has run out. */
+  /** The lease that it carries has expired. */
   readonly isLeaseExpired: boolean;
 }
 
-/** The whole state: one task, two workers, two terms. */
+/** The complete state: one task, two workers and two terms. */
 export interface RunState {
   readonly storedRun: number;
   readonly storedWorker: number;
@@ -69,38 +69,38 @@
   readonly hasStartedAfterDone: boolean;
 }
 
-/** What may happen. */
+/** Events of the coordinators, the orders and the workers. */
 export enum RunEventType {
   /** A coordinator stores a run on a worker. */
   StoreRun = 'store',
   SendOrder = 'send',
   DeliverOrder = 'arrive',
   LoseOrder = 'lose',
-  /** A coordinator looks at a worker that answers. */
+  /** A coordinator polls a worker, which answers. */
   PollWorker = 'look',
-  /** A stop that is answered. */
+  /** A coordinator stops the run, and the worker answers. */
   StopRun = 'stop',
   Finish = 'finish',
-  /** A done end that was read is stored, then acknowledged. */
+  /** A coordinator stores the end that it has read, then acknowledges it. */
   StoreEnd = 'store end',
   TakeOver = 'take over',
   Partition = 'cut',
   HealPartition = 'heal',
-  /** Time passes: a lease on a worker that is cut off runs out. */
+  /** Time passes, and the lease on a partitioned worker expires. */
   ExpireLease = 'lapse',
-  /** A coordinator knows that the lease on a worker is over. */
+  /** A coordinator learns that the lease on a worker has expired. */
   LearnLeaseExpiry = 'lease over',
 }
 
-/** One thing that happens. */
+/** One event; `worker` is -1 where the event has none. */
 export interface RunEvent {
   readonly type: RunEventType;
-  /** Coordinator, or index of an order. */
+  /** Index of a coordinator or of an order; -1 for neither. */
   readonly coordinatorOrOrder: number;
   readonly worker: number;
 }
 
-/** Safeguards that a mutation takes out. */
+/** Mutations, each of which removes one safeguard. */
 export enum RunMutation {
   SendBeforeStore = 'send-before-store',
   UnansweredIsNotRun = 'unanswered-is-not-run',
@@ -116,9 +116,9 @@
 const NO_RUN_AFTER_DONE = 'no run begins after an end as done was acknowledged';
 const EventType = RunEventType;
 const MutationName = RunMutation;
-const B = AssumedRunState;
+const Assumed = AssumedRunState;
 
-/** The rule for when a task may start, over leases, late orders and a change of coordinator. */
+/** Decides when a task may start, with leases, late orders and a change of coordinator. */
 class RunSpecification implements Specification<RunState, RunEvent> {
   readonly name = 'run (2 workers, 2 terms, 2 runs)';
   readonly bounds =
@@ -128,7 +128,7 @@
     storedWorker: -1,
     storedDone: false,
     term: 1,
-    coordinators: [createCoordinator(1, B.None, 0, -1, false)],
+    coordinators: [createCoordinator(1, Assumed.None, 0, -1, false)],
     workers: WORKERS.map(() => ({
       token: 0,
       refusedUpToRun: 0,
@@ -145,33 +145,36 @@
       guarantee: Guarantee.AtMostOnce,
       name: AT_MOST_ONE_ACTIVE_RUN,
       holds: ({workers}) =>
-        workers.filter(one => one.activeRun > 0).length <= 1,
+        workers.filter(worker => worker.activeRun > 0).length <= 1,
     },
     {
       guarantee: Guarantee.AtMostOnce,
       name: NO_RUN_AFTER_DONE,
-      holds: ({hasStartedAfterDone: startedAfterDone}) => !startedAfterDone,
+      holds: ({hasStartedAfterDone}) => !hasStartedAfterDone,
     },
   ];
 
   constructor(private readonly mutation: string | undefined) {}
 
-  describe({type, coordinatorOrOrder: of, worker}: RunEvent): string {
+  describe({type, coordinatorOrOrder, worker}: RunEvent): string {
     const where = worker >= 0 ? ` at worker ${worker}` : '';
-    return `${type} (${of})${where}`;
+    return `${type} (${coordinatorOrOrder})${where}`;
   }
 
   enabledEvents(state: RunState): RunEvent[] {
     const events: RunEvent[] = [];
-    const add = (type: RunEventType, of: number, worker: number) =>
-      events.push({type, coordinatorOrOrder: of, worker});
-    state.coordinators.forEach((coordinator, of) =>
-      this.addCoordinatorEvents(state, coordinator, of, add),
+    const add = (
+      type: RunEventType,
+      coordinatorOrOrder: number,
+      worker: number,
+    ) => events.push({type, coordinatorOrOrder, worker});
+    state.coordinators.forEach((coordinator, coordinatorOrOrder) =>
+      this.addCoordinatorEvents(state, coordinator, coordinatorOrOrder, add),
     );
-    state.orders.forEach((order, of) => {
+    state.orders.forEach((order, coordinatorOrOrder) => {
       if (!state.workers[order.worker].isPartitioned)
-        add(EventType.DeliverOrder, of, order.worker);
-      add(EventType.LoseOrder, of, order.worker);
+        add(EventType.DeliverOrder, coordinatorOrOrder, order.worker);
+      add(EventType.LoseOrder, coordinatorOrOrder, order.worker);
     });
     state.workers.forEach((worker, index) => {
       if (worker.activeRun > 0) add(EventType.Finish, -1, index);
@@ -227,100 +230,121 @@
   private addCoordinatorEvents(
     state: RunState,
     coordinator: RunCoordinator,
-    of: number,
-    add: (type: RunEventType, of: number, worker: number) => void,
+    coordinatorIndex: number,
+    add: (
+      type: RunEventType,
+      coordinatorOrOrder: number,
+      worker: number,
+    ) => void,
   ): void {
     if (coordinator.fenced) return;
-    const {assumedRunState: belief, worker, run} = coordinator;
+    const {assumedRunState, worker, run} = coordinator;
     if (coordinator.knowsDone) {
-      if (!state.storedDone) add(EventType.StoreEnd, of, worker);
+      if (!state.storedDone) add(EventType.StoreEnd, coordinatorIndex, worker);
       return;
     }
-    if (belief === B.None) {
+    if (assumedRunState === Assumed.None) {
       if (run < MAXIMUM_RUN)
-        for (const target of WORKERS) add(EventType.StoreRun, of, target);
+        for (const target of WORKERS)
+          add(EventType.StoreRun, coordinatorIndex, target);
       return;
     }
-    if (belief === B.Stored) add(EventType.SendOrder, of, worker);
+    if (assumedRunState === Assumed.Stored)
+      add(EventType.SendOrder, coordinatorIndex, worker);
     if (this.isLeaseExpired(state, coordinator))
-      add(EventType.LearnLeaseExpiry, of, worker);
+      add(EventType.LearnLeaseExpiry, coordinatorIndex, worker);
     if (state.workers[worker].isPartitioned) return;
-    if (belief !== B.Stored) {
-      add(EventType.PollWorker, of, worker);
-      add(EventType.StopRun, of, worker);
+    if (assumedRunState !== Assumed.Stored) {
+      add(EventType.PollWorker, coordinatorIndex, worker);
+      add(EventType.StopRun, coordinatorIndex, worker);
     }
   }
 
-  /** Nothing that was started on the worker, or is on its way there, can be alive. */
+  /** Returns whether no run on the worker can be active and no order can start one. */
   private isLeaseExpired(
     state: RunState,
-    {assumedRunState: belief, worker}: RunCoordinator,
+    {assumedRunState, worker}: RunCoordinator,
   ): boolean {
-    if (belief === B.Stored || !state.workers[worker].isPartitioned)
+    if (
+      assumedRunState === Assumed.Stored ||
+      !state.workers[worker].isPartitioned
+    )
       return false;
     if (this.mutation === MutationName.NoLeaseWait) return true;
-    const coming = state.orders.some(
+    const hasOrderInFlight = state.orders.some(
       order => order.worker === worker && !order.isLeaseExpired,
     );
-    // A paused coordinator may still send an order whose lease began while its term was good.
-    const pausedSender = state.coordinators.some(
-      other => other.assumedRunState === B.Stored && other.worker === worker,
+    // A paused coordinator may still send an order whose lease began during its own term.
+    const mayBeSentLater = state.coordinators.some(
+      other =>
+        other.assumedRunState === Assumed.Stored && other.worker === worker,
+    );
+    return (
+      state.workers[worker].activeRun === 0 &&
+      !hasOrderInFlight &&
+      !mayBeSentLater
     );
-    return state.workers[worker].activeRun === 0 && !coming && !pausedSender;
   }
 
   private store(
     state: RunState,
-    {coordinatorOrOrder: of, worker}: RunEvent,
+    {coordinatorOrOrder: coordinatorIndex, worker}: RunEvent,
   ): RunState {
-    const coordinator = state.coordinators[of];
+    const coordinator = state.coordinators[coordinatorIndex];
     const run = coordinator.run + 1;
     if (this.mutation === MutationName.SendBeforeStore)
       return this.send(
-        updateCoordinator(state, of, one => ({
-          ...one,
-          assumedRunState: B.Stored,
+        updateCoordinator(state, coordinatorIndex, previous => ({
+          ...previous,
+          assumedRunState: Assumed.Stored,
           run,
           worker,
         })),
-        {type: EventType.SendOrder, coordinatorOrOrder: of, worker},
+        {
+          type: EventType.SendOrder,
+          coordinatorOrOrder: coordinatorIndex,
+          worker,
+        },
       );
     if (coordinator.term < state.term)
-      return updateCoordinator(state, of, markFenced);
+      return updateCoordinator(state, coordinatorIndex, markFenced);
     return updateCoordinator(
       {...state, storedRun: run, storedWorker: worker},
-      of,
-      one => ({...one, assumedRunState: B.Stored, run, worker}),
+      coordinatorIndex,
+      previous => ({...previous, assumedRunState: Assumed.Stored, run, worker}),
     );
   }
 
-  private send(state: RunState, {coordinatorOrOrder: of}: RunEvent): RunState {
-    const {term, run, worker} = state.coordinators[of];
+  private send(
+    state: RunState,
+    {coordinatorOrOrder: coordinatorIndex}: RunEvent,
+  ): RunState {
+    const {term, run, worker} = state.coordinators[coordinatorIndex];
     const order: RunOrder = {term, run, worker, isLeaseExpired: false};
     return updateCoordinator(
       {...state, orders: inCanonicalOrder([...state.orders, order])},
-      of,
-      one => ({...one, assumedRunState: B.Sent}),
+      coordinatorIndex,
+      previous => ({...previous, assumedRunState: Assumed.Sent}),
     );
   }
 
   private deliverOrder(
     state: RunState,
-    {coordinatorOrOrder: of}: RunEvent,
+    {coordinatorOrOrder: orderIndex}: RunEvent,
   ): RunState {
-    const order = state.orders[of];
-    const next = withoutOrder(state, of);
+    const order = state.orders[orderIndex];
+    const next = withoutOrder(state, orderIndex);
     const worker = state.workers[order.worker];
     const isFenced =
       this.mutation !== MutationName.NoFence && order.term < worker.token;
-    const isBarred =
+    const isRefusedRun =
       this.mutation !== MutationName.NoStoppedRunRefusal &&
       order.run <= worker.refusedUpToRun;
-    if (isFenced || order.isLeaseExpired || isBarred) return next;
-    const started = updateWorker(next, order.worker, one => ({
-      ...one,
-      token: Math.max(one.token, order.term),
-      refusedUpToRun: Math.max(one.refusedUpToRun, order.run),
+    if (isFenced || order.isLeaseExpired || isRefusedRun) return next;
+    const started = updateWorker(next, order.worker, previous => ({
+      ...previous,
+      token: Math.max(previous.token, order.term),
+      refusedUpToRun: Math.max(previous.refusedUpToRun, order.run),
       activeRun: order.run,
     }));
     return {
@@ -331,46 +355,64 @@
 
   private pollWorker(
     state: RunState,
-    {coordinatorOrOrder: of}: RunEvent,
+    {coordinatorOrOrder: coordinatorIndex}: RunEvent,
   ): RunState {
-    const {term, worker, run, assumedRunState: belief} = state.coordinators[of];
-    const seen = state.workers[worker];
-    if (term < seen.token) return updateCoordinator(state, of, markFenced);
-    const shown = updateWorker(state, worker, one => ({...one, token: term}));
-    if (seen.unacknowledgedRun === run && run > 0)
-      return updateCoordinator(shown, of, one => ({...one, knowsDone: true}));
-    if (seen.activeRun === run) return shown;
-    // Neither alive nor ended: a recovered run never will be, since the token is shown. One that we
-    // have sent may still arrive.
-    const never =
-      belief === B.Recovered ||
+    const {term, worker, run, assumedRunState} =
+      state.coordinators[coordinatorIndex];
+    const workerState = state.workers[worker];
+    if (term < workerState.token)
+      return updateCoordinator(state, coordinatorIndex, markFenced);
+    const withToken = updateWorker(state, worker, previous => ({
+      ...previous,
+      token: term,
+    }));
+    if (workerState.unacknowledgedRun === run && run > 0)
+      return updateCoordinator(withToken, coordinatorIndex, previous => ({
+        ...previous,
+        knowsDone: true,
+      }));
+    if (workerState.activeRun === run) return withToken;
+    // The run is neither active nor ended. A recovered run never starts any more, because the
+    // worker has now seen this coordinator's token. An order that this coordinator sent may
+    // still arrive.
+    const neverStarts =
+      assumedRunState === Assumed.Recovered ||
       this.mutation === MutationName.UnansweredIsNotRun;
-    return never ? updateCoordinator(shown, of, clearRun) : shown;
+    return neverStarts
+      ? updateCoordinator(withToken, coordinatorIndex, clearRun)
+      : withToken;
   }
 
-  private stop(state: RunState, {coordinatorOrOrder: of}: RunEvent): RunState {
-    const {term, worker, run} = state.coordinators[of];
-    const seen = state.workers[worker];
-    if (term < seen.token) return updateCoordinator(state, of, markFenced);
-    const stopped = updateWorker(state, worker, one => ({
-      ...one,
+  private stop(
+    state: RunState,
+    {coordinatorOrOrder: coordinatorIndex}: RunEvent,
+  ): RunState {
+    const {term, worker, run} = state.coordinators[coordinatorIndex];
+    const workerState = state.workers[worker];
+    if (term < workerState.token)
+      return updateCoordinator(state, coordinatorIndex, markFenced);
+    const stopped = updateWorker(state, worker, previous => ({
+      ...previous,
       token: term,
-      refusedUpToRun: Math.max(one.refusedUpToRun, run),
-      activeRun: one.activeRun === run ? 0 : one.activeRun,
+      refusedUpToRun: Math.max(previous.refusedUpToRun, run),
+      activeRun: previous.activeRun === run ? 0 : previous.activeRun,
     }));
-    if (seen.unacknowledgedRun === run)
-      return updateCoordinator(stopped, of, one => ({...one, knowsDone: true}));
-    return updateCoordinator(stopped, of, clearRun);
+    if (workerState.unacknowledgedRun === run)
+      return updateCoordinator(stopped, coordinatorIndex, previous => ({
+        ...previous,
+        knowsDone: true,
+      }));
+    return updateCoordinator(stopped, coordinatorIndex, clearRun);
   }
 
   private storeEnd(
     state: RunState,
-    {coordinatorOrOrder: of, worker}: RunEvent,
+    {coordinatorOrOrder: coordinatorIndex, worker}: RunEvent,
   ): RunState {
-    if (state.coordinators[of].term < state.term)
-      return updateCoordinator(state, of, markFenced);
-    const acknowledged = updateWorker(state, worker, one => ({
-      ...one,
+    if (state.coordinators[coordinatorIndex].term < state.term)
+      return updateCoordinator(state, coordinatorIndex, markFenced);
+    const acknowledged = updateWorker(state, worker, previous => ({
+      ...previous,
       unacknowledgedRun: 0,
     }));
     return {...acknowledged, storedDone: true, storedWorker: -1};
@@ -379,21 +421,22 @@
 
 function createCoordinator(
   term: number,
-  belief: AssumedRunState,
+  assumedRunState: AssumedRunState,
   run: number,
   worker: number,
   knowsDone: boolean,
 ): RunCoordinator {
-  return {term, assumedRunState: belief, run, worker, knowsDone, fenced: false};
+  return {term, assumedRunState, run, worker, knowsDone, fenced: false};
 }
 
-/** The next coordinator closes the log to the one before, and reads it. */
+/** Starts the next coordinator, which closes the log to its predecessor and reads it. */
 function takeOver(state: RunState): RunState {
   const term = state.term + 1;
-  const belief = state.storedWorker >= 0 ? B.Recovered : B.None;
+  const assumedRunState =
+    state.storedWorker >= 0 ? Assumed.Recovered : Assumed.None;
   const next = createCoordinator(
     term,
-    belief,
+    assumedRunState,
     state.storedRun,
     state.storedWorker,
     state.storedDone,
@@ -401,15 +444,15 @@
   return {...state, term, coordinators: [...state.coordinators, next]};
 }
 
-/** The lease on a worker that is cut off runs out, and with it all orders that carry it. */
+/** Expires the lease on a partitioned worker, and with it all orders that carry the lease. */
 function expireLease(state: RunState, worker: number): RunState {
-  const lapsed = updateWorker(state, worker, one => ({
-    ...one,
+  const expired = updateWorker(state, worker, previous => ({
+    ...previous,
     activeRun: 0,
     unacknowledgedRun: 0,
   }));
   return {
-    ...lapsed,
+    ...expired,
     orders: inCanonicalOrder(
       state.orders.map(order =>
         order.worker === worker ? {...order, isLeaseExpired: true} : order,
@@ -418,12 +461,14 @@
   };
 }
 
-function withPartition(cut: boolean): (worker: RunWorker) => RunWorker {
-  return worker => ({...worker, isPartitioned: cut});
+function withPartition(
+  isPartitioned: boolean,
+): (worker: RunWorker) => RunWorker {
+  return worker => ({...worker, isPartitioned});
 }
 
 function clearRun(coordinator: RunCoordinator): RunCoordinator {
-  return {...coordinator, assumedRunState: B.None, worker: -1};
+  return {...coordinator, assumedRunState: Assumed.None, worker: -1};
 }
 
 const MUTATIONS: readonly Mutation[] = [
@@ -455,7 +500,7 @@
   },
 ];
 
-/** When a task may start. */
+/** Specification of when a task may start. */
 export const RUN_SPECIFICATIONS: SpecificationFactory<RunState, RunEvent> = {
   mutations: MUTATIONS,
   create: mutation => new RunSpecification(mutation),
--- a/packages/specification/src/specification.ts
+++ b/packages/specification/src/specification.ts
@@ -1,6 +1,6 @@
 import type {EventObject} from 'xstate';
 
-/** The promises of docs/design that the specification is held against. */
+/** Guarantees from docs/design that the specifications are checked against. */
 export enum Guarantee {
   BudgetHeld = 'P1',
   SinglePoolPerVm = 'P2',
@@ -9,37 +9,37 @@
   NoVersionRollback = 'P8',
 }
 
-/** What must be true in every state. */
+/** A condition that holds in every reachable state. */
 export interface Invariant<State> {
   readonly guarantee: Guarantee;
   readonly name: string;
   holds(state: State): boolean;
 }
 
-/** A named change that takes one safeguard out; the check must catch it. */
+/** A named change that removes one safeguard; the check has to detect it. */
 export interface Mutation {
   readonly name: string;
-  /** The safeguard that is missing. */
+  /** Description of the safeguard that is missing. */
   readonly removedSafeguard: string;
   /** Name of the invariant that breaks. */
   readonly brokenInvariant: string;
 }
 
-/** A small transition system: plain canonical states, bounded, deterministic steps. */
+/** A small, bounded transition system with plain canonical states and deterministic steps. */
 export interface Specification<State, Event extends EventObject> {
   readonly name: string;
-  /** What it covers and within which bounds. */
+  /** Scope of the model and its bounds. */
   readonly bounds: string;
   readonly initialState: State;
-  /** Everything that may happen next. */
+  /** Returns the events that may happen next. */
   enabledEvents(state: State): readonly Event[];
   step(state: State, event: Event): State;
-  /** One line for a trace. */
+  /** Describes an event in one line of a trace. */
   describe(event: Event): string;
   readonly invariants: ReadonlyArray<Invariant<State>>;
 }
 
-/** A specification and its mutations, each made by name; no name gives the whole one. */
+/** Creates a specification, either unmutated or with the mutation of the given name. */
 export interface SpecificationFactory<State, Event extends EventObject> {
   readonly mutations: readonly Mutation[];
   create(mutation?: string): Specification<State, Event>;
