--- a/packages/cli/src/__tests__/deployment.test.ts
+++ b/packages/cli/src/__tests__/deployment.test.ts
@@ -25,7 +25,7 @@
     services: ['previews'],
     standbyService: 'spare',
     workersPerService: 1,
-    room: RESOURCES,
+    capacity: RESOURCES,
     behaviourOf: () => ({
       durationMilliseconds: 1,
       end: RunEnd.Done,
--- a/packages/coordinator/src/__tests__/at-most-once.test.ts
+++ b/packages/coordinator/src/__tests__/at-most-once.test.ts
@@ -34,7 +34,7 @@
         daemon,
         job('a', [step({taskCount: 3}), step({after: [0]})]),
       );
-      assert.deepEqual(answers, [SubmitAnswer.Taken]);
+      assert.deepEqual(answers, [SubmitAnswer.Accepted]);
       await deployment.run(2_000);
       const state = await deployment.answerOf(daemon, 'a');
       assert.deepEqual(state, {
@@ -267,7 +267,7 @@
       await submitted(deployment, daemon, job('a'));
       await deployment.run(3_000);
       const answers = await submitted(deployment, other, job('a'));
-      assert.deepEqual(answers, [SubmitAnswer.Taken]);
+      assert.deepEqual(answers, [SubmitAnswer.Accepted]);
       await deployment.run(3_000);
       assert.equal(deployment.startedRuns().length, 1);
     });
@@ -313,7 +313,7 @@
     await warm;
     const submission = daemon.jobIntake.submit(job('a'), TIMEOUT);
     await deployment.run(5);
-    assert.equal(await submission, SubmitAnswer.Taken);
+    assert.equal(await submission, SubmitAnswer.Accepted);
     const answer = other.jobIntake.cancel('a', TIMEOUT, ANY_CALLER);
     await deployment.run(50);
     assert.deepEqual(await answer, {
--- a/packages/coordinator/src/__tests__/coordinator-election.test.ts
+++ b/packages/coordinator/src/__tests__/coordinator-election.test.ts
@@ -30,8 +30,8 @@
       new SeededRandom(this.seed++),
       new SilentLogger(),
       {
-        termBegan: () => began.push(this.clock.monotonicMilliseconds()),
-        termEnded: () => undefined,
+        onTermStarted: () => began.push(this.clock.monotonicMilliseconds()),
+        onTermEnded: () => undefined,
       },
     );
     keeper.start();
--- a/packages/coordinator/src/__tests__/deployment.ts
+++ b/packages/coordinator/src/__tests__/deployment.ts
@@ -175,8 +175,8 @@
       new SeededRandom(7),
       logger,
       {
-        termBegan: term => this.begin(term),
-        termEnded: () => this.end(),
+        onTermStarted: term => this.begin(term),
+        onTermEnded: () => this.end(),
       },
     );
   }
--- a/packages/coordinator/src/__tests__/organisation-limit.test.ts
+++ b/packages/coordinator/src/__tests__/organisation-limit.test.ts
@@ -61,7 +61,7 @@
   async submit(daemon: TestDaemon, submission: JobSubmission): Promise<void> {
     const answer = daemon.jobIntake.submit(submission, TIMEOUT);
     await this.run(20);
-    assert.equal(await answer, SubmitAnswer.Taken);
+    assert.equal(await answer, SubmitAnswer.Accepted);
   }
 
   /**
@@ -229,7 +229,7 @@
     assert.deepEqual(await Promise.all(answers), [
       SubmitAnswer.OverLimit,
       SubmitAnswer.OverLimit,
-      SubmitAnswer.Taken,
+      SubmitAnswer.Accepted,
     ]);
   });
 
--- a/packages/coordinator/src/__tests__/random-faults.ts
+++ b/packages/coordinator/src/__tests__/random-faults.ts
@@ -256,7 +256,7 @@
   private checkGuarantees(): RandomRun {
     const runs = this.deployment.startedRuns();
     const taken = this.submitted.filter(one =>
-      one.answers.includes(SubmitAnswer.Taken),
+      one.answers.includes(SubmitAnswer.Accepted),
     );
     return {
       violations: [
--- a/packages/coordinator/src/coordinator-election.ts
+++ b/packages/coordinator/src/coordinator-election.ts
@@ -63,8 +63,8 @@
 
 /** Notified when a term of this daemon begins or ends. */
 export interface TermListener {
-  termBegan(term: number): void;
-  termEnded(): void;
+  onTermStarted(term: number): void;
+  onTermEnded(): void;
 }
 
 /** Identity and strength of this daemon in the election. */
@@ -295,20 +295,20 @@
     this.wallClockOffset = clockOffset;
     if (!isNew) return;
     this.logger.info(LogEvent.TermTaken, {term: record.term});
-    this.listener.termBegan(record.term);
+    this.listener.onTermStarted(record.term);
   }
 
   private loseTerm(reason: string): void {
     if (!this.isHolder) return;
     this.isHolder = false;
     this.logger.warn(LogEvent.TermLost, {reason, term: this.current?.term});
-    this.listener.termEnded();
+    this.listener.onTermEnded();
   }
 
   private async release(): Promise<void> {
     const {current} = this;
     this.isHolder = false;
-    this.listener.termEnded();
+    this.listener.onTermEnded();
     if (!current) return;
     const result = await this.log.append(
       LogStream.Terms,
--- a/packages/coordinator/src/coordinator.ts
+++ b/packages/coordinator/src/coordinator.ts
@@ -83,7 +83,7 @@
   readonly leaseMilliseconds: number;
   readonly termStartedAt: number;
   readonly registry: WorkerRegistry;
-  readonly trust = new WorkerReliability();
+  readonly reliability = new WorkerReliability();
   private readonly log: RunLog;
   private readonly responseTimeout = newResponseTimeout();
   private readonly orderLimiter = new OrderConcurrencyLimiter();
@@ -110,14 +110,15 @@
     this.log = new RunLog(parts);
     this.leaseMilliseconds = Math.min(
       LEASE_MILLISECONDS,
-      settings.limits.maximumLease,
+      settings.limits.maximumLeaseMilliseconds,
     );
     this.writer = new ProgressWriter(parts.log, clock, term, () =>
-      this.fenced(),
+      this.onFenced(),
     );
     this.organisationLimits = new OrganisationLimits({
       operators: parts.operators,
-      configurationInForceMilliseconds: settings.limits.configurationInForce,
+      configurationInForceMilliseconds:
+        settings.limits.configurationInForceMilliseconds,
       clock,
       logger: parts.logger,
       metrics: parts.metrics,
@@ -132,8 +133,10 @@
       clock,
     );
     this.learned = new LearnedDemandStore(parts, demand);
-    this.retention = new JobRetention(clock, settings.limits.stateKept, jobId =>
-      this.dropJob(jobId),
+    this.retention = new JobRetention(
+      clock,
+      settings.limits.stateRetentionMilliseconds,
+      jobId => this.dropJob(jobId),
     );
     this.registry = new WorkerRegistry(parts, this);
     this.orphans = new OrphanRuns(
@@ -146,7 +149,7 @@
     this.outcomes = new RunOutcomes(
       {
         log: this.log,
-        suspicion: new WorkerSuspicion(this.trust, clock, parts.logger),
+        suspicion: new WorkerSuspicion(this.reliability, clock, parts.logger),
         dispatcher: this.dispatcher,
         organisationLimits: this.organisationLimits,
         writer: this.writer,
@@ -209,7 +212,7 @@
     return !this.closed && this.recovered && this.termIsValid();
   }
 
-  fenced(): void {
+  onFenced(): void {
     this.parts.logger.warn(LogEvent.TermLost, {
       term: this.term,
       reason: 'a higher fencing token was seen',
@@ -340,7 +343,7 @@
   }
 
   sessionEnded(session: WorkerSession): void {
-    this.trust.forgetWorker(session.id);
+    this.reliability.forgetWorker(session.id);
     this.registry.remove(session);
   }
 
@@ -351,7 +354,7 @@
       // The job may have ended while the worker had no session: without the stop the run would
       // continue forever, since its lease is renewed. Every run is added to a session here or where
       // it is ordered, so none is missed.
-      if (run.execution.ended || run.executableTask.progress.done)
+      if (run.execution.hasEnded || run.executableTask.progress.done)
         void session.stopRun(run);
     }
   }
@@ -394,7 +397,7 @@
     this.recoverRuns(execution);
     if (job.cancelled) this.cancelJob(submission.id);
     const age = this.ageOf(submission);
-    if (execution.ended) {
+    if (execution.hasEnded) {
       this.retention.noteEnded(submission.id);
       this.dispatcher.noteDemand(execution, age);
       this.stopRuns(execution);
@@ -428,7 +431,7 @@
 
   private cancelJob(jobId: string): void {
     const execution = this.executions.get(jobId);
-    if (!execution || execution.ended) return;
+    if (!execution || execution.hasEnded) return;
     execution.cancel();
     this.jobEnded(execution);
     this.writer.store(execution);
@@ -449,7 +452,7 @@
     });
     this.retention.noteEnded(execution.job.id);
     this.dispatcher.remove(execution);
-    this.trust.forgetJob(execution.job.id);
+    this.reliability.forgetJob(execution.job.id);
     if (state !== JobState.Completed) this.stopRuns(execution);
   }
 
--- a/packages/coordinator/src/entry-settings.ts
+++ b/packages/coordinator/src/entry-settings.ts
@@ -27,26 +27,26 @@
 /** Time limits set by the platform, in milliseconds. */
 export interface PlatformLimits {
   /** Longest lease that a worker accepts. */
-  readonly maximumLease: number;
+  readonly maximumLeaseMilliseconds: number;
   /** Time within which a new configuration must be in force. */
-  readonly configurationInForce: number;
+  readonly configurationInForceMilliseconds: number;
   /** Maximum extension of the limits while the store serves only some of the daemons. */
-  readonly stretch: number;
+  readonly extensionMilliseconds: number;
   /** Time after which no task of a cancelled job may be running. */
-  readonly cancel: number;
+  readonly cancelMilliseconds: number;
   /** How long planned work may keep a task from running before it counts as missing. */
-  readonly notice: number;
+  readonly noticeMilliseconds: number;
   /** How long orders about a VM must wait when they come from another holder than earlier ones. */
-  readonly holderChange: number;
+  readonly holderChangeMilliseconds: number;
   /** Grace period between the termination signal and the kill. */
-  readonly grace: number;
+  readonly gracePeriodMilliseconds: number;
   /** How long the final state of a job must remain available. */
-  readonly stateKept: number;
+  readonly stateRetentionMilliseconds: number;
   /** Duration of a pool change (`move`) and of a maintenance (`maintenance`). */
-  readonly move: number;
-  readonly maintenance: number;
+  readonly moveMilliseconds: number;
+  readonly maintenanceMilliseconds: number;
   /** Longest time that a worker takes to stop a run. */
-  readonly stop: number;
+  readonly stopMilliseconds: number;
   /** How long a task may exceed its response time target. */
-  readonly harm: number;
+  readonly maximumTargetMissMilliseconds: number;
 }
--- a/packages/coordinator/src/job-intake.ts
+++ b/packages/coordinator/src/job-intake.ts
@@ -28,7 +28,7 @@
 
 /** Result of a submission. */
 export enum SubmitAnswer {
-  Taken = 'taken',
+  Accepted = 'taken',
   /** The job was not accepted and never runs. */
   Refused = 'refused',
   /** The job may have been accepted. */
@@ -107,7 +107,7 @@
     const known = this.table.find(job.id);
     if (known)
       return known.submission.organisation === job.organisation
-        ? SubmitAnswer.Taken
+        ? SubmitAnswer.Accepted
         : SubmitAnswer.IdInUse;
     if (!canEverRun(job.steps, this.limitOf(job))) {
       this.noteAnswer(job, SubmitAnswer.OverLimit, 0);
@@ -146,7 +146,7 @@
         answer,
       });
     const fields = {job: id, queue, organisation, answer, milliseconds};
-    if (answer === SubmitAnswer.Taken)
+    if (answer === SubmitAnswer.Accepted)
       this.logger.info(LogEvent.JobTaken, fields);
     else this.logger.warn(LogEvent.JobRefused, fields);
   }
@@ -210,7 +210,7 @@
   ): SubmitAnswer {
     if (outcome === BatchedAppendOutcome.Appended) {
       this.inDoubt.delete(jobId);
-      return SubmitAnswer.Taken;
+      return SubmitAnswer.Accepted;
     }
     if (outcome === BatchedAppendOutcome.Unknown) this.inDoubt.add(jobId);
     // An earlier attempt may still succeed, so the job must not be reported as refused.
--- a/packages/coordinator/src/maintenance-controller.ts
+++ b/packages/coordinator/src/maintenance-controller.ts
@@ -56,7 +56,7 @@
       maximumAtOnce: wave.maximumAtOnce,
       remainingMilliseconds: this.progress.leftMilliseconds(wave),
       maintenanceMilliseconds:
-        limits.maintenance + MAINTENANCE_OVERHEAD_MILLISECONDS,
+        limits.maintenanceMilliseconds + MAINTENANCE_OVERHEAD_MILLISECONDS,
       hasWaitingWork: pools.some(pool => pool.waitingMillicores > 0),
     });
     for (const name of plan.evacuate) this.evacuate(listed.get(name), wave);
@@ -190,7 +190,8 @@
     const isOfEarlierTerm = run.startConfirmedAt === undefined;
     const knownMilliseconds = this.now() - run.orderAnsweredAt;
     return (
-      isOfEarlierTerm && knownMilliseconds < this.parts.settings.limits.stop
+      isOfEarlierTerm &&
+      knownMilliseconds < this.parts.settings.limits.stopMilliseconds
     );
   }
 
--- a/packages/coordinator/src/placement-round.ts
+++ b/packages/coordinator/src/placement-round.ts
@@ -57,10 +57,10 @@
       worker.freeMillicores - (step.bestEffort ? 0 : step.processorMillicores),
     freeMegabytes: worker.freeMegabytes - step.memoryMegabytes,
     freeAccelerators: worker.freeAccelerators - step.accelerators,
-    tasks: worker.tasks + 1,
+    taskCount: worker.taskCount + 1,
     latencySensitiveTaskCount:
       worker.latencySensitiveTaskCount + (step.targetMilliseconds > 0 ? 1 : 0),
-    bestEffortTasks: worker.bestEffortTasks + (step.bestEffort ? 1 : 0),
+    bestEffortTaskCount: worker.bestEffortTaskCount + (step.bestEffort ? 1 : 0),
     taskCountOfStep: key =>
       worker.taskCountOfStep(key) + (key === stepKey ? 1 : 0),
     isolatedJob: now => (isIsolated ? job : worker.isolatedJob(now)),
--- a/packages/coordinator/src/placement-view.ts
+++ b/packages/coordinator/src/placement-view.ts
@@ -32,8 +32,8 @@
     totalMillicores: Math.max(1, capacity.processorMillicores),
     latencySensitiveTaskCount: steps.filter(step => step.targetMilliseconds > 0)
       .length,
-    bestEffortTasks: steps.filter(step => step.bestEffort).length,
-    tasks: runs.length,
+    bestEffortTaskCount: steps.filter(step => step.bestEffort).length,
+    taskCount: runs.length,
     reliability,
     taskCountOfStep: stepKey => counts.get(stepKey) ?? 0,
     isolatedJob: now =>
--- a/packages/coordinator/src/run-outcomes.ts
+++ b/packages/coordinator/src/run-outcomes.ts
@@ -143,7 +143,7 @@
     const {execution} = run;
     const {end, worker} = ending;
     organisationLimits.releaseRun(run);
-    const wasEnded = execution.ended;
+    const wasEnded = execution.hasEnded;
     const effect = this.effectOf(run, ending);
     log.ended(run, worker, end, effect);
     if (effect === RunEndEffect.Stale) return;
--- a/packages/coordinator/src/session-host.ts
+++ b/packages/coordinator/src/session-host.ts
@@ -9,7 +9,7 @@
 export interface SessionHost extends LivenessHost {
   readonly term: number;
   /** Reliability of workers, as learned from their failures. */
-  readonly trust: WorkerReliability;
+  readonly reliability: WorkerReliability;
   /**
    * Timeout of a worker's response to a call that does not wait on the worker. If all
    * workers are slow, this daemon is the cause.
@@ -36,7 +36,7 @@
    */
   areCapacitiesFresh(): boolean;
   /** Called when a worker has seen a higher fencing token. */
-  fenced(): void;
+  onFenced(): void;
   runEnded(
     session: WorkerSession,
     run: LiveRun,
--- a/packages/coordinator/src/stand-ins/simulated-worker.ts
+++ b/packages/coordinator/src/stand-ins/simulated-worker.ts
@@ -183,7 +183,7 @@
     return this.done();
   }
 
-  pace(_run: RunName, _percent: number, fencingToken: number): OrderResult {
+  throttle(_run: RunName, _percent: number, fencingToken: number): OrderResult {
     return this.acceptToken(fencingToken) ? this.done() : refused('fence');
   }
 
--- a/packages/coordinator/src/stand-ins/simulated-workers.ts
+++ b/packages/coordinator/src/stand-ins/simulated-workers.ts
@@ -117,10 +117,10 @@
     fencingToken: number,
   ): Promise<OrderResult> {
     const target = await this.reach(worker, POLL_BYTES);
-    return target ? target.pace(run, percent, fencingToken) : silent();
+    return target ? target.throttle(run, percent, fencingToken) : silent();
   }
 
-  forget(): void {}
+  closeConnections(): void {}
 
   /**
    * Returns the worker that the call reaches; resolves to undefined after
--- a/packages/coordinator/src/vm-orders.ts
+++ b/packages/coordinator/src/vm-orders.ts
@@ -172,7 +172,8 @@
       // A term's newest order may have been given just now; an older one was given
       // earlier by the difference of their times.
       const ageMilliseconds = (newest.get(term) ?? at) - at;
-      const remaining = settings.limits.holderChange - ageMilliseconds;
+      const remaining =
+        settings.limits.holderChangeMilliseconds - ageMilliseconds;
       if (remaining > 0) this.blockedUntil.set(vm, now + remaining);
     }
   }
--- a/packages/coordinator/src/worker-gateway.ts
+++ b/packages/coordinator/src/worker-gateway.ts
@@ -143,5 +143,5 @@
     fencingToken: number,
   ): Promise<OrderResult>;
   /** Closes the connections to a worker that is gone. */
-  forget(worker: WorkerAddress): void;
+  closeConnections(worker: WorkerAddress): void;
 }
--- a/packages/coordinator/src/worker-session.ts
+++ b/packages/coordinator/src/worker-session.ts
@@ -204,7 +204,7 @@
 
   /** Returns the view of the worker that placement decisions use. */
   placementView(now: number): PlacementWorker {
-    const reliability = this.host.trust.score(this.id, now);
+    const reliability = this.host.reliability.score(this.id, now);
     return this.sessionRuns.placementView(this.current, reliability, now);
   }
 
@@ -273,7 +273,7 @@
     });
     this.close();
     this.endAllRuns(hasCrashed ? RunEnd.Crashed : RunEnd.Lost);
-    this.gateway.forget(this.current);
+    this.gateway.closeConnections(this.current);
     this.host.sessionEnded(this);
   }
 
@@ -315,7 +315,7 @@
   }): boolean {
     if (result.outcome !== OrderOutcome.Refused) return false;
     if (result.refusal === OrderRefusal.Fenced) {
-      this.host.fenced();
+      this.host.onFenced();
       return true;
     }
     if (result.refusal === OrderRefusal.OtherIncarnation) {
--- a/packages/entry/src/__tests__/organisations.test.ts
+++ b/packages/entry/src/__tests__/organisations.test.ts
@@ -19,7 +19,7 @@
     services: ['previews'],
     standbyService: 'spare',
     workersPerService: 1,
-    room: CAPACITY,
+    capacity: CAPACITY,
     behaviourOf: () => ({
       durationMilliseconds: 100,
       end: RunEnd.Done,
--- a/packages/entry/src/__tests__/settings-change.test.ts
+++ b/packages/entry/src/__tests__/settings-change.test.ts
@@ -71,7 +71,7 @@
     services: ['previews'],
     standbyService: 'spare',
     workersPerService: 2,
-    room: CAPACITY,
+    capacity: CAPACITY,
     behaviourOf: () => ({
       durationMilliseconds: 50,
       end: RunEnd.Done,
--- a/packages/entry/src/__tests__/whole-path.test.ts
+++ b/packages/entry/src/__tests__/whole-path.test.ts
@@ -17,7 +17,7 @@
     services: ['previews'],
     standbyService: 'spare',
     workersPerService: 2,
-    room: CAPACITY,
+    capacity: CAPACITY,
     behaviourOf: task => ({
       durationMilliseconds: task.startsWith('f') ? 60_000 : 100,
       end: RunEnd.Done,
--- a/packages/entry/src/bin/gentiandoor-entry.ts
+++ b/packages/entry/src/bin/gentiandoor-entry.ts
@@ -50,7 +50,7 @@
   logger.info(LogEvent.DaemonDraining);
   parts.drainState.begin();
   const maximumDrainMilliseconds =
-    settings.limits.grace - EXIT_MARGIN_MILLISECONDS;
+    settings.limits.gracePeriodMilliseconds - EXIT_MARGIN_MILLISECONDS;
   const exit = () => {
     logger.info(LogEvent.DaemonStopped);
     setTimeout(() => process.exit(0), LOG_FLUSH_MILLISECONDS);
--- a/packages/entry/src/coordinator-plugin.ts
+++ b/packages/entry/src/coordinator-plugin.ts
@@ -54,7 +54,7 @@
     this.coordinator?.close();
   }
 
-  termBegan(term: number): void {
+  onTermStarted(term: number): void {
     this.coordinator?.close();
     this.parts.metrics.increment(MetricName.TermsTaken);
     const coordinator = new Coordinator(
@@ -72,7 +72,7 @@
     });
   }
 
-  termEnded(): void {
+  onTermEnded(): void {
     this.coordinator?.close();
     this.coordinator = undefined;
   }
--- a/packages/entry/src/wiring.ts
+++ b/packages/entry/src/wiring.ts
@@ -162,8 +162,8 @@
           operators,
           {
             configurationInForceMilliseconds:
-              settings.limits.configurationInForce,
-            extensionMilliseconds: settings.limits.stretch,
+              settings.limits.configurationInForceMilliseconds,
+            extensionMilliseconds: settings.limits.extensionMilliseconds,
           },
           clock,
         ),
--- a/packages/jobs/src/__tests__/jobs.test.ts
+++ b/packages/jobs/src/__tests__/jobs.test.ts
@@ -93,7 +93,7 @@
     finishAll(job, RunEnd.Failed);
     finishAll(job, RunEnd.Lapsed);
     finishAll(job, RunEnd.Failed);
-    assert.equal(job.ended, false);
+    assert.equal(job.hasEnded, false);
     finishAll(job, RunEnd.Failed);
     assert.equal(job.progress.state, JobState.Failed);
   });
@@ -112,7 +112,7 @@
       RunEndEffect.Retry,
     );
     job.applyLateRunEnd(task, 1, RunEnd.Failed, 3);
-    assert.equal(job.ended, false);
+    assert.equal(job.hasEnded, false);
     finishAll(job, RunEnd.Failed);
     assert.equal(job.progress.state, JobState.Failed);
   });
@@ -152,7 +152,7 @@
     const job = execution([{...STEP, taskCount: 1, longRunning: true}]);
     for (let run = 0; run < 8; run++) finishAll(job, RunEnd.Failed);
     finishAll(job, RunEnd.Done);
-    assert.equal(job.ended, false);
+    assert.equal(job.hasEnded, false);
     assert.equal(job.readyTasks(0).length, 1);
   });
 
--- a/packages/jobs/src/job-execution.ts
+++ b/packages/jobs/src/job-execution.ts
@@ -67,7 +67,7 @@
   }
 
   /** Whether no task of the job starts any more. */
-  get ended(): boolean {
+  get hasEnded(): boolean {
     return isFinal(this.progress.state);
   }
 
@@ -106,7 +106,7 @@
    * are done, their occurrence is due, and no run of them is alive.
    */
   readyTasks(now: number): ExecutableTask[] {
-    if (this.ended) return [];
+    if (this.hasEnded) return [];
     const ready: ExecutableTask[] = [];
     for (const group of this.groups.values()) {
       if (!this.isGroupReady(group, now)) continue;
@@ -174,7 +174,7 @@
   ): RunEndEffect {
     const {progress} = task;
     const isAlive = run === progress.run && progress.worker !== '';
-    if (this.ended || progress.done || run > progress.run || isAlive)
+    if (this.hasEnded || progress.done || run > progress.run || isAlive)
       return RunEndEffect.Stale;
     if (end !== RunEnd.Done && end !== RunEnd.Failed) return RunEndEffect.Stale;
     return this.applyRunEnd(task, run, end, maximumAttempts);
@@ -182,7 +182,7 @@
 
   /** Cancels the job at the request of a caller. */
   cancel(): void {
-    if (!this.ended) this.progress.state = JobState.Cancelled;
+    if (!this.hasEnded) this.progress.state = JobState.Cancelled;
   }
 
   /** Returns the longest chain of task times over all steps, in milliseconds. */
@@ -218,7 +218,7 @@
    * if there is none.
    */
   nextScheduledStartAfter(now: number): number | undefined {
-    if (!this.job.repeat || this.ended) return undefined;
+    if (!this.job.repeat || this.hasEnded) return undefined;
     for (let occurrence = 0; occurrence < this.job.repeat.count; occurrence++)
       if (this.scheduledStartAt(occurrence) > now)
         return this.scheduledStartAt(occurrence);
@@ -237,7 +237,7 @@
     if (progress.run !== run || progress.worker === '')
       return RunEndEffect.Stale;
     progress.worker = '';
-    if (this.ended) return RunEndEffect.JobEnded;
+    if (this.hasEnded) return RunEndEffect.JobEnded;
     // An earlier run turned out to be done while this one was alive.
     return progress.done ? RunEndEffect.TaskDone : undefined;
   }
--- a/packages/plugin-caller-http/src/__tests__/caller-edge.ts
+++ b/packages/plugin-caller-http/src/__tests__/caller-edge.ts
@@ -76,7 +76,7 @@
   }
 
   /** Like the daemon's own policy, with one retry and no budget. */
-  judgeRetry(_service: string, failedAttempt: FailedAttempt): RetryDecision {
+  decideRetry(_service: string, failedAttempt: FailedAttempt): RetryDecision {
     if (!isSafeToRepeat(failedAttempt)) return RetryDecision.MayHaveRun;
     if (failedAttempt.attempts > 1) return RetryDecision.AttemptsExhausted;
     this.retries++;
--- a/packages/plugin-caller-http/src/__tests__/service-router.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/service-router.test.ts
@@ -238,9 +238,9 @@
         idempotent: true,
         attempts: 1,
       };
-      assert.equal(router.judgeRetry(SERVICE, question), RetryDecision.Retry);
+      assert.equal(router.decideRetry(SERVICE, question), RetryDecision.Retry);
       const once = {...question, idempotent: false};
-      assert.equal(router.judgeRetry(SERVICE, once), RetryDecision.MayHaveRun);
+      assert.equal(router.decideRetry(SERVICE, once), RetryDecision.MayHaveRun);
       assert.equal(metrics.value(MetricName.Retries, {reason: 'broken'}), 1);
       const reason = {reason: 'may_have_run'};
       assert.equal(metrics.value(MetricName.RetriesDenied, reason), 1);
--- a/packages/plugin-caller-http/src/request-dispatcher.ts
+++ b/packages/plugin-caller-http/src/request-dispatcher.ts
@@ -35,7 +35,7 @@
 /** Services that `RequestDispatcher` depends on. */
 export interface RequestDispatcherDependencies {
   readonly clock: Clock;
-  readonly serviceRouter: Pick<ServiceRouter, 'acquire' | 'judgeRetry'>;
+  readonly serviceRouter: Pick<ServiceRouter, 'acquire' | 'decideRetry'>;
   readonly targetTransport: TargetTransport;
 }
 
@@ -181,7 +181,7 @@
     if (now >= request.deadline) return false;
     const {service, idempotent} = request;
     const failedAttempt = {kind: outcome, sent, idempotent, attempts};
-    const decision = this.dependencies.serviceRouter.judgeRetry(
+    const decision = this.dependencies.serviceRouter.decideRetry(
       service,
       failedAttempt,
     );
--- a/packages/plugin-caller-http/src/service-router.ts
+++ b/packages/plugin-caller-http/src/service-router.ts
@@ -130,7 +130,7 @@
    * Decides whether a failed attempt may be retried on another target, and counts the decision. On
    * `Retry`, call `acquire` again with the failed target in `tried`.
    */
-  judgeRetry(service: string, failedAttempt: FailedAttempt): RetryDecision {
+  decideRetry(service: string, failedAttempt: FailedAttempt): RetryDecision {
     const {metrics} = this.dependencies;
     const decision = this.retryBudgetOf(service).decide(failedAttempt);
     if (decision === RetryDecision.Retry) {
--- a/packages/scheduling/src/placement-worker.ts
+++ b/packages/scheduling/src/placement-worker.ts
@@ -13,9 +13,9 @@
   /** Number of long-running tasks on it that serve requests. */
   readonly latencySensitiveTaskCount: number;
   /** Number of tasks on it that use only processor time left over by others. */
-  readonly bestEffortTasks: number;
+  readonly bestEffortTaskCount: number;
   /** Number of all tasks on it. */
-  readonly tasks: number;
+  readonly taskCount: number;
   /** Reliability in [0, 1]; a worker with 0 takes one task at a time. */
   readonly reliability: number;
   /** Returns the number of tasks of a step on it. */
--- a/packages/scheduling/src/worker-choice.ts
+++ b/packages/scheduling/src/worker-choice.ts
@@ -84,7 +84,7 @@
     if (!this.satisfiesIsolation(request, worker)) return false;
     // A single task shows whether a suspect worker has recovered; several would all be
     // lost if it has not.
-    if (worker.reliability <= 0 && worker.tasks > 0) return false;
+    if (worker.reliability <= 0 && worker.taskCount > 0) return false;
     if (step.maximumPerWorker === 0) return true;
     return worker.taskCountOfStep(stepKey) < step.maximumPerWorker;
   }
@@ -103,7 +103,7 @@
     const fullness = 1 - worker.freeMillicores / worker.totalMillicores;
     let score = step.bestEffort
       ? -fullness -
-        BEST_EFFORT_PENALTY * worker.bestEffortTasks -
+        BEST_EFFORT_PENALTY * worker.bestEffortTaskCount -
         worker.latencySensitiveTaskCount
       : fullness;
     if (step.preferredRack && worker.labels.includes(step.preferredRack))
--- a/packages/soak/src/soak.ts
+++ b/packages/soak/src/soak.ts
@@ -60,7 +60,7 @@
       services: SERVICES,
       standbyService: 'spare',
       workersPerService: 3,
-      room: WORKER_CAPACITY,
+      capacity: WORKER_CAPACITY,
       behaviourOf: task => ({
         durationMilliseconds: 150 + (hashOf(task) % 1_500),
         end: RunEnd.Done,
