--- a/packages/bench/src/__tests__/operations-pages.test.ts
+++ b/packages/bench/src/__tests__/operations-pages.test.ts
@@ -89,7 +89,7 @@
     const context = {
       ...processContext(),
       print: () => undefined,
-      note: (line: string) => notes.push(line),
+      printDiagnostic: (line: string) => notes.push(line),
       readFile: (path: string) =>
         files.get(path) ?? assert.fail(`no file ${path}`),
     };
--- a/packages/bench/src/demo/demo.ts
+++ b/packages/bench/src/demo/demo.ts
@@ -218,7 +218,7 @@
     const context = {
       ...processContext(),
       print: () => undefined,
-      note: (line: string) => notes.push(line),
+      printDiagnostic: (line: string) => notes.push(line),
     };
     const common = ['--admin', adminAddress, '--key', ADMIN_KEY];
     const code = await runProgram(
