--- a/packages/stand-ins/src/__tests__/vm-list-history.test.ts
+++ b/packages/stand-ins/src/__tests__/vm-list-history.test.ts
@@ -8,28 +8,31 @@
 }
 
 describe('VmListHistory', () => {
-  it('gives a new reader the whole list', () => {
-    const answer = new VmListHistory().answer([vm('a'), vm('b')], undefined);
+  it('returns the whole list to a reader without a version', () => {
+    const answer = new VmListHistory().changesSince(
+      [vm('a'), vm('b')],
+      undefined,
+    );
     assert.equal(answer.whole, true);
     assert.equal(answer.vms.length, 2);
   });
 
-  it('gives a reader with a version only what changed since', () => {
+  it('returns only the changes since the version that a reader knows', () => {
     const history = new VmListHistory();
-    const first = history.answer([vm('a'), vm('b'), vm('c')], undefined);
+    const first = history.changesSince([vm('a'), vm('b'), vm('c')], undefined);
     const leaving = vm('a', ListedState.Leaving);
-    const second = history.answer([leaving, vm('b')], first.version);
+    const second = history.changesSince([leaving, vm('b')], first.version);
     assert.deepEqual(second, {
       version: second.version,
       whole: false,
       vms: [leaving],
       removed: ['c'],
     });
-    const third = history.answer([leaving, vm('b')], second.version);
+    const third = history.changesSince([leaving, vm('b')], second.version);
     assert.deepEqual([third.vms, third.removed], [[], []]);
   });
 
-  it('gives the whole list to a reader from before a restart of the platform', () => {
-    assert.equal(new VmListHistory().answer([vm('a')], 99).whole, true);
+  it('returns the whole list for a version from before a restart of the platform', () => {
+    assert.equal(new VmListHistory().changesSince([vm('a')], 99).whole, true);
   });
 });
--- a/packages/stand-ins/src/bin/gentiandoor-stand-ins.ts
+++ b/packages/stand-ins/src/bin/gentiandoor-stand-ins.ts
@@ -30,11 +30,11 @@
   const targets = new Map<string, TargetServer>();
   const actions = new MemoryVmActions(clock, list);
   actions.bootMilliseconds = BOOT_MILLISECONDS;
-  const paths = new PlatformLeaseRoutes(
+  const routes = new PlatformLeaseRoutes(
     new MemoryLeaseClient(clock, () => TASK_BEHAVIOUR),
     new TargetRebootingVmActions(clock, actions, targets),
   );
-  const platform = new PlatformServer(new MemoryLog(clock), list, paths);
+  const platform = new PlatformServer(new MemoryLog(clock), list, routes);
   const address = await platform.start(options.listen);
   process.stdout.write(`platform ${address}\n`);
   for (const item of (options.vms ?? '').split(',').filter(Boolean)) {
--- a/packages/stand-ins/src/faulty-log.ts
+++ b/packages/stand-ins/src/faulty-log.ts
@@ -12,22 +12,22 @@
   StreamName,
 } from '@gentiandoor/shared-state';
 
-/** Faults on the way between one daemon and the log, switched on by name. */
+/** Faults on the connection between one daemon and the log; tests add them to `faults`. */
 export enum LogConnectionFault {
-  /** Calls are refused: nothing reaches the log. */
+  /** Calls fail before they reach the log. */
   Cut = 'cut',
-  /** Calls go through, answers do not come back. */
+  /** Calls reach the log, but their responses are lost. */
   LostResponses = 'lost_answers',
-  /** Calls get no answer until the path is asked to let go. */
+  /** Calls wait for `silenceMilliseconds` and then fail without a response. */
   Silent = 'silent',
 }
 
-/** One daemon's way to a log. */
+/** One daemon's connection to a log, with injected delays and faults. */
 export class FaultyLog implements PlatformLog {
   readonly faults = new Set<LogConnectionFault>();
-  /** Added to each call, before it reaches the log and again before its answer comes. */
+  /** Delay of each direction: before a call reaches the log and before its response returns. */
   delayMilliseconds = 0;
-  /** Calls that a silent path holds until this time runs out. */
+  /** How long a call waits under `LogConnectionFault.Silent` before it fails. */
   silenceMilliseconds = 2000;
 
   constructor(
@@ -59,30 +59,30 @@
     action: () => Promise<Answer>,
     signal?: AbortSignal,
   ): Promise<Answer> {
-    await this.pass(signal);
+    await this.applyFaults(signal);
     const answer = await action();
-    await this.pass(signal);
+    await this.applyFaults(signal);
     if (!this.faults.has(LogConnectionFault.LostResponses)) return answer;
     throw new PlatformLogError(
       PlatformLogFailure.NoResponse,
-      'the answer was lost',
+      'the response was lost',
     );
   }
 
-  private async pass(signal?: AbortSignal): Promise<void> {
+  private async applyFaults(signal?: AbortSignal): Promise<void> {
     if (this.delayMilliseconds > 0)
       await sleep(this.clock, this.delayMilliseconds, signal);
     if (this.faults.has(LogConnectionFault.Silent)) {
       await sleep(this.clock, this.silenceMilliseconds, signal);
       throw new PlatformLogError(
         PlatformLogFailure.NoResponse,
-        'no answer came',
+        'no response received',
       );
     }
     if (this.faults.has(LogConnectionFault.Cut))
       throw new PlatformLogError(
         PlatformLogFailure.Refused,
-        'the log is cut off',
+        'the log is unreachable',
       );
   }
 }
--- a/packages/stand-ins/src/fleet-example.ts
+++ b/packages/stand-ins/src/fleet-example.ts
@@ -13,7 +13,7 @@
   type FoldOutcome,
 } from '@gentiandoor/shared-state';
 
-/** A pool of an example deployment with the budget of its one service. */
+/** A pool of an example deployment and the availability budget of its only service. */
 export interface ExamplePool {
   readonly name: string;
   readonly vms: number;
@@ -22,7 +22,7 @@
   readonly leavingAtOnce: number;
 }
 
-/** An example deployment; its VMs are spread evenly over data centres and racks. */
+/** An example deployment whose VMs are spread evenly over data centres and racks. */
 export interface ExampleDeployment {
   readonly dataCentres: readonly string[];
   readonly pools: readonly ExamplePool[];
@@ -52,7 +52,7 @@
   return {name, vms, availableVms, survive, leavingAtOnce};
 }
 
-/** Swan Coast: 40 workers, four data centres, weighs buffer cost most. */
+/** Swan Coast: 40 workers in four data centres; spare VMs cost more than moves. */
 export const SWAN_COAST: ExampleDeployment = {
   dataCentres: ['perth-a', 'perth-b', 'bunbury', 'mandurah'],
   pools: [
@@ -74,7 +74,7 @@
   ],
 };
 
-/** Kingston: 35 workers, three data centres, weighs moves most. */
+/** Kingston: 35 workers in three data centres; moves cost more than spare VMs. */
 export const KINGSTON: ExampleDeployment = {
   dataCentres: ['hall-a', 'hall-b', 'hall-c'],
   pools: [
@@ -96,14 +96,17 @@
   ],
 };
 
-/** A deployment of a given size: budgets leave one twelfth and a few VMs spare in each pool. */
+/**
+ * Returns a deployment of a given size. Budgets leave each pool one twelfth of its VMs (one data
+ * centre) and a few more as spares.
+ */
 export function largeDeployment(vms: number, pools: number): ExampleDeployment {
   const dataCentres = Array.from({length: 12}, (_, n) => `dc-${n + 1}`);
-  const each = Math.floor(vms / pools);
+  const vmsPerPool = Math.floor(vms / pools);
   return {
     dataCentres,
     pools: Array.from({length: pools}, (_, n) => {
-      const size = each + (n < vms % pools ? 1 : 0);
+      const size = vmsPerPool + (n < vms % pools ? 1 : 0);
       const leaving = Math.max(1, Math.floor(size / 40));
       const lost = Math.ceil(size / dataCentres.length);
       const needed = Math.max(1, size - lost - leaving - Math.ceil(size / 50));
@@ -123,7 +126,7 @@
   };
 }
 
-/** A VM of an example deployment and where it stands. */
+/** A VM of an example deployment with its pool, rack and data centre. */
 export interface ExampleVm {
   readonly id: string;
   readonly pool: string;
@@ -131,10 +134,10 @@
   readonly dataCentre: string;
 }
 
-/** VMs of a deployment: each pool spread over the data centres, racks filled in turn. */
+/** Returns the VMs of a deployment: round-robin over data centres, then over their racks. */
 export function exampleVms(deployment: ExampleDeployment): ExampleVm[] {
   const {dataCentres, vmsPerRack} = deployment;
-  const placed = dataCentres.map(() => 0);
+  const vmCounts = dataCentres.map(() => 0);
   const vms: ExampleVm[] = [];
   let turn = 0;
   const total = deployment.pools.reduce((sum, entry) => sum + entry.vms, 0);
@@ -142,9 +145,9 @@
   const racks = Math.ceil(perDataCentre / vmsPerRack);
   for (const entry of deployment.pools) {
     for (let n = 0; n < entry.vms; n++) {
-      const at = turn++ % dataCentres.length;
-      const dataCentre = dataCentres[at];
-      const rack = `${dataCentre}-r${(placed[at]++ % racks) + 1}`;
+      const index = turn++ % dataCentres.length;
+      const dataCentre = dataCentres[index];
+      const rack = `${dataCentre}-r${(vmCounts[index]++ % racks) + 1}`;
       vms.push({
         id: `${entry.name}-${n + 1}`,
         pool: entry.name,
@@ -156,11 +159,11 @@
   return vms;
 }
 
-/** Bundle text of a deployment. `pools` overrides the lists of VMs by pool. */
+/** Returns the bundle text of a deployment. `vmsByPool` overrides the VMs of a pool by its name. */
 export function exampleBundle(
   deployment: ExampleDeployment,
   version = 1,
-  lists: ReadonlyMap<string, readonly string[]> = new Map(),
+  vmsByPool: ReadonlyMap<string, readonly string[]> = new Map(),
 ): string {
   const vms = exampleVms(deployment);
   const lines = [
@@ -185,7 +188,8 @@
   const owned = groupBy(vms, vm => vm.pool);
   for (const entry of deployment.pools) {
     const list =
-      lists.get(entry.name) ?? (owned.get(entry.name) ?? []).map(vm => vm.id);
+      vmsByPool.get(entry.name) ??
+      (owned.get(entry.name) ?? []).map(vm => vm.id);
     lines.push(...poolSections(deployment, entry, list));
   }
   for (const team of deployment.teams) {
@@ -216,15 +220,15 @@
   ];
 }
 
-/** Operator that proposes the example bundles. */
+/** Keys of the operator who proposes the example bundles. */
 export const EXAMPLE_AUTHOR = generateOperatorKeys();
-/** Operator whose sign-off counts before the first bundle. */
+/** Keys of the operator whose sign-off is trusted before the first bundle. */
 export const EXAMPLE_OPERATOR = generateOperatorKeys();
 
-/** Operators trusted before the first bundle of an example. */
+/** Public keys of the operators trusted before the first bundle of an example. */
 export const EXAMPLE_TRUSTED_OPERATORS = {kerry: EXAMPLE_OPERATOR.publicKey};
 
-/** The two records that bring a bundle's text into force. */
+/** Returns the proposal and the sign-off that bring a bundle into force. */
 export function rollOutRecords(text: string): FleetRecord[] {
   const {version} = parseBundle(text);
   const digest = sha256Hex(text);
@@ -247,7 +251,7 @@
   ];
 }
 
-/** A daemon that joins. */
+/** Returns the record by which a daemon joins as a member. */
 export function joinRecord(
   name: string,
   incarnation: string,
@@ -265,7 +269,7 @@
   };
 }
 
-/** Applies one record through the real fold. */
+/** Encodes a record and applies it with the production fold. */
 export function foldRecord(
   state: FleetState,
   record: FleetRecord,
@@ -273,7 +277,7 @@
   return applyPayload(state, encodeRecord(record));
 }
 
-/** A state with an example's bundle in force and its daemons joined, one a data centre. */
+/** Returns a state with the bundle in force and one daemon joined in each data centre. */
 export function exampleState(deployment: ExampleDeployment): FleetState {
   const state = emptyFleetState(EXAMPLE_TRUSTED_OPERATORS);
   const records = [
--- a/packages/stand-ins/src/golden.ts
+++ b/packages/stand-ins/src/golden.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {existsSync, readFileSync, writeFileSync} from 'node:fs';
 
-/** Set to rewrite golden files instead of comparing with them: `npm run golden` does. */
+/** `1` rewrites golden files instead of comparing with them; `npm run golden` sets it. */
 const WRITE_VARIABLE = 'GENTIANDOOR_WRITE_GOLDEN';
 
-/** Holds the text of a session against its golden file. */
+/** Asserts that a text equals its golden file. */
 export function assertGolden(file: URL, text: string): void {
   if (process.env[WRITE_VARIABLE] === '1') {
     writeFileSync(file, text);
--- a/packages/stand-ins/src/http-listener.ts
+++ b/packages/stand-ins/src/http-listener.ts
@@ -1,7 +1,7 @@
 import http from 'node:http';
 import {splitAddress} from '@gentiandoor/kernel';
 
-/** Listens on an address; port 0 takes a free one. Resolves with the address in use. */
+/** Listens on an address and resolves with the bound one; port 0 picks a free port. */
 export async function listen(
   server: http.Server,
   address: string,
@@ -13,7 +13,7 @@
   });
   const bound = server.address();
   if (typeof bound !== 'object' || bound === null)
-    throw new Error('not listening');
+    throw new Error('the server is not listening on a TCP address');
   return `${bound.address}:${bound.port}`;
 }
 
--- a/packages/stand-ins/src/memory-lease-client.ts
+++ b/packages/stand-ins/src/memory-lease-client.ts
@@ -7,19 +7,19 @@
   type TaskSize,
 } from '@gentiandoor/shared-state';
 
-/** Faults of the platform's leases, switched on by name. */
+/** Faults of the platform's lease API; tests add them to `faults`. */
 export enum LeaseFault {
-  /** Every call is refused. */
+  /** Every call fails. */
   Outage = 'outage',
-  /** Calls take effect, their answers are lost. */
+  /** Calls take effect, but their responses are lost. */
   LostResponses = 'lost_answers',
 }
 
-/** What a task does once it runs. */
+/** How a started task behaves. */
 export interface TaskBehaviour {
   readonly runMilliseconds: number;
   readonly fails: boolean;
-  /** What it really uses, whatever was declared. */
+  /** Actual usage, which may differ from the declared size. */
   readonly usage: TaskSize;
 }
 
@@ -28,23 +28,26 @@
   readonly behaviour: TaskBehaviour;
   readonly startedAt: number;
   leaseEnds: number;
-  /** Set once the task has ended, for whatever reason. */
+  /** How the task ended; undefined while it runs. */
   ended: TaskState | undefined;
   share: number;
   checkpointed: boolean;
 }
 
-const NOTHING: TaskSize = {processors: 0, memoryGigabytes: 0, accelerators: 0};
+const NO_USAGE: TaskSize = {processors: 0, memoryGigabytes: 0, accelerators: 0};
 
-/** The platform's task leases in memory: ids are kept, usage lags, leases lapse. */
+/**
+ * In-memory task leases of the platform. An id starts at most once, reported usage lags, and a
+ * task ends when its lease expires.
+ */
 export class MemoryLeaseClient implements LeaseClient {
   readonly faults = new Set<LeaseFault>();
-  /** Age of the usage in reports. */
+  /** Age of the usage in reports; until then a report shows the declared size. */
   usageLagMilliseconds = 30_000;
-  /** Real starts by task id: more than one is a second run. */
+  /** Starts by task id; a count over one means that a task ran twice. */
   readonly startCounts = new Map<string, number>();
   private readonly tasks = new Map<string, Task>();
-  private readonly barred = new Set<string>();
+  private readonly neverStartedIds = new Set<string>();
 
   constructor(
     private readonly clock: Clock,
@@ -52,48 +55,48 @@
   ) {}
 
   async start(request: TaskRequest): Promise<TaskReport> {
-    this.refuseWhenOut();
+    this.throwDuringOutage();
     const {id} = request;
-    if (!this.barred.has(id) && !this.tasks.has(id)) this.run(request);
-    return this.answer(id);
+    if (!this.neverStartedIds.has(id) && !this.tasks.has(id)) this.run(request);
+    return this.respond(id);
   }
 
   async renew(id: string, leaseMilliseconds: number): Promise<TaskReport> {
-    this.refuseWhenOut();
-    const task = this.settled(id);
+    this.throwDuringOutage();
+    const task = this.updatedTask(id);
     if (task && !task.ended) task.leaseEnds = this.now() + leaseMilliseconds;
-    return this.answer(id);
+    return this.respond(id);
   }
 
   async stop(id: string): Promise<TaskReport> {
-    this.refuseWhenOut();
-    const task = this.settled(id);
-    if (!task) this.barred.add(id);
+    this.throwDuringOutage();
+    const task = this.updatedTask(id);
+    if (!task) this.neverStartedIds.add(id);
     else task.ended ??= TaskState.Stopped;
-    return this.answer(id);
+    return this.respond(id);
   }
 
   async checkpoint(id: string): Promise<TaskReport> {
-    this.refuseWhenOut();
-    const task = this.settled(id);
+    this.throwDuringOutage();
+    const task = this.updatedTask(id);
     if (task) task.checkpointed = true;
-    return this.answer(id);
+    return this.respond(id);
   }
 
   async throttle(id: string, share: number): Promise<TaskReport> {
-    this.refuseWhenOut();
-    const task = this.settled(id);
+    this.throwDuringOutage();
+    const task = this.updatedTask(id);
     if (task) task.share = share;
-    return this.answer(id);
+    return this.respond(id);
   }
 
   async report(): Promise<readonly TaskReport[]> {
-    this.refuseWhenOut();
-    const ids = [...this.tasks.keys(), ...this.barred];
+    this.throwDuringOutage();
+    const ids = [...this.tasks.keys(), ...this.neverStartedIds];
     return ids.map(id => this.describe(id));
   }
 
-  /** Whether a checkpoint of the task was written. */
+  /** Returns whether a checkpoint of the task was written. */
   wasCheckpointed(id: string): boolean {
     return this.tasks.get(id)?.checkpointed ?? false;
   }
@@ -114,8 +117,8 @@
     });
   }
 
-  /** The task, with what has happened to it by now. */
-  private settled(id: string): Task | undefined {
+  /** Returns the task after updating its state to the current time. */
+  private updatedTask(id: string): Task | undefined {
     const task = this.tasks.get(id);
     if (!task || task.ended) return task;
     const finishes = task.startedAt + task.behaviour.runMilliseconds;
@@ -128,37 +131,38 @@
   }
 
   private describe(id: string): TaskReport {
-    const task = this.settled(id);
+    const task = this.updatedTask(id);
     if (!task) {
       return {
         id,
         vm: '',
         state: TaskState.NeverStarted,
-        usage: NOTHING,
+        usage: NO_USAGE,
         usageAgeMilliseconds: 0,
       };
     }
-    const isSeen = this.now() - task.startedAt >= this.usageLagMilliseconds;
+    const isUsageMeasured =
+      this.now() - task.startedAt >= this.usageLagMilliseconds;
     return {
       id,
       vm: task.request.vm,
       state: task.ended ?? TaskState.Running,
-      usage: isSeen ? task.behaviour.usage : task.request.size,
+      usage: isUsageMeasured ? task.behaviour.usage : task.request.size,
       usageAgeMilliseconds: this.usageLagMilliseconds,
     };
   }
 
-  private answer(id: string): TaskReport {
-    const isUnknown = !this.tasks.has(id) && !this.barred.has(id);
+  private respond(id: string): TaskReport {
+    const isUnknown = !this.tasks.has(id) && !this.neverStartedIds.has(id);
     if (isUnknown) throw new Error(`no task ${id}`);
     if (this.faults.has(LeaseFault.LostResponses))
-      throw new Error('the answer was lost');
+      throw new Error('the response was lost');
     return this.describe(id);
   }
 
-  private refuseWhenOut(): void {
+  private throwDuringOutage(): void {
     if (this.faults.has(LeaseFault.Outage))
-      throw new Error('the platform is out');
+      throw new Error('the platform is unavailable');
   }
 
   private now(): number {
--- a/packages/stand-ins/src/memory-log.ts
+++ b/packages/stand-ins/src/memory-log.ts
@@ -12,19 +12,19 @@
   type StreamName,
 } from '@gentiandoor/shared-state';
 
-/** Faults of the log, switched on by name. */
+/** Faults of the log; tests add them to `faults`. */
 export enum LogFault {
-  /** Every call is refused. */
+  /** Every call fails. */
   Outage = 'outage',
-  /** Appends take effect, their answers are lost. */
+  /** Appends take effect, but their responses are lost. */
   LostResponses = 'lost_answers',
 }
 
-/** Bounds of the log. */
+/** Limits of the log. */
 export interface MemoryLogOptions {
-  /** Appends in any one second, over all streams. */
+  /** Maximum number of appends within a second, over all streams. */
   readonly appendsPerSecond: number;
-  /** Records kept of a stream. */
+  /** Maximum number of records that a stream retains. */
   readonly retainedRecords: number;
 }
 
@@ -45,10 +45,10 @@
   }
 }
 
-/** The platform's log in memory: offsets, capped appends, retention, faults. */
+/** In-memory log of the platform with offsets, an append rate limit, retention and faults. */
 export class MemoryLog implements PlatformLog {
   readonly faults = new Set<LogFault>();
-  /** Appends taken so far. */
+  /** Number of accepted appends. */
   appends = 0;
   private readonly streams = new Map<string, Stream>();
   private recentAppends: number[] = [];
@@ -62,17 +62,17 @@
     stream: StreamName,
     payloads: readonly Uint8Array[],
   ): Promise<AppendPosition> {
-    this.refuseWhenOut();
+    this.throwDuringOutage();
     this.countAppend();
     const target = this.stream(stream);
     const firstOffset = target.end;
     target.records.push(...payloads);
-    this.retain(target);
-    for (const wake of [...target.waiters]) wake();
+    this.enforceRetention(target);
+    for (const notify of [...target.waiters]) notify();
     if (this.faults.has(LogFault.LostResponses)) {
       throw new PlatformLogError(
         PlatformLogFailure.NoResponse,
-        'the answer was lost',
+        'the response was lost',
       );
     }
     return {firstOffset};
@@ -84,11 +84,11 @@
     options: ReadOptions,
     signal?: AbortSignal,
   ): Promise<LogBatch> {
-    this.refuseWhenOut();
+    this.throwDuringOutage();
     const stream = this.stream(name);
     if (from >= stream.end && options.waitMilliseconds > 0) {
       await this.waitForRecord(stream, options.waitMilliseconds, signal);
-      this.refuseWhenOut();
+      this.throwDuringOutage();
     }
     if (from < stream.oldest) {
       throw new LogGapError(stream.oldest);
@@ -102,7 +102,7 @@
     };
   }
 
-  /** Drops records from a stream's head, as if their time were up. */
+  /** Drops the records before an offset, as if their retention time had passed. */
   expire(name: StreamName, before: number): void {
     const stream = this.stream(name);
     const count = Math.min(before, stream.end) - stream.oldest;
@@ -111,7 +111,7 @@
     stream.oldest += count;
   }
 
-  /** The offset that the next append to a stream gets. */
+  /** Returns the offset of the next append to a stream. */
   endOf(name: StreamName): number {
     return this.stream(name).end;
   }
@@ -122,9 +122,12 @@
     return stream;
   }
 
-  private refuseWhenOut(): void {
+  private throwDuringOutage(): void {
     if (!this.faults.has(LogFault.Outage)) return;
-    throw new PlatformLogError(PlatformLogFailure.Refused, 'the log is out');
+    throw new PlatformLogError(
+      PlatformLogFailure.Refused,
+      'the log is unavailable',
+    );
   }
 
   private countAppend(): void {
@@ -142,7 +145,7 @@
     this.appends++;
   }
 
-  private retain(stream: Stream): void {
+  private enforceRetention(stream: Stream): void {
     const excess = stream.records.length - this.options.retainedRecords;
     if (excess <= 0) return;
     stream.records.splice(0, excess);
--- a/packages/stand-ins/src/memory-peer-network.ts
+++ b/packages/stand-ins/src/memory-peer-network.ts
@@ -5,37 +5,37 @@
   PeerTopic,
 } from '@gentiandoor/shared-state';
 
-/** Peer links in memory, with cuts between data centres. */
+/** In-memory peer links; data centres can be partitioned from each other. */
 export class MemoryPeerNetwork {
   private readonly members = new Map<string, MemoryPeerLinks>();
-  private readonly cuts = new Set<string>();
+  private readonly partitions = new Set<string>();
 
-  /** Adds a daemon. */
+  /** Adds a daemon and returns its links. */
   join(peer: Peer): MemoryPeerLinks {
     const links = new MemoryPeerLinks(peer, this);
     this.members.set(peer.incarnation, links);
     return links;
   }
 
-  /** Takes a daemon out, as a crash does. */
+  /** Removes a daemon without notifying its peers, as a crash does. */
   leave(incarnation: string): void {
     this.members.delete(incarnation);
   }
 
-  /** Cuts two data centres off from each other. */
+  /** Partitions two data centres from each other. */
   partition(left: string, right: string): void {
-    this.cuts.add(cutKey(left, right));
+    this.partitions.add(partitionKey(left, right));
   }
 
   heal(left: string, right: string): void {
-    this.cuts.delete(cutKey(left, right));
+    this.partitions.delete(partitionKey(left, right));
   }
 
   reachableFrom(from: Peer): MemoryPeerLinks[] {
     return [...this.members.values()].filter(
       ({self}) =>
         self.incarnation !== from.incarnation &&
-        !this.cuts.has(cutKey(self.dataCentre, from.dataCentre)),
+        !this.partitions.has(partitionKey(self.dataCentre, from.dataCentre)),
     );
   }
 }
@@ -55,7 +55,7 @@
 
   broadcast(topic: PeerTopic, message: unknown): void {
     for (const links of this.network.reachableFrom(this.self)) {
-      void links.take(this.self, topic, message).catch(() => undefined);
+      void links.receive(this.self, topic, message).catch(() => undefined);
     }
   }
 
@@ -68,20 +68,24 @@
       .reachableFrom(this.self)
       .find(candidate => candidate.self.incarnation === incarnation);
     if (!links) throw new Error(`no link to ${incarnation}`);
-    return links.take(this.self, topic, message);
+    return links.receive(this.self, topic, message);
   }
 
   setHandler(topic: PeerTopic, handler: PeerHandler): void {
     this.handlers.set(topic, handler);
   }
 
-  async take(from: Peer, topic: PeerTopic, message: unknown): Promise<unknown> {
+  async receive(
+    from: Peer,
+    topic: PeerTopic,
+    message: unknown,
+  ): Promise<unknown> {
     const handler = this.handlers.get(topic);
     if (!handler) throw new Error(`no handler for ${topic}`);
     return handler(from, structuredClone(message));
   }
 }
 
-function cutKey(left: string, right: string): string {
+function partitionKey(left: string, right: string): string {
   return [left, right].sort().join('|');
 }
--- a/packages/stand-ins/src/memory-vm-actions.ts
+++ b/packages/stand-ins/src/memory-vm-actions.ts
@@ -14,15 +14,15 @@
   state: VmActionState;
 }
 
-/** The platform's reboots and replacements in memory; an id is done once. */
+/** In-memory reboots and replacements of the platform; each request id is executed once. */
 export class MemoryVmActions implements VmActions {
-  /** Milliseconds that a reboot takes. */
+  /** Duration of a reboot. */
   bootMilliseconds = 120_000;
-  /** VMs that do not come back from a reboot. */
+  /** VMs that stay off the list after a reboot. */
   readonly neverReturn = new Set<string>();
-  /** Whether every call is refused. */
+  /** Whether every call fails. */
   isUnavailable = false;
-  /** Actions done, in order. */
+  /** Started actions, in order. */
   readonly startedActions: VmActionRequest[] = [];
   private readonly actions = new Map<string, Action>();
 
@@ -32,7 +32,7 @@
   ) {}
 
   async requestAction(request: VmActionRequest): Promise<VmActionState> {
-    if (this.isUnavailable) throw new Error('the platform is out');
+    if (this.isUnavailable) throw new Error('the platform is unavailable');
     const known = this.actions.get(request.id);
     if (known) return known.state;
     const action: Action = {
--- a/packages/stand-ins/src/memory-vm-list.ts
+++ b/packages/stand-ins/src/memory-vm-list.ts
@@ -7,18 +7,18 @@
   readonly id: string;
 }
 
-/** The platform's list of VMs in memory; changes show after a lag. */
+/** In-memory VM list of the platform; changes become visible after a lag. */
 export class MemoryVmList {
-  /** Milliseconds until a change shows. */
+  /** Delay until a change becomes visible. */
   lagMilliseconds = 0;
-  /** While true the list shows what it showed before: it lags without end. */
+  /** While true, no further change becomes visible. */
   isFrozen = false;
   private readonly shown = new Map<string, ListedVm>();
   private pending: Change[] = [];
 
   constructor(private readonly clock: Clock) {}
 
-  /** Adds or changes a VM. */
+  /** Adds or replaces a VM. */
   put(vm: ListedVm): void {
     this.change(vm.id, vm);
   }
@@ -33,13 +33,13 @@
     this.change(id, undefined);
   }
 
-  /** What a reader sees now. */
+  /** Returns the VMs that a reader sees now. */
   visible(): ListedVm[] {
     if (this.isFrozen) return [...this.shown.values()];
     const now = this.clock.monotonicMilliseconds();
     const due = this.pending.filter(change => change.visibleAt <= now);
     this.pending = this.pending.filter(change => change.visibleAt > now);
-    for (const change of due) this.show(change);
+    for (const change of due) this.apply(change);
     return [...this.shown.values()];
   }
 
@@ -48,7 +48,7 @@
     this.pending.push({id, vm, visibleAt});
   }
 
-  private show(change: Change): void {
+  private apply(change: Change): void {
     if (change.vm) this.shown.set(change.id, change.vm);
     else this.shown.delete(change.id);
   }
--- a/packages/stand-ins/src/platform-lease-routes.ts
+++ b/packages/stand-ins/src/platform-lease-routes.ts
@@ -14,22 +14,22 @@
   readonly share: number;
 }
 
-/** The HTTP paths of task leases and VM actions, for the platform's server. */
+/** HTTP routes of the platform server for task leases and VM actions. */
 export class PlatformLeaseRoutes {
   constructor(
     private readonly leases: LeaseClient,
     private readonly actions: VmActions,
   ) {}
 
-  /** Answers if the path is one of these; false otherwise. */
-  async answer(context: Koa.Context): Promise<boolean> {
+  /** Handles a request to one of these routes; resolves with false for any other path. */
+  async handle(context: Koa.Context): Promise<boolean> {
     const {path, method} = context;
     if (!path.startsWith('/tasks') && path !== '/vm-actions') return false;
     try {
       context.body =
         method === 'GET'
           ? {tasks: await this.leases.report()}
-          : await this.change(path, await json(context.req));
+          : await this.dispatch(path, await json(context.req));
       if (context.body === undefined) context.status = 404;
     } catch (error) {
       context.status = 503;
@@ -38,7 +38,7 @@
     return true;
   }
 
-  private async change(path: string, body: unknown): Promise<unknown> {
+  private async dispatch(path: string, body: unknown): Promise<unknown> {
     const call = body as TaskCall;
     switch (path) {
       case '/vm-actions':
--- a/packages/stand-ins/src/platform-server.ts
+++ b/packages/stand-ins/src/platform-server.ts
@@ -16,7 +16,7 @@
 const packr = new Packr({useRecords: false});
 const STREAMS: ReadonlySet<string> = new Set(Object.values(StreamName));
 
-/** The platform over HTTP: the log and the list of VMs. */
+/** HTTP server of the platform: the log, the VM list and optionally the lease routes. */
 export class PlatformServer {
   private readonly server: http.Server;
   private readonly history = new VmListHistory();
@@ -27,11 +27,11 @@
     private readonly leaseRoutes?: PlatformLeaseRoutes,
   ) {
     const koa = new Koa();
-    koa.use(context => this.answer(context));
+    koa.use(context => this.handle(context));
     this.server = http.createServer(koa.callback());
   }
 
-  /** Resolves with the address in use. */
+  /** Starts listening and resolves with the bound address. */
   start(address: string): Promise<string> {
     return listen(this.server, address);
   }
@@ -40,24 +40,24 @@
     return closeServer(this.server);
   }
 
-  private async answer(context: Koa.Context): Promise<void> {
-    if (await this.leaseRoutes?.answer(context)) return;
+  private async handle(context: Koa.Context): Promise<void> {
+    if (await this.leaseRoutes?.handle(context)) return;
     const stream = /^\/streams\/([^/]+)\/records$/.exec(context.path)?.[1];
     if (context.path === '/vms') {
-      context.body = this.history.answer(
+      context.body = this.history.changesSince(
         this.list.visible(),
         context.query.since === undefined
           ? undefined
-          : numberOf(context.query.since),
+          : parseNumber(context.query.since),
       );
     } else if (stream !== undefined && STREAMS.has(stream)) {
-      await this.answerStream(context, stream as StreamName);
+      await this.handleStream(context, stream as StreamName);
     } else {
       context.status = 404;
     }
   }
 
-  private async answerStream(
+  private async handleStream(
     context: Koa.Context,
     stream: StreamName,
   ): Promise<void> {
@@ -95,10 +95,10 @@
     context.req.on('close', () => gone.abort());
     const batch = await this.log.read(
       stream,
-      numberOf(context.query.from),
+      parseNumber(context.query.from),
       {
-        limit: numberOf(context.query.limit),
-        waitMilliseconds: numberOf(context.query.wait),
+        limit: parseNumber(context.query.limit),
+        waitMilliseconds: parseNumber(context.query.wait),
       },
       gone.signal,
     );
@@ -111,6 +111,6 @@
   }
 }
 
-function numberOf(value: unknown): number {
+function parseNumber(value: unknown): number {
   return Number(value ?? 0) || 0;
 }
--- a/packages/stand-ins/src/raw-target-behaviour.ts
+++ b/packages/stand-ins/src/raw-target-behaviour.ts
@@ -1,17 +1,17 @@
 import type {Socket} from 'node:net';
 import type {RawRequest} from './raw-target.js';
 
-/** What a raw target does with a request. */
+/** How a raw target responds to a request. */
 export enum RawTargetBehaviour {
-  /** Answers 200 with the body "whole". */
+  /** Responds with 200 and the body "whole". */
   None = 'none',
-  /** Takes requests and answers nothing. */
+  /** Reads requests and never responds. */
   Silent = 'silent',
-  /** Resets the connection instead of an answer. */
+  /** Resets the connection instead of responding. */
   ResetOnRequest = 'reset_on_request',
-  /** Closes the connection instead of an answer. */
+  /** Closes the connection instead of responding. */
   CloseOnRequest = 'close_on_request',
-  /** Resets within the head of the answer. */
+  /** Resets within the head of the response. */
   ResetInHead = 'reset_in_head',
   /** Resets within a body of known length. */
   ResetInBody = 'reset_in_body',
@@ -19,46 +19,46 @@
   CloseInBody = 'close_in_body',
   /** Closes cleanly within a chunked body. */
   CloseInChunks = 'close_in_chunks',
-  /** Begins a body and then sends nothing more. */
+  /** Starts a body and then sends nothing more. */
   SilentInBody = 'silent_in_body',
-  /** Ends a body without a length by closing. */
+  /** Sends a body without a length and closes the connection at its end. */
   NoLength = 'no_length',
-  /** Sends more bytes than the length says. */
+  /** Sends more bytes than `content-length` states. */
   LongBody = 'long_body',
-  /** Sends two answers to one request. */
+  /** Sends two responses to one request. */
   TwoAnswers = 'two_answers',
-  /** Gives a length and chunks, which readers take differently. */
+  /** Sends both `content-length` and chunks, which parsers interpret differently. */
   LengthAndChunks = 'length_and_chunks',
-  /** Gives two lengths. */
+  /** Sends two `content-length` headers. */
   TwoLengths = 'two_lengths',
-  /** Sends what is no HTTP. */
+  /** Sends bytes that are not HTTP. */
   Garbage = 'garbage',
-  /** Sends a head over any limit. */
+  /** Sends a head of 100 kB, over any limit. */
   OversizedHead = 'oversized_head',
-  /** Switches protocols unasked. */
+  /** Switches protocols although no upgrade was requested. */
   Upgrade = 'upgrade',
-  /** Sends interim answers before the final one. */
+  /** Sends an interim response before the final one. */
   Interim = 'interim',
-  /** Sends chunks with trailers. */
+  /** Sends a chunked body with trailers. */
   Trailers = 'trailers',
-  /** Answers as soon as the head of the request is there. */
+  /** Responds as soon as the head of the request has arrived. */
   EarlyAnswer = 'early_answer',
-  /** Says that it did not run the request. */
+  /** Responds with 503 and states that it did not run the request. */
   Busy = 'busy',
-  /** Answers and closes the connection as announced. */
+  /** Responds with `connection: close` and closes the connection. */
   AnnouncedClose = 'announced_close',
-  /** Gives a keep-alive time of two seconds. */
+  /** Responds with a keep-alive timeout of two seconds. */
   KeepAliveHint = 'keep_alive_hint',
-  /** Answers, and says that the target is leaving. */
+  /** Responds and announces that the target is leaving. */
   Leaving = 'leaving',
-  /** Tries to set headers of the system and of the connection. */
+  /** Sends headers that are reserved for the daemon or for the connection. */
   SpoofedHeaders = 'spoofed_headers',
 }
 
 const WHOLE = 'HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole';
 
-/** Faults that send fixed bytes and leave the connection open. */
-const FIXED_ANSWERS: Readonly<Partial<Record<RawTargetBehaviour, string>>> = {
+/** Behaviours that send fixed bytes and leave the connection open. */
+const FIXED_RESPONSES: Readonly<Partial<Record<RawTargetBehaviour, string>>> = {
   [RawTargetBehaviour.None]: WHOLE,
   [RawTargetBehaviour.EarlyAnswer]: WHOLE,
   [RawTargetBehaviour.SilentInBody]:
@@ -87,8 +87,8 @@
     'HTTP/1.1 200 OK\r\ngentiandoor-run: no\r\ngentiandoor-replayed: yes\r\nconnection: x-hop\r\nx-hop: 1\r\nx-kept: 1\r\nproxy-authenticate: basic\r\ncontent-length: 5\r\n\r\nwhole',
 };
 
-/** Faults that send some bytes and then reset or close. */
-const CUT_ANSWERS: Readonly<
+/** Behaviours that send some bytes and then reset or close the connection. */
+const TRUNCATED_RESPONSES: Readonly<
   Partial<
     Record<
       RawTargetBehaviour,
@@ -125,13 +125,13 @@
   },
 };
 
-/** Answers a request as the fault says. */
+/** Responds to a request according to a behaviour. */
 export function respondWith(
-  fault: RawTargetBehaviour,
+  behaviour: RawTargetBehaviour,
   request: RawRequest,
   socket: Socket,
 ): void {
-  const fixed = FIXED_ANSWERS[fault];
+  const fixed = FIXED_RESPONSES[behaviour];
   if (fixed !== undefined) {
     const noBody = request.head.startsWith('HEAD ');
     socket.write(
@@ -139,10 +139,10 @@
     );
     return;
   }
-  const cut = CUT_ANSWERS[fault];
-  if (!cut) return;
+  const truncated = TRUNCATED_RESPONSES[behaviour];
+  if (!truncated) return;
   const close = () =>
-    cut.reset ? socket.resetAndDestroy() : socket.destroySoon();
-  if (cut.bytes === '') close();
-  else socket.write(cut.bytes, close);
+    truncated.reset ? socket.resetAndDestroy() : socket.destroySoon();
+  if (truncated.bytes === '') close();
+  else socket.write(truncated.bytes, close);
 }
--- a/packages/stand-ins/src/raw-target.ts
+++ b/packages/stand-ins/src/raw-target.ts
@@ -5,22 +5,22 @@
 const HEAD_END = '\r\n\r\n';
 const LAST_CHUNK = '\r\n0\r\n\r\n';
 
-/** A request as a raw target received it. */
+/** A request received by a raw target. */
 export interface RawRequest {
   /** The request line and the headers. */
   readonly head: string;
   readonly body: string;
-  /** Number of the connection it came on, from 1. */
+  /** Number of its connection, counted from 1. */
   readonly connection: number;
 }
 
-/** A target on bare TCP: counts the requests that reach it and answers byte by byte. */
+/** A target on plain TCP that records requests and sends responses as raw bytes. */
 export class RawTarget {
-  /** Requests that arrived whole, or whose head arrived under `EarlyAnswer`. */
+  /** Completely received requests; under `EarlyAnswer`, those whose head was received. */
   readonly received: RawRequest[] = [];
-  /** Bytes that arrived, whole requests or not. */
+  /** Number of received bytes, including those of incomplete requests. */
   receivedBytes = 0;
-  /** Connections accepted. */
+  /** Number of accepted connections. */
   connections = 0;
   behaviour = RawTargetBehaviour.None;
   address = '';
@@ -48,7 +48,7 @@
     await closed;
   }
 
-  /** Connections open now. */
+  /** Number of open connections. */
   get openConnections(): number {
     return this.sockets.size;
   }
@@ -58,7 +58,7 @@
     for (const socket of this.sockets) socket.destroy();
   }
 
-  /** Writes bytes that nobody asked for on every open connection. */
+  /** Writes unsolicited bytes to every open connection. */
   writeUnasked(bytes: string): void {
     for (const socket of this.sockets) socket.write(bytes, 'latin1');
   }
@@ -73,7 +73,7 @@
       this.receivedBytes += chunk.length;
       unread += chunk.toString('latin1');
       for (;;) {
-        const taken = this.take(unread, connection);
+        const taken = this.parseRequest(unread, connection);
         if (!taken) return;
         unread = unread.slice(taken.length);
         this.received.push(taken.request);
@@ -82,7 +82,7 @@
     });
   }
 
-  private take(
+  private parseRequest(
     bytes: string,
     connection: number,
   ): {request: RawRequest; length: number} | undefined {
--- a/packages/stand-ins/src/silent-drop-proxy.ts
+++ b/packages/stand-ins/src/silent-drop-proxy.ts
@@ -2,16 +2,16 @@
 import {splitAddress} from '@gentiandoor/kernel';
 
 /**
- * A TCP path with a delay, that can forget its open connections: from then on nothing passes on those in
- * either direction and neither end is told, while new ones work.
+ * A TCP proxy with a delay that can silently drop its open connections: it discards their traffic
+ * in both directions without notifying either end, while new connections work.
  */
 export class SilentDropProxy {
   address = '';
   private generation = 0;
   private readonly sockets = new Set<net.Socket>();
-  private readonly server = net.createServer(socket => this.join(socket));
+  private readonly server = net.createServer(socket => this.accept(socket));
 
-  /** `delayMilliseconds` is the time one way. */
+  /** `delayMilliseconds` is the one-way delay. */
   constructor(
     private readonly target: string,
     private readonly delayMilliseconds = 0,
@@ -33,22 +33,22 @@
     await closed;
   }
 
-  /** Forgets all connections that are open now. */
+  /** Stops forwarding on all open connections. */
   dropOpenConnections(): void {
     this.generation++;
   }
 
-  private join(near: net.Socket): void {
+  private accept(near: net.Socket): void {
     const {host, port} = splitAddress(this.target);
     const far = net.connect(port, host);
     const generation = this.generation;
-    this.pass(near, far, generation);
-    this.pass(far, near, generation);
+    this.forward(near, far, generation);
+    this.forward(far, near, generation);
   }
 
-  private pass(from: net.Socket, to: net.Socket, generation: number): void {
+  private forward(from: net.Socket, to: net.Socket, generation: number): void {
     const deliver = (action: () => void) => {
-      if (generation === this.generation) this.later(action);
+      if (generation === this.generation) this.afterDelay(action);
     };
     this.sockets.add(from);
     from.on('data', chunk => deliver(() => to.write(chunk)));
@@ -60,8 +60,8 @@
     });
   }
 
-  /** Timers of one length run in the order in which they were set: bytes stay in order. */
-  private later(action: () => void): void {
+  /** Delays an action. Timers of equal length fire in the order they were set, so bytes stay in order. */
+  private afterDelay(action: () => void): void {
     if (this.delayMilliseconds === 0) action();
     else setTimeout(action, this.delayMilliseconds);
   }
--- a/packages/stand-ins/src/target-rebooting-vm-actions.ts
+++ b/packages/stand-ins/src/target-rebooting-vm-actions.ts
@@ -8,8 +8,8 @@
 import type {TargetServer} from './target-server.js';
 
 /**
- * Reboots that really end the target's process side: its server and all of its connections close
- * at once, as a reboot does, so that a stop which was not graceful shows as cut answers.
+ * VM actions whose reboot closes the target's server and all of its connections at once, as a
+ * real reboot does. A stop that was not graceful shows as truncated responses.
  */
 export class TargetRebootingVmActions implements VmActions {
   private readonly seen = new Set<string>();
@@ -34,7 +34,7 @@
     if (!target) return;
     const {address} = target;
     await target.stop();
-    // Up a little before the list shows it again, as a VM is.
+    // A real VM is also up shortly before the list shows it again.
     await sleep(this.clock, this.actions.bootMilliseconds / 2);
     if (!this.actions.neverReturn.has(vm)) await target.start(address);
   }
--- a/packages/stand-ins/src/target-server.ts
+++ b/packages/stand-ins/src/target-server.ts
@@ -1,21 +1,21 @@
 import http from 'node:http';
 import {closeServer, listen} from './http-listener.js';
 
-/** Faults of a target, switched on by name. */
+/** Faults of a target; tests add them to `faults`. */
 export enum TargetFault {
-  /** Every request fails at once with 500. */
+  /** Every request fails immediately with 500. */
   FailEverything = 'fail_everything',
   /** Every request is refused with 503 and `gentiandoor-run: no`. */
   Busy = 'busy',
-  /** Requests are taken and never answered. */
+  /** Requests are read and never answered. */
   Silent = 'silent',
-  /** Answers break off in the middle. */
+  /** Responses end in the middle of the body. */
   Truncated = 'truncated',
-  /** Answers say that the target is leaving. */
+  /** Responses announce that the target is leaving. */
   Leaving = 'leaving',
 }
 
-/** A request that a target ran. */
+/** A request that a target executed. */
 export interface ExecutedRequest {
   readonly method: string;
   readonly path: string;
@@ -23,15 +23,15 @@
   readonly body: string;
 }
 
-const HALF_OF_ANSWER_BYTES = 1000;
+const HALF_RESPONSE_BYTES = 1000;
 
-/** A VM's service: answers after a latency, counts what it ran. */
+/** An HTTP service of a VM that responds after a latency and records executed requests. */
 export class TargetServer {
   readonly faults = new Set<TargetFault>();
   readonly executedRequests: ExecutedRequest[] = [];
-  /** False for long loads, whose runs would fill the memory. */
+  /** Set to false for long loads, whose recorded requests would exhaust the memory. */
   recordsRequests = true;
-  /** Told of each request that this target runs. */
+  /** Called with each request that this target executes. */
   onRun: (run: ExecutedRequest) => void = () => undefined;
   latencyMilliseconds = 0;
   address = '';
@@ -39,7 +39,7 @@
 
   constructor(readonly id: string) {
     this.server = http.createServer((request, response) => {
-      void this.answer(request, response);
+      void this.respond(request, response);
     });
   }
 
@@ -51,7 +51,7 @@
     return closeServer(this.server);
   }
 
-  private async answer(
+  private async respond(
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): Promise<void> {
@@ -64,14 +64,14 @@
       return;
     }
     const key = request.headers['idempotency-key'];
-    const run = {
+    const executed = {
       method: request.method ?? '',
       path: request.url ?? '',
       key: typeof key === 'string' ? key : undefined,
       body: Buffer.concat(chunks).toString('utf8'),
     };
-    this.onRun(run);
-    if (this.recordsRequests) this.executedRequests.push(run);
+    this.onRun(executed);
+    if (this.recordsRequests) this.executedRequests.push(executed);
     if (this.faults.has(TargetFault.Silent)) return;
     if (this.faults.has(TargetFault.FailEverything)) {
       response.writeHead(500).end('failed');
@@ -79,24 +79,23 @@
     }
     if (this.faults.has(TargetFault.Truncated)) {
       response.writeHead(200, {
-        'content-length': String(2 * HALF_OF_ANSWER_BYTES),
+        'content-length': String(2 * HALF_RESPONSE_BYTES),
       });
-      response.write('x'.repeat(HALF_OF_ANSWER_BYTES), () =>
-        response.destroy(),
-      );
+      response.write('x'.repeat(HALF_RESPONSE_BYTES), () => response.destroy());
       return;
     }
-    // A timer of 0 ms takes 1 ms, which would hide what the path itself costs.
-    if (this.latencyMilliseconds === 0) this.answerWhole(request, response);
+    // A timer of 0 ms fires after 1 ms, which would hide the latency of the path itself.
+    if (this.latencyMilliseconds === 0)
+      this.respondCompletely(request, response);
     else {
       setTimeout(
-        () => this.answerWhole(request, response),
+        () => this.respondCompletely(request, response),
         this.latencyMilliseconds,
       );
     }
   }
 
-  private answerWhole(
+  private respondCompletely(
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): void {
--- a/packages/stand-ins/src/vm-list-history.ts
+++ b/packages/stand-ins/src/vm-list-history.ts
@@ -1,7 +1,7 @@
 import {isDeepStrictEqual} from 'node:util';
 import type {ListedVm} from '@gentiandoor/shared-state';
 
-/** What changed in the list since a version, or all of it. */
+/** The changes of the VM list since a version, or the whole list. */
 export interface VmListResponse {
   readonly version: number;
   /** True when `vms` is the whole list. */
@@ -10,22 +10,22 @@
   readonly removed: readonly string[];
 }
 
-const CHANGES_KEPT = 10_000;
+const MAXIMUM_CHANGES = 10_000;
 
-/** Numbers the changes of the list, so that a reader that knows a version gets only what is newer. */
+/** Numbers the changes of the VM list, so that a reader receives only changes after its version. */
 export class VmListHistory {
   private version = 0;
-  private readonly known = new Map<string, ListedVm>();
-  /** Version of the last change of each VM, oldest first; removed ones included. */
+  private readonly current = new Map<string, ListedVm>();
+  /** Version of the last change of each VM, including removed ones; oldest first. */
   private readonly changedAt = new Map<string, number>();
   private oldestVersion = 0;
 
-  /** The answer for a reader that knows `since`; undefined asks for the whole list. */
-  answer(
+  /** Returns the changes after version `since`, or the whole list when `since` is undefined or unknown. */
+  changesSince(
     visible: readonly ListedVm[],
     since: number | undefined,
   ): VmListResponse {
-    this.note(visible);
+    this.update(visible);
     const {version} = this;
     if (since === undefined || since < this.oldestVersion || since > version) {
       return {version, whole: true, vms: visible, removed: []};
@@ -33,30 +33,30 @@
     const changed = [...this.changedAt]
       .filter(([, at]) => at > since)
       .map(([id]) => id);
-    const vms = changed.flatMap(id => this.known.get(id) ?? []);
-    const removed = changed.filter(id => !this.known.has(id));
+    const vms = changed.flatMap(id => this.current.get(id) ?? []);
+    const removed = changed.filter(id => !this.current.has(id));
     return {version, whole: false, vms, removed};
   }
 
-  private note(visible: readonly ListedVm[]): void {
+  private update(visible: readonly ListedVm[]): void {
     const seen = new Set<string>();
     for (const vm of visible) {
       seen.add(vm.id);
-      if (isDeepStrictEqual(this.known.get(vm.id), vm)) continue;
-      this.known.set(vm.id, vm);
-      this.change(vm.id);
+      if (isDeepStrictEqual(this.current.get(vm.id), vm)) continue;
+      this.current.set(vm.id, vm);
+      this.recordChange(vm.id);
     }
-    for (const id of this.known.keys()) {
+    for (const id of this.current.keys()) {
       if (seen.has(id)) continue;
-      this.known.delete(id);
-      this.change(id);
+      this.current.delete(id);
+      this.recordChange(id);
     }
   }
 
-  private change(id: string): void {
+  private recordChange(id: string): void {
     this.changedAt.delete(id);
     this.changedAt.set(id, ++this.version);
-    if (this.changedAt.size <= CHANGES_KEPT) return;
+    if (this.changedAt.size <= MAXIMUM_CHANGES) return;
     const [oldest] = this.changedAt;
     this.changedAt.delete(oldest[0]);
     this.oldestVersion = oldest[1];
