--- a/packages/soak/src/__tests__/soak.test.ts
+++ b/packages/soak/src/__tests__/soak.test.ts
@@ -5,15 +5,16 @@
 import {describe, it} from 'node:test';
 import {Soak} from '../soak.js';
 
-/** A short run for every check; longer ones are played by hand. */
+/** A short run for each test run; longer ones are started by hand. */
 const SEEDS = [1, 2];
 const ROUNDS = 8;
 
-// Real daemons are killed, paused, stopped and cut from the store while callers go on asking; no job
-// may run twice, be refused and run, be lost, or be shown as completed when it is not.
+// Kills, pauses, stops and partitions real daemons from the store while callers send requests.
+// No job may run twice, be refused and still run, get lost, or be reported as completed when it
+// is not.
 describe('soak', () => {
   for (const seed of SEEDS)
-    it(`breaks no promise under seed ${seed}`, async () => {
+    it(`violates no guarantee under seed ${seed}`, async () => {
       const folder = mkdtempSync(join(tmpdir(), 'soak-test-'));
       const result = await new Soak({
         seed,
--- a/packages/soak/src/daemon-process.ts
+++ b/packages/soak/src/daemon-process.ts
@@ -8,7 +8,7 @@
   'bin/gentiandoor-entry.js',
 );
 
-/** A real daemon, ended and paused only by signals to its own process id. */
+/** A daemon in a child process, stopped and paused only by signals to its own process id. */
 export class DaemonProcess {
   private child: ChildProcess | undefined;
   private readonly log: WriteStream;
@@ -47,7 +47,7 @@
     this.child?.kill(name);
   }
 
-  /** Resolves when the process is gone. */
+  /** Sends a signal, after SIGCONT for a paused process, and resolves when the process has exited. */
   async end(name: NodeJS.Signals): Promise<void> {
     const {child} = this;
     if (!child) return;
--- a/packages/soak/src/fault-proxy.ts
+++ b/packages/soak/src/fault-proxy.ts
@@ -1,15 +1,15 @@
 import {createServer, connect, type AddressInfo, type Socket} from 'node:net';
 
-/** What a proxy does to the connections through it. */
+/** How a proxy treats its connections. */
 export enum ProxyMode {
   Pass = 'pass',
-  /** Every byte comes later. */
+  /** Bytes are forwarded after a delay. */
   Delay = 'delay',
-  /** Connections are reset, old ones and new ones. */
+  /** Open and new connections are reset. */
   Reset = 'reset',
-  /** Open connections and new ones stay open and carry nothing. */
+  /** Open and new connections stay open, but forward nothing. */
   Silent = 'silent',
-  /** Requests come through, answers do not. */
+  /** Requests are forwarded, responses are dropped. */
   OneWay = 'one_way',
 }
 
@@ -18,11 +18,11 @@
 interface ProxiedConnection {
   readonly near: Socket;
   readonly far: Socket;
-  /** Gone silent for good: a later mode does not bring it back. */
+  /** Whether the connection forwards nothing; it stays so in later modes. */
   isSilenced: boolean;
 }
 
-/** A loopback proxy that misbehaves on demand. */
+/** A TCP proxy that injects connection faults. */
 export class FaultProxy {
   private mode = ProxyMode.Pass;
   private readonly pairs = new Set<ProxiedConnection>();
@@ -30,7 +30,7 @@
 
   constructor(private readonly target: string) {}
 
-  /** Listens on a free port of `host`; returns the address. */
+  /** Listens on a free port of `host` and resolves with the address. */
   async start(host: string): Promise<string> {
     await new Promise<void>(resolve => {
       this.server.listen(0, host, resolve);
@@ -67,24 +67,24 @@
       isSilenced: this.mode === ProxyMode.Silent,
     };
     this.pairs.add(pair);
-    this.carry(pair, near, far, false);
-    this.carry(pair, far, near, true);
+    this.forward(pair, near, far, false);
+    this.forward(pair, far, near, true);
   }
 
-  private carry(
+  private forward(
     pair: ProxiedConnection,
     from: Socket,
     to: Socket,
-    isAnswer: boolean,
+    isResponse: boolean,
   ): void {
     from.on('data', bytes => {
       if (pair.isSilenced) return;
-      if (isAnswer && this.mode === ProxyMode.OneWay) return;
+      if (isResponse && this.mode === ProxyMode.OneWay) return;
       if (this.mode === ProxyMode.Delay)
         setTimeout(() => to.write(bytes), DELAY_MILLISECONDS);
       else to.write(bytes);
     });
-    // Either end may go at any time; the other is told by its own socket's end.
+    // Either end may fail at any time; closing the other socket notifies its peer.
     from.on('error', () => to.destroy());
     from.on('close', () => {
       this.pairs.delete(pair);
--- a/packages/soak/src/guarantee-violations.ts
+++ b/packages/soak/src/guarantee-violations.ts
@@ -8,7 +8,7 @@
 
 const REFUSED_STATUSES = [429, 503];
 
-/** Promises that a soak found broken, in words. */
+/** Returns a description of each guarantee that a soak violated. */
 export function guaranteeViolations(
   jobs: readonly ObservedJob[],
   runs: readonly StartedRun[],
@@ -16,11 +16,11 @@
   return [
     ...overlappingRuns(runs),
     ...runsAfterAcknowledgedEnd(runs),
-    ...jobs.flatMap(job => brokenFor(job, runs)),
+    ...jobs.flatMap(job => violationsOf(job, runs)),
   ];
 }
 
-function brokenFor(job: ObservedJob, runs: readonly StartedRun[]): string[] {
+function violationsOf(job: ObservedJob, runs: readonly StartedRun[]): string[] {
   const own = runs.filter(run => run.task.startsWith(`${job.id}.`));
   const allRefused =
     job.unanswered === 0 &&
@@ -31,7 +31,7 @@
     return own.some(run => run.endedAt === undefined)
       ? [`${job.id}: cancelled and still running`]
       : [];
-  // A cancellation without an answer may have been stored, or not.
+  // A cancellation without a response may or may not have been stored.
   if (job.cancelTried && job.state === 'cancelled') return [];
   const done = new Set(
     own.filter(run => run.end === RunEnd.Done).map(run => run.task),
--- a/packages/soak/src/soak-callers.ts
+++ b/packages/soak/src/soak-callers.ts
@@ -1,43 +1,43 @@
 import {QUEUE_HOST} from '@gentiandoor/platform/stand-ins';
 import {Agent, request} from 'undici';
 
-/** What callers were told of a job. */
+/** The responses that callers received about a job. */
 export interface ObservedJob {
   readonly id: string;
   readonly service: string;
   readonly tasks: number;
   readonly statuses: number[];
-  /** Tries without a whole answer. */
+  /** Attempts without a complete response. */
   unanswered: number;
   cancelled: boolean;
-  /** A cancellation was sent, whatever was heard of it. */
+  /** Whether a cancellation was sent, with or without a response. */
   cancelTried: boolean;
   state: string | undefined;
 }
 
 const REQUEST_TIMEOUT_MILLISECONDS = 3_000;
-const TRIES = 4;
-const PAUSE_MILLISECONDS = 400;
+const MAXIMUM_ATTEMPTS = 4;
+const RETRY_PAUSE_MILLISECONDS = 400;
 
-/** Callers that keep their connections open and ask again elsewhere. */
+/** Callers with keep-alive connections that retry at another daemon. */
 export class SoakCallers {
   private readonly agent = new Agent({keepAliveTimeout: 30_000});
   readonly jobs: ObservedJob[] = [];
 
   constructor(private readonly pickAddress: () => string) {}
 
-  /** Hands a job in, up to four tries at any daemon. */
+  /** Submits a job with up to four attempts, each at any daemon. */
   async submit(job: ObservedJob): Promise<void> {
     this.jobs.push(job);
     const steps = [
       {count: job.tasks, cpu: 1_000, mem_mb: 10, estimated_ms: 300},
     ];
-    for (let attempt = 0; attempt < TRIES; attempt++) {
+    for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
       const status = await this.call('POST', job, {spec: 'soak', steps});
       if (status === undefined) job.unanswered++;
       else job.statuses.push(status.code);
       if (status?.code === 200) return;
-      await pause(PAUSE_MILLISECONDS);
+      await pause(RETRY_PAUSE_MILLISECONDS);
     }
   }
 
@@ -47,7 +47,7 @@
     if (answer?.code === 200) job.cancelled = true;
   }
 
-  /** Asks for the state at any daemon; 410 for a job that was taken is kept as `absent`. */
+  /** Queries the state at any daemon; 410 for an accepted job is recorded as `absent`. */
   async queryState(job: ObservedJob): Promise<void> {
     const answer = await this.call('GET', job);
     if (answer?.code === 410) job.state = 'absent';
@@ -81,13 +81,13 @@
       const {state} = JSON.parse(text || '{}') as {state?: string};
       return {code: answer.statusCode, state};
     } catch {
-      // No whole answer is itself an outcome that the check counts.
+      // A missing response is an outcome that the check counts.
       return undefined;
     }
   }
 }
 
-/** Waits in real time. */
+/** Resolves after a time of the system clock. */
 export function pause(milliseconds: number): Promise<void> {
   return new Promise(resolve => {
     setTimeout(resolve, milliseconds);
--- a/packages/soak/src/soak.ts
+++ b/packages/soak/src/soak.ts
@@ -13,16 +13,16 @@
 import {SoakCallers, pause, type ObservedJob} from './soak-callers.js';
 import {guaranteeViolations} from './guarantee-violations.js';
 
-/** One seeded soak. */
+/** Parameters of one soak run. */
 export interface SoakOptions {
   readonly seed: number;
   readonly daemons: number;
   readonly rounds: number;
-  /** Settings and logs of the daemons. */
+  /** Folder of the daemons' settings and logs. */
   readonly folder: string;
 }
 
-/** What a soak saw. */
+/** Outcome of a soak run. */
 export interface SoakResult {
   readonly violations: readonly string[];
   readonly jobs: number;
@@ -37,13 +37,16 @@
   accelerators: 0,
 };
 const TASK_RESOURCES = {...WORKER_CAPACITY, processorMillicores: 1_000};
-const LONGEST_PAUSE_MILLISECONDS = 1_200;
-const LEAST_PAUSE_MILLISECONDS = 150;
-/** Long enough for the longest lease and the jobs behind it. */
-const CALM_MILLISECONDS = 25_000;
-const ASK_MILLISECONDS = 500;
+const MAXIMUM_PAUSE_MILLISECONDS = 1_200;
+const MINIMUM_PAUSE_MILLISECONDS = 150;
+/** Covers the longest lease and the jobs that wait for it. */
+const RECOVERY_MILLISECONDS = 25_000;
+const POLL_MILLISECONDS = 500;
 
-/** Plays faults on real daemons, then calm, and checks what callers and workers saw. */
+/**
+ * Injects faults into real daemons, heals them, waits for jobs to end, and checks what callers
+ * and workers observed.
+ */
 export class Soak {
   private readonly random: SeededRandom;
   private readonly platform: StandInPlatform;
@@ -75,23 +78,23 @@
     await this.platform.start();
     for (let index = 0; index < this.options.daemons; index++)
       await this.addDaemon(index);
-    await pause(2 * LONGEST_PAUSE_MILLISECONDS);
+    await pause(2 * MAXIMUM_PAUSE_MILLISECONDS);
     for (let round = 0; round < this.options.rounds; round++) {
-      this.submitSome();
+      this.submitJobs();
       this.injectFault(round);
       await pause(
-        LEAST_PAUSE_MILLISECONDS +
-          this.random.nextInteger(LONGEST_PAUSE_MILLISECONDS),
+        MINIMUM_PAUSE_MILLISECONDS +
+          this.random.nextInteger(MAXIMUM_PAUSE_MILLISECONDS),
       );
     }
     this.heal();
     await Promise.all(this.pending);
-    await this.waitForEnds();
+    await this.waitForJobEnds();
     const runs = this.platform.startedRuns();
-    const broken = guaranteeViolations(this.callers.jobs, runs);
+    const violations = guaranteeViolations(this.callers.jobs, runs);
     await this.stop();
     return {
-      violations: broken,
+      violations: violations,
       jobs: this.callers.jobs.length,
       runs: runs.length,
       faults: this.faults,
@@ -99,7 +102,7 @@
   }
 
   private async addDaemon(index: number): Promise<void> {
-    // Each daemon has a loopback address of its own, as each VM has one.
+    // Each daemon has its own loopback address, as each VM has its own address.
     const host = loopbackHost(process.pid, index);
     const store = new FaultProxy(this.platform.storeAddress);
     this.proxies.push(store);
@@ -121,7 +124,7 @@
     daemon.start();
   }
 
-  private submitSome(): void {
+  private submitJobs(): void {
     for (let count = 1 + this.random.nextInteger(3); count > 0; count--) {
       const job: ObservedJob = {
         id: (++this.jobCount).toString(16).padStart(16, '0'),
@@ -149,11 +152,11 @@
     switch (this.random.nextInteger(9)) {
       case 0:
         note(`${daemon.node} killed and started`);
-        this.later(daemon.end('SIGKILL').then(() => daemon.start()));
+        this.awaitBeforeCheck(daemon.end('SIGKILL').then(() => daemon.start()));
         return;
       case 1:
         note(`${daemon.node} stopped gracefully and started`);
-        this.later(daemon.end('SIGTERM').then(() => daemon.start()));
+        this.awaitBeforeCheck(daemon.end('SIGTERM').then(() => daemon.start()));
         return;
       case 2:
         note(`${daemon.node} paused`);
@@ -201,8 +204,8 @@
     }
   }
 
-  private async waitForEnds(): Promise<void> {
-    const until = performance.now() + CALM_MILLISECONDS;
+  private async waitForJobEnds(): Promise<void> {
+    const until = performance.now() + RECOVERY_MILLISECONDS;
     while (performance.now() < until) {
       const open = this.callers.jobs.filter(
         job =>
@@ -211,10 +214,10 @@
       );
       if (open.length === 0) break;
       await Promise.all(open.map(job => this.callers.queryState(job)));
-      await pause(ASK_MILLISECONDS);
+      await pause(POLL_MILLISECONDS);
     }
-    // Stops of cancelled jobs may still be under way.
-    await pause(2 * ASK_MILLISECONDS);
+    // Stops of cancelled jobs may still be in flight.
+    await pause(2 * POLL_MILLISECONDS);
   }
 
   private async stop(): Promise<void> {
@@ -224,7 +227,7 @@
     this.platform.stop();
   }
 
-  private later(work: Promise<void>): void {
+  private awaitBeforeCheck(work: Promise<void>): void {
     this.pending.push(work);
   }
 
@@ -243,8 +246,8 @@
 const OCTETS = 256;
 
 /**
- * Address of a daemon on loopback, another one for each soak. The port of the metrics is the same on all
- * daemons: with the same addresses, those of two soaks on one machine can't start beside each other.
+ * Returns the loopback address of a daemon, which differs between soaks. All daemons use the same
+ * metrics port, so with equal addresses two soaks on one machine could not run at the same time.
  */
 function loopbackHost(soak: number, index: number): string {
   const high = 1 + (Math.floor(soak / OCTETS) % (OCTETS - 2));
