--- a/packages/documentation/src/__tests__/examples.test.ts
+++ b/packages/documentation/src/__tests__/examples.test.ts
@@ -17,8 +17,8 @@
   );
 }
 
-describe('the sample bundles', () => {
-  it('Kingston has its five services on 35 workers in three data centres', () => {
+describe('sample bundles', () => {
+  it('define five Kingston services on 35 workers in three data centres', () => {
     const bundle = parseBundle(readExample('kingston/bundle.ini'));
     assert.deepEqual(poolSizes(bundle), {
       'counter-preview': 6,
@@ -32,7 +32,7 @@
     assert.ok(bundle.weights.move > bundle.weights.buffer);
   });
 
-  it('Swan Coast has its five services of eight workers in four data centres', () => {
+  it('define five Swan Coast services of eight workers each in four data centres', () => {
     const bundle = parseBundle(readExample('swan-coast/bundle.ini'));
     assert.deepEqual(poolSizes(bundle), {
       eligibility: 8,
@@ -50,7 +50,7 @@
   });
 });
 
-describe('the sample settings', () => {
+describe('sample settings', () => {
   for (const [deployment, count] of [
     ['kingston', 7],
     ['swan-coast', 6],
@@ -67,7 +67,7 @@
     });
 
     for (const file of files) {
-      it(`${deployment}/${file} passes the daemon's checks`, () => {
+      it(`${deployment}/${file} is accepted by the daemon`, () => {
         const text = readExample(`${deployment}/${file}`);
         const daemon = new Daemon(parseSettings(text, file), {
           logger: new SilentLogger(),
--- a/packages/documentation/src/__tests__/readme.test.ts
+++ b/packages/documentation/src/__tests__/readme.test.ts
@@ -8,13 +8,13 @@
   return readFileSync(fileURLToPath(url), 'utf8');
 }
 
-describe('the commands of the README', () => {
+describe('README commands', () => {
   const {scripts} = JSON.parse(readRoot('package.json')) as {
     scripts: Readonly<Record<string, string>>;
   };
   const commands = [...readRoot('README.md').matchAll(/^npm (?:run )?(\w+)/gm)];
 
-  it('are there', () => {
+  it('are npm test and npm run demo', () => {
     assert.deepEqual(
       commands.map(([, name]) => name),
       ['test', 'demo'],
@@ -22,9 +22,9 @@
   });
 
   for (const [command, name] of commands) {
-    // On a bare clone the command failed with a missing module: npm skips pre-scripts here,
-    // so each command has to install and build by itself.
-    it(`${command} makes a bare clone ready itself`, () => {
+    // On a bare clone the command failed with a missing module: npm skips pre-scripts here, so
+    // each command must install and build itself.
+    it(`${command} installs and builds a bare clone itself`, () => {
       assert.match(scripts[name], /^node scripts\/prepare\.mjs && /);
     });
   }
--- a/packages/documentation/src/__tests__/reference-pages.test.ts
+++ b/packages/documentation/src/__tests__/reference-pages.test.ts
@@ -10,9 +10,9 @@
   return readFileSync(fileURLToPath(url), 'utf8');
 }
 
-describe('the reference pages', () => {
+describe('reference pages', () => {
   for (const part of referenceParts()) {
-    it(`${part.page} holds the ${part.name} of the code (npm run reference writes them)`, () => {
+    it(`${part.page} has up-to-date ${part.name} (npm run reference rewrites them)`, () => {
       assert.equal(currentPart(readPage(part.page), part), part.text);
     });
   }
--- a/packages/documentation/src/markdown-table.ts
+++ b/packages/documentation/src/markdown-table.ts
@@ -1,4 +1,4 @@
-/** A table in Markdown; cells must not hold line breaks. */
+/** Returns a Markdown table; cells must not contain line breaks. */
 export function markdownTable(
   headings: readonly string[],
   rows: ReadonlyArray<readonly string[]>,
--- a/packages/documentation/src/page-parts.ts
+++ b/packages/documentation/src/page-parts.ts
@@ -1,18 +1,18 @@
 import type {ReferencePart} from './reference-pages.js';
 
-/** Puts a part into its page, between the comments that name it; throws when they are missing. */
+/** Replaces the text between a part's marker comments in its page; throws if they are missing. */
 export function replacePart(pageText: string, part: ReferencePart): string {
-  const {begin, end} = bounds(pageText, part);
+  const {begin, end} = findBounds(pageText, part);
   return `${pageText.slice(0, begin)}\n\n${part.text}\n\n${pageText.slice(end)}`;
 }
 
-/** The part as the page holds it now. */
+/** Returns the current text of a part in its page. */
 export function currentPart(pageText: string, part: ReferencePart): string {
-  const {begin, end} = bounds(pageText, part);
+  const {begin, end} = findBounds(pageText, part);
   return pageText.slice(begin, end).trim();
 }
 
-function bounds(
+function findBounds(
   pageText: string,
   part: ReferencePart,
 ): {begin: number; end: number} {
--- a/packages/documentation/src/reference-pages.ts
+++ b/packages/documentation/src/reference-pages.ts
@@ -13,16 +13,16 @@
 import {describeOption} from './describe-option.js';
 import {markdownTable} from './markdown-table.js';
 
-/** A part of a page in docs/ that is written from the code. */
+/** A part of a page in docs/ that is generated from the code. */
 export interface ReferencePart {
   /** File name in docs/. */
   readonly page: string;
-  /** Name of the part; the page holds it between two comments with this name. */
+  /** Name of the part, used in the two marker comments around it. */
   readonly name: string;
   readonly text: string;
 }
 
-/** All parts of pages that are written from the code. */
+/** Returns all generated parts. */
 export function referenceParts(): ReferencePart[] {
   return [
     {page: 'errors.md', name: 'errors', text: errorTable()},
@@ -99,7 +99,7 @@
     .join('\n\n');
 }
 
-/** The object schema below refinements. */
+/** Returns the object schema inside refinements and transforms. */
 function objectOf(schema: z.ZodType): z.ZodObject {
   if ('shape' in schema) return schema as z.ZodObject;
   const {in: inner} = schema.def as unknown as {in?: z.ZodType};
