--- a/packages/bench/src/__tests__/admin-input.test.ts
+++ b/packages/bench/src/__tests__/admin-input.test.ts
@@ -17,8 +17,8 @@
   fc.constantFrom('constructor', '__proto__', 'start', 'abort', 'hold', ''),
   fc.string({maxLength: 5}),
 );
-/** Bodies with the fields that the paths expect, each with a value that often fits. */
-const nearBody = fc.record(
+/** Bodies with the fields that the paths expect; their values are often valid. */
+const plausibleBody = fc.record(
   {
     operator: anyName,
     requestId: anyName,
@@ -36,7 +36,7 @@
   },
   {requiredKeys: []},
 );
-/** What each path expects; further fields make a body malformed. */
+/** Fields that each path expects; additional fields make a body malformed. */
 const FIELDS: ReadonlyMap<string, readonly string[]> = new Map([
   ['/fleet/drains', ['vm', 'reason']],
   ['/fleet/returns', ['vm']],
@@ -47,7 +47,7 @@
   ['/bundles/proposals', ['text']],
 ]);
 
-describe('the admin port', {timeout: 60_000}, () => {
+describe('admin port', {timeout: 60_000}, () => {
   const deployment = new Deployment();
   let daemon: RunningDaemon;
   let posts: string[];
@@ -85,7 +85,7 @@
     return answer.statusCode;
   }
 
-  it('answers a body that is no JSON with 400 on each path', async () => {
+  it('responds with 400 to a body that is not JSON on each path', async () => {
     assert.ok(posts.length >= 8);
     for (const path of posts) {
       for (const body of ['{', '', '{"text": "a', '\u0000']) {
@@ -96,7 +96,7 @@
     }
   });
 
-  it('answers any JSON that no record can be made of with 400', async () => {
+  it('responds with 400 to any JSON that does not form a record', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.nat(),
@@ -111,12 +111,12 @@
     );
   });
 
-  it('judges any body of the shape that a path expects', async () => {
+  it('responds with 200, 400 or 409 to any body with the expected fields', async () => {
     const seen = new Set<number>();
     await fc.assert(
       fc.asyncProperty(
         fc.constantFrom(...FIELDS),
-        nearBody,
+        plausibleBody,
         async ([path, fields], near) => {
           const picked = Object.entries(near).filter(([name]) =>
             fields.includes(name),
@@ -132,8 +132,8 @@
     assert.ok(seen.has(400) && seen.has(409));
   });
 
-  // Found by the search above: such a record went to the log, no fold could read it, and the
-  // operator waited five seconds to be told that its fate is unknown.
+  // Found by the property tests above: such a record was appended to the log although no fold
+  // could read it, and the operator got an "outcome unknown" only after five seconds.
   for (const [path, body] of [
     [
       '/bundles/sign-offs',
@@ -141,13 +141,13 @@
     ],
     ['/jobs/cancel', {keys: ['a'], requestId: 'x'.repeat(200)}],
   ] as const) {
-    it(`refuses at once what no fold can read: ${path}`, async () => {
+    it(`immediately refuses a record that the fold could not read: ${path}`, async () => {
       const {status} = await post(path, JSON.stringify(body));
       assert.equal(status, 400);
     });
   }
 
-  it('answers a body over the bound with 413 and goes on', async () => {
+  it('responds with 413 to a body over the limit and keeps serving', async () => {
     const {status, text} = await post(
       '/bundles/proposals',
       Buffer.alloc(BODY_BYTES + 1, 'x'),
@@ -157,7 +157,7 @@
     assert.equal(await get(daemon.adminAddress, '/status'), 200);
   });
 
-  it('tells who lacks the key nothing of its paths, and reads no body', async () => {
+  it('responds with 401 on any path without the key and reads no body', async () => {
     for (const path of [...posts, '/nothing']) {
       for (const key of ['', 'Bearer ', `Bearer ${ADMIN_KEY}x`, ADMIN_KEY]) {
         const answer = await post(path, '{', {authorization: key});
@@ -168,7 +168,7 @@
     assert.equal(await get(daemon.adminAddress, '/nothing'), 404);
   });
 
-  it('is not reached through the callers\u2019 port', async () => {
+  it('is not reachable through the caller port', async () => {
     for (const path of ['/status', '/metrics', '/health/live', '/fleet/vms']) {
       const status = await get(daemon.callerAddress, path);
       assert.ok([404, 503].includes(status), `${path}: ${status}`);
@@ -176,11 +176,12 @@
   });
 });
 
-describe('a port that has its bound of connections', {timeout: 60_000}, () => {
-  // A caller opens connections without end. Up to the bound they are taken; the next one is
-  // closed at once and counted, and when one of the first ends, a new one is taken again.
+describe('port at its connection limit', {timeout: 60_000}, () => {
+  // Guards against a client that keeps opening connections: connections up to the limit are
+  // accepted, the next one is closed immediately and counted, and a new one is accepted only after
+  // another has closed.
   for (const port of ['admin', 'caller'] as const) {
-    it(`closes the next one at once and counts it: ${port}`, async () => {
+    it(`closes the next connection immediately and counts it: ${port}`, async () => {
       const deployment = new Deployment();
       await deployment.startPlatform();
       const bound = {connections: 2};
--- a/packages/bench/src/__tests__/daemon-signals.test.ts
+++ b/packages/bench/src/__tests__/daemon-signals.test.ts
@@ -17,7 +17,7 @@
 );
 const VM = 'hall-a-r1-1';
 
-describe('the daemon program', () => {
+describe('daemon program', () => {
   const deployment = new Deployment();
   const directory = mkdtempSync(join(tmpdir(), 'signals-'));
   let target: TargetServer;
@@ -63,22 +63,23 @@
     );
     const child = fork(PROGRAM, ['--settings', settings], {silent: true});
     const output = collect(child);
-    await untilStatus(adminAddress, 200);
+    await waitUntilStatus(adminAddress, 200);
     return {child, output, callerAddress, adminAddress};
   }
 
   describe('on one SIGTERM', () => {
-    it('ends with 0 when nothing is left', async () => {
+    it('exits with 0 when nothing is in flight', async () => {
       const {child} = await startDaemon();
       child.kill('SIGTERM');
-      assert.equal(await exitCode(child), 0);
+      assert.equal(await waitForExit(child), 0);
     });
   });
 
   describe('on a second SIGTERM', () => {
-    // A POST is at a target that does not answer when the stop begins. The daemon waits for
-    // it, not ready any more, until a second signal ends it. Its log says what was cut.
-    it('ends with 1 and says what it cut', async () => {
+    // A POST is in flight at a silent target when the graceful stop begins. The daemon reports
+    // not ready and waits for it until a second signal forces the stop; the log counts the
+    // aborted requests.
+    it('exits with 1 and logs the requests that it aborted', async () => {
       target.faults.add(TargetFault.Silent);
       const {child, output, callerAddress, adminAddress} = await startDaemon();
       const answer = request(`http://${callerAddress}/desk/x`, {
@@ -86,11 +87,11 @@
         body: 'crest',
       });
       const cut = assert.rejects(answer);
-      await until(() => target.executedRequests.length === 1);
+      await waitUntil(() => target.executedRequests.length === 1);
       child.kill('SIGTERM');
-      await untilStatus(adminAddress, 503);
+      await waitUntilStatus(adminAddress, 503);
       child.kill('SIGTERM');
-      assert.equal(await exitCode(child), 1);
+      assert.equal(await waitForExit(child), 1);
       await cut;
       const line = output
         .join('')
@@ -109,24 +110,24 @@
   return output;
 }
 
-function exitCode(child: ChildProcess): Promise<number | null> {
+function waitForExit(child: ChildProcess): Promise<number | null> {
   return new Promise(resolve => child.once('close', resolve));
 }
 
-async function untilStatus(address: string, status: number): Promise<void> {
+async function waitUntilStatus(address: string, status: number): Promise<void> {
   for (;;) {
     try {
       const answer = await request(`http://${address}/health/ready`);
       await answer.body.dump();
       if (answer.statusCode === status) return;
     } catch {
-      // Not listening yet.
+      // The daemon is not listening yet.
     }
     await pause();
   }
 }
 
-async function until(condition: () => boolean): Promise<void> {
+async function waitUntil(condition: () => boolean): Promise<void> {
   while (!condition()) await pause();
 }
 
--- a/packages/bench/src/__tests__/decisions-model.test.ts
+++ b/packages/bench/src/__tests__/decisions-model.test.ts
@@ -12,9 +12,9 @@
 
 const CONTEXT = {seed: 1, scale: 0.3};
 
-// Each plays a load pattern through the daemon's own decisions and the naive baseline, on a virtual
-// clock and a fixed seed, and checks what callers get.
-describe('the decisions on the model', () => {
+// Each scenario simulates a load pattern with the daemon's decisions and the naive baseline, on a
+// virtual clock with a fixed seed, and checks the responses that callers get.
+describe('decisions in the deployment model', () => {
   const scenarios: readonly Scenario[] = [
     burst,
     heavyCallers,
@@ -25,7 +25,7 @@
     oneSided,
   ];
   for (const scenario of scenarios) {
-    it(`${scenario.name} holds its checks`, async () => {
+    it(`${scenario.name} passes its checks`, async () => {
       const {checks} = await scenario.run(CONTEXT);
       const broken = checks.filter(({passed}) => !passed);
       assert.deepEqual(broken, []);
--- a/packages/bench/src/__tests__/once-only-path.test.ts
+++ b/packages/bench/src/__tests__/once-only-path.test.ts
@@ -5,7 +5,7 @@
 import {Deployment} from '../deployment.js';
 import {oneRackBundle} from '../one-rack-bundle.js';
 
-describe('keyed requests over the whole path', () => {
+describe('keyed requests through daemons and targets', () => {
   const deployment = new Deployment();
 
   before(async () => {
@@ -34,9 +34,9 @@
 
   after(() => deployment.stop());
 
-  // The caller sends a billing entry, loses the answer and sends it again through the other
-  // daemon. It gets the same whole answer; the targets have run it once, counted there.
-  it('answers a retry through another daemon with the first answer', async () => {
+  // A caller loses the response to a billing entry and retries through the other daemon. It must
+  // get the same complete response, and the targets must have executed the request once.
+  it('returns the first response to a retry through another daemon', async () => {
     const send = async (place: number) => {
       const {callerAddress} = deployment.daemons[place];
       const answer = await request(`http://${callerAddress}/ledger-room/bill`, {
--- a/packages/bench/src/__tests__/operations-pages.test.ts
+++ b/packages/bench/src/__tests__/operations-pages.test.ts
@@ -9,10 +9,10 @@
 import {SilentLogger} from '@gentiandoor/kernel';
 
 const PAGES_URL = new URL('../../../../docs/operations/', import.meta.url);
-/** The pages in an order in which an operator may follow them; install brings the first bundle. */
-const FIRST_PAGES = ['install.md', 'bundle-roll-out.md'];
+/** Pages to run before all others, since the install page rolls out the first bundle. */
+const INITIAL_PAGES = ['install.md', 'bundle-roll-out.md'];
 
-/** Commands of a page's shell blocks, as words. */
+/** Returns the commands in a page's shell blocks, split into words. */
 function commandsOf(page: string): string[][] {
   const text = readFileSync(new URL(page, PAGES_URL), 'utf8');
   const blocks = [...text.matchAll(/```sh\n([\s\S]*?)```/g)].map(
@@ -35,12 +35,12 @@
     name => name !== 'README.md',
   );
   return [
-    ...FIRST_PAGES,
-    ...pages.filter(name => !FIRST_PAGES.includes(name)).sort(),
+    ...INITIAL_PAGES,
+    ...pages.filter(name => !INITIAL_PAGES.includes(name)).sort(),
   ];
 }
 
-describe('the commands of the operators\u2019 pages', () => {
+describe('commands in the operations pages', () => {
   const deployment = new Deployment(new SilentLogger(), 'keisha');
   const files = new Map<string, string>();
 
@@ -58,7 +58,7 @@
       'rollback.ini',
       nextVersion(next, 'service.counter-preview', 'queue_limit', '64'),
     );
-    // The file as `gentiandoor keys make > keisha.key` writes it.
+    // The same file as `gentiandoor keys make > keisha.key` writes.
     const {publicKey, privateKey} = deployment.operator;
     files.set(
       'keisha.key',
@@ -70,7 +70,7 @@
     await deployment.startDaemon('entry-hall-a-1', 'hall-a');
     await deployment.startDaemon('entry-hall-b-1', 'hall-b');
     await deployment.untilMembers();
-    // A daemon that crashed: nobody runs it and nobody takes it out but an operator.
+    // A crashed daemon, which stays a member until an operator removes it.
     await deployment.append({
       kind: RecordKind.MemberJoined,
       id: 'joined-and-crashed',
--- a/packages/bench/src/__tests__/separate-processes.test.ts
+++ b/packages/bench/src/__tests__/separate-processes.test.ts
@@ -12,7 +12,7 @@
 const ADMIN_KEY = 'admin-key-for-tests-only';
 const VMS = ['hall-a-r1-1', 'hall-a-r1-2'];
 const STEP_MILLISECONDS = 20;
-const MOST_STEPS = 1500;
+const MAXIMUM_STEPS = 1500;
 
 interface RunningDaemon {
   readonly run: ProgramRun;
@@ -20,7 +20,7 @@
   readonly admin: string;
 }
 
-describe('the complete path in separate processes', () => {
+describe('complete path in separate processes', () => {
   const directory = mkdtempSync(join(tmpdir(), 'separate-'));
   const started: ProgramRun[] = [];
 
@@ -56,7 +56,7 @@
   ): Promise<RunningDaemon> {
     const settings = write(
       `${name}.ini`,
-      settingsText(name, platform, operatorKey),
+      formatSettings(name, platform, operatorKey),
     );
     const run = start(ProgramPath.Daemon, ['--settings', settings]);
     const {input} = await run.line(
@@ -72,11 +72,11 @@
     };
   }
 
-  // An operator rolls the first bundle out over the command line and callers use both daemons.
-  // One daemon is then killed with no warning after it ran a keyed request. The caller asks
-  // the other daemon with the same key: it is told how the first one ended, and no target runs
-  // it again, since the claim is in the platform's log and not in the daemon that is gone.
-  it('rolls out, serves, drains, survives a kill and stops in order', async () => {
+  // An operator rolls out the first bundle with the command line and callers use both daemons. One
+  // is killed after it ran a keyed request, and the caller retries with the same key at the other.
+  // The retry is told the outcome of the first request and no target executes it again, since the
+  // claim is in the platform's log and not in the killed daemon.
+  it('rolls out, serves, drains, survives a kill and stops gracefully', async () => {
     const standIns = start(ProgramPath.StandIns, [
       '--print-runs',
       '--vms',
@@ -114,19 +114,19 @@
     );
 
     for (const daemon of [first, second]) {
-      await untilReady(daemon);
-      assert.equal((await ask(daemon, 'GET', 'x')).status, 200);
+      await waitUntilReady(daemon);
+      assert.equal((await send(daemon, 'GET', 'x')).status, 200);
     }
 
-    await untilMembers(first, 2);
+    await waitUntilMembers(first, 2);
     await command(admin, 'vm', 'drain', VMS[0], '--reason', 'disk light');
-    await untilDrained(() => command(admin, 'vm', 'list', '--json'));
+    await waitUntilDrained(() => command(admin, 'vm', 'list', '--json'));
 
-    const before = await ask(first, 'POST', 'once', 'key-of-the-caller');
+    const before = await send(first, 'POST', 'once', 'key-of-the-caller');
     assert.equal(before.status, 200);
     assert.equal(await first.run.end('SIGKILL'), null);
-    assert.equal((await ask(second, 'GET', 'y')).status, 200);
-    const again = await ask(second, 'POST', 'once', 'key-of-the-caller');
+    assert.equal((await send(second, 'GET', 'y')).status, 200);
+    const again = await send(second, 'POST', 'once', 'key-of-the-caller');
     assert.ok(['yes', 'unknown'].includes(again.run), JSON.stringify(again));
     assert.match(again.reason, /^key_/);
     await standIns.line(/^ran \S+ GET \/desk\/y$/);
@@ -136,8 +136,8 @@
     assert.equal(await second.run.end('SIGTERM'), 0);
   });
 
-  describe('the daemon program with wrong settings', () => {
-    const whole = settingsText('entry-1', '127.0.0.1:1', 'none');
+  describe('daemon program with invalid settings', () => {
+    const whole = formatSettings('entry-1', '127.0.0.1:1', 'none');
     const cases: ReadonlyArray<readonly [string, string, RegExp]> = [
       [
         'a missing key',
@@ -169,7 +169,7 @@
       ],
     ];
     for (const [name, text, message] of cases) {
-      it(`ends with 2 and names file, section, key and expectation: ${name}`, async () => {
+      it(`exits with 2 and names the file, section, key and expected value: ${name}`, async () => {
         assert.notEqual(text, whole);
         const path = write('wrong.ini', text);
         const run = start(ProgramPath.Daemon, ['--settings', path]);
@@ -181,7 +181,7 @@
   });
 });
 
-function settingsText(
+function formatSettings(
   name: string,
   platform: string,
   operatorKey: string,
@@ -212,7 +212,7 @@
 `;
 }
 
-async function ask(
+async function send(
   daemon: RunningDaemon,
   method: 'GET' | 'POST',
   path: string,
@@ -229,21 +229,21 @@
   return {status, run, reason: String(headers['gentiandoor-reason'])};
 }
 
-async function untilReady({admin}: RunningDaemon): Promise<void> {
-  for (let step = 0; step < MOST_STEPS; step++) {
+async function waitUntilReady({admin}: RunningDaemon): Promise<void> {
+  for (let step = 0; step < MAXIMUM_STEPS; step++) {
     const answer = await request(`http://${admin}/health/ready`);
     await answer.body.dump();
     if (answer.statusCode === 200) return;
     await pause(STEP_MILLISECONDS);
   }
-  assert.fail('the daemon did not become ready');
+  assert.fail('expected the daemon to become ready');
 }
 
-async function untilMembers(
+async function waitUntilMembers(
   {admin}: RunningDaemon,
   count: number,
 ): Promise<void> {
-  for (let step = 0; step < MOST_STEPS; step++) {
+  for (let step = 0; step < MAXIMUM_STEPS; step++) {
     const answer = await request(`http://${admin}/status`, {
       headers: {authorization: `Bearer ${ADMIN_KEY}`},
     });
@@ -251,11 +251,11 @@
     if (members.length === count) return;
     await pause(STEP_MILLISECONDS);
   }
-  assert.fail('the daemons did not become members');
+  assert.fail('expected all daemons to become members');
 }
 
-async function untilDrained(list: () => Promise<string>): Promise<void> {
-  for (let step = 0; step < MOST_STEPS; step++) {
+async function waitUntilDrained(list: () => Promise<string>): Promise<void> {
+  for (let step = 0; step < MAXIMUM_STEPS; step++) {
     const vms = JSON.parse(await list()) as Array<{
       id: string;
       work?: {waitsFor: readonly string[]};
@@ -264,5 +264,5 @@
     if (work && work.waitsFor.length === 0) return;
     await pause(STEP_MILLISECONDS);
   }
-  assert.fail('the VM was not drained');
+  assert.fail('expected the VM to be drained');
 }
--- a/packages/bench/src/__tests__/slope.test.ts
+++ b/packages/bench/src/__tests__/slope.test.ts
@@ -6,7 +6,7 @@
 
 describe('fitSlope', () => {
   describe('with points on a line', () => {
-    it('finds the line', () => {
+    it('returns the line', () => {
       const slope = fitSlope(
         SIZES.map(size => ({size, value: 500 + 3 * size})),
       );
@@ -18,7 +18,7 @@
   });
 
   describe('with quadratic growth', () => {
-    it('says that it is worse than linear', () => {
+    it('reports an exponent above linear', () => {
       const slope = fitSlope(SIZES.map(size => ({size, value: size * size})));
       assert.ok(slope.exponent > LINEAR_EXPONENT);
       assert.ok(slope.error > 0.05);
@@ -26,7 +26,7 @@
   });
 
   describe('with quadratic growth behind a constant part', () => {
-    it('says so by the largest sizes', () => {
+    it('reports an exponent above linear between the largest sizes', () => {
       const slope = fitSlope(
         SIZES.map(size => ({size, value: 1e8 + size * size})),
       );
--- a/packages/bench/src/__tests__/whole-path.test.ts
+++ b/packages/bench/src/__tests__/whole-path.test.ts
@@ -5,7 +5,7 @@
 import {ADMIN_KEY, Deployment} from '../deployment.js';
 import {oneRackBundle} from '../one-rack-bundle.js';
 
-describe('the whole path', () => {
+describe('path from caller to target', () => {
   const deployment = new Deployment();
 
   before(async () => {
@@ -21,7 +21,7 @@
   after(() => deployment.stop());
 
   describe('before a bundle is in force', () => {
-    it('answers that nothing was run and when to come again', async () => {
+    it('responds with "not run" and a retry time', async () => {
       const answer = await request(
         `http://${deployment.daemons[0].callerAddress}/counter-preview/x`,
       );
@@ -44,7 +44,7 @@
       ),
     );
 
-    it('carries a request to a target and its whole answer back', async () => {
+    it('forwards a request to a target and returns the complete response', async () => {
       const answer = await request(
         `http://${deployment.daemons[0].callerAddress}/counter-preview/x`,
       );
@@ -54,7 +54,7 @@
       assert.equal(body.path, '/counter-preview/x');
     });
 
-    it('carries a body', async () => {
+    it('forwards a request body', async () => {
       const answer = await request(
         `http://${deployment.daemons[0].callerAddress}/counter-preview/y`,
         {
--- a/packages/bench/src/caller.ts
+++ b/packages/bench/src/caller.ts
@@ -4,18 +4,18 @@
 
 /** A request that a caller sends. */
 export interface CallerRequest {
-  /** Unique; the path ends with it. */
+  /** Unique id, the last segment of the path. */
   readonly id: string;
   readonly service: string;
   readonly method: 'GET' | 'POST';
   readonly body?: string;
   readonly idempotencyKey?: string;
-  /** Key of an authenticated caller. */
+  /** Bearer key of an authenticated caller. */
   readonly callerKey?: string;
 }
 
 const CONNECTIONS = 64;
-const CUT: Pick<
+const LOST_RESPONSE: Pick<
   CallerOutcome,
   'status' | 'reason' | 'run' | 'isComplete' | 'mixed'
 > = {
@@ -26,7 +26,7 @@
   mixed: false,
 };
 
-/** Sends requests over keep-alive connections and says what it got. */
+/** Sends requests over keep-alive connections and returns their outcomes. */
 export class Caller {
   private readonly agent = new Agent({connections: CONNECTIONS, pipelining: 1});
 
@@ -38,13 +38,18 @@
         origin: `http://${address}`,
         path: `/${service}/${id}`,
         method: request.method,
-        headers: headersOf(request),
+        headers: requestHeaders(request),
         body: request.body,
       });
-      return {id, service, idempotent, ...(await judge(answer, request))};
+      return {
+        id,
+        service,
+        idempotent,
+        ...(await parseOutcome(answer, request)),
+      };
     } catch (error) {
       void toError(error);
-      return {id, service, idempotent, ...CUT};
+      return {id, service, idempotent, ...LOST_RESPONSE};
     }
   }
 
@@ -53,22 +58,25 @@
   }
 }
 
-async function judge(answer: Dispatcher.ResponseData, request: CallerRequest) {
+async function parseOutcome(
+  answer: Dispatcher.ResponseData,
+  request: CallerRequest,
+) {
   const text = await answer.body.text();
   const reason = String(answer.headers['gentiandoor-reason'] ?? '');
   const run = String(answer.headers['gentiandoor-run'] ?? '');
-  const path = reason === '' ? pathOf(text) : undefined;
-  const own = path === `/${request.service}/${request.id}`;
+  const path = reason === '' ? parsePath(text) : undefined;
+  const isOwnResponse = path === `/${request.service}/${request.id}`;
   return {
     status: answer.statusCode,
     reason,
     run,
-    isComplete: own,
-    mixed: path !== undefined && !own,
+    isComplete: isOwnResponse,
+    mixed: path !== undefined && !isOwnResponse,
   };
 }
 
-function pathOf(text: string): string | undefined {
+function parsePath(text: string): string | undefined {
   try {
     return (JSON.parse(text) as {path?: string}).path;
   } catch {
@@ -76,7 +84,7 @@
   }
 }
 
-function headersOf(request: CallerRequest): Record<string, string> {
+function requestHeaders(request: CallerRequest): Record<string, string> {
   const headers: Record<string, string> = {};
   if (request.idempotencyKey)
     headers['idempotency-key'] = request.idempotencyKey;
--- a/packages/bench/src/demo/demo.ts
+++ b/packages/bench/src/demo/demo.ts
@@ -21,13 +21,13 @@
 const CALLERS_PER_SERVICE = 4;
 const PAUSE_MILLISECONDS = 10;
 const PHASE_MILLISECONDS = 1500;
-/** Shorter than in service, so that the demo's restart takes seconds. */
-const PLAN: DaemonSettingsOverrides = {
+/** Shorter than the defaults, so that the demo's restart takes seconds. */
+const SETTINGS: DaemonSettingsOverrides = {
   callerHttp: {keep_alive_milliseconds: 1500, drain_grace_milliseconds: 300},
 };
 const WAVE = 'december';
 const WAVE_POOL = 'counter-preview';
-const WAVE_MILLISECONDS = 30_000;
+const WAIT_TIMEOUT_MILLISECONDS = 30_000;
 const JOB = 'badge-run-1';
 const DATA_CENTRES = ['hall-a', 'hall-b', 'hall-c'];
 
@@ -45,12 +45,15 @@
     service: 'logo-desk',
     make: id => ({id, service: 'logo-desk', method: 'GET'}),
   },
-  keyed('crest-works', undefined),
-  keyed('school-emblems', undefined),
-  keyed('ledger-room', 'example-key-of-billing-desk'),
+  keyedWorkload('crest-works', undefined),
+  keyedWorkload('school-emblems', undefined),
+  keyedWorkload('ledger-room', 'example-key-of-billing-desk'),
 ];
 
-function keyed(service: string, callerKey: string | undefined): Workload {
+function keyedWorkload(
+  service: string,
+  callerKey: string | undefined,
+): Workload {
   return {
     service,
     make: id => ({
@@ -64,26 +67,29 @@
   };
 }
 
-/** The main job on embedded stand-ins: a roll-out, requests of each kind, a rack drained in the middle. */
+/**
+ * Runs the main features on embedded stand-ins: roll-outs, requests of each kind, a rack drain, a
+ * wave, a job and a daemon restart, all under load.
+ */
 export class Demo {
   private readonly deployment = new Deployment(new SilentLogger(), 'keisha');
   private readonly caller = new Caller();
-  private readonly ledger = new GuaranteeChecker();
+  private readonly guaranteeChecker = new GuaranteeChecker();
   private running = true;
   private sent = 0;
 
   constructor(private readonly print: (line: string) => void) {}
 
-  /** Resolves with true when every promise held. */
+  /** Resolves with true when no guarantee was violated. */
   async run(): Promise<boolean> {
     const started = performance.now();
     try {
       await this.startAll();
       const callers = this.startCallers();
       await this.drainRack();
-      await this.beginWave();
+      await this.startWave();
       await this.runJob();
-      await this.rollOutAgain();
+      await this.rollOutNextVersion();
       await this.restartDaemon();
       this.running = false;
       await Promise.all(callers);
@@ -105,8 +111,16 @@
       target.latencyMilliseconds = TARGET_LATENCY_MILLISECONDS;
     }
     for (const dataCentre of DATA_CENTRES) {
-      await deployment.startDaemon(`entry-${dataCentre}-1`, dataCentre, PLAN);
-      await deployment.startDaemon(`entry-${dataCentre}-2`, dataCentre, PLAN);
+      await deployment.startDaemon(
+        `entry-${dataCentre}-1`,
+        dataCentre,
+        SETTINGS,
+      );
+      await deployment.startDaemon(
+        `entry-${dataCentre}-2`,
+        dataCentre,
+        SETTINGS,
+      );
     }
     this.print(
       `started: ${deployment.targets.size} targets in ${DATA_CENTRES.length} data centres, ${deployment.daemons.length} entry daemons`,
@@ -136,10 +150,12 @@
     while (this.running) {
       const request = workload.make(`${workload.service}-${this.sent++}`);
       const outcome = await this.caller.send(this.nextAddress(), request);
-      this.ledger.record(outcome);
-      // Every tenth keyed request is sent again through another daemon, as callers do.
+      this.guaranteeChecker.record(outcome);
+      // Retries every tenth keyed request through another daemon, as callers do.
       if (request.idempotencyKey !== undefined && this.sent % 10 === 0) {
-        this.ledger.record(await this.caller.send(this.nextAddress(), request));
+        this.guaranteeChecker.record(
+          await this.caller.send(this.nextAddress(), request),
+        );
       }
       await sleep(this.deployment.clock, PAUSE_MILLISECONDS);
     }
@@ -157,21 +173,24 @@
       id.startsWith(DRAINED_RACK),
     );
     for (const vm of vms)
-      await this.operator('vm', 'drain', vm, '--reason', 'rack maintenance');
+      await this.runCommand('vm', 'drain', vm, '--reason', 'rack maintenance');
     await sleep(deployment.clock, PHASE_MILLISECONDS);
     const before = this.runsOf(vms);
     await sleep(deployment.clock, PHASE_MILLISECONDS);
     this.print(
       `drain: rack ${DRAINED_RACK} (${vms.length} VMs) got ${this.runsOf(vms) - before} new requests in the last ${PHASE_MILLISECONDS} ms of its drain`,
     );
-    for (const vm of vms) await this.operator('vm', 'return', vm);
+    for (const vm of vms) await this.runCommand('vm', 'return', vm);
     this.print(`drain: rack ${DRAINED_RACK} takes work again`);
   }
 
-  /** A wave watches each VM for a minute after its reboot; the demo shows the first and holds it. */
-  private async beginWave(): Promise<void> {
+  /**
+   * Starts a wave and holds it when its first VM is on trial. A wave observes each VM for a
+   * minute after its reboot; the demo shows only the first.
+   */
+  private async startWave(): Promise<void> {
     const from = performance.now();
-    await this.operator(
+    await this.runCommand(
       ...['maintenance', 'start', WAVE, '--reason', 'kernel update'],
       ...['--pools', WAVE_POOL],
     );
@@ -179,9 +198,15 @@
     await this.deployment.waitUntil(() => {
       rebooted = this.vmOnTrial();
       return rebooted !== undefined;
-    }, WAVE_MILLISECONDS);
+    }, WAIT_TIMEOUT_MILLISECONDS);
     const seconds = ((performance.now() - from) / 1000).toFixed(1);
-    await this.operator('maintenance', 'hold', WAVE, '--reason', 'end of demo');
+    await this.runCommand(
+      'maintenance',
+      'hold',
+      WAVE,
+      '--reason',
+      'end of demo',
+    );
     this.print(
       `wave: ${rebooted} drained, acknowledged by every daemon, rebooted and under watch after ${seconds} s; wave held`,
     );
@@ -199,11 +224,14 @@
 
   private async runJob(): Promise<void> {
     const {deployment} = this;
-    await this.operator(
+    await this.runCommand(
       ...['job', 'submit', JOB, '--pool', 'school-emblems'],
       ...['--team', 'cooperatives', '--processors', '4', '--memory', '8'],
     );
-    await deployment.waitUntil(() => this.isJobDone(), WAVE_MILLISECONDS);
+    await deployment.waitUntil(
+      () => this.isJobDone(),
+      WAIT_TIMEOUT_MILLISECONDS,
+    );
     this.print(`job: ${JOB} ran on a VM of school-emblems under a lease`);
   }
 
@@ -211,14 +239,14 @@
     return this.state().jobs.get(JOB)?.state === JobState.Finished;
   }
 
-  /** Runs a command of the operators' command line; throws when it fails. */
-  private async operator(...words: string[]): Promise<void> {
+  /** Runs a command of the command line; throws an error with its diagnostics if it fails. */
+  private async runCommand(...words: string[]): Promise<void> {
     const [{adminAddress}] = this.deployment.daemons;
-    const notes: string[] = [];
+    const diagnostics: string[] = [];
     const context = {
       ...processContext(),
       print: () => undefined,
-      printDiagnostic: (line: string) => notes.push(line),
+      printDiagnostic: (line: string) => diagnostics.push(line),
     };
     const common = ['--admin', adminAddress, '--key', ADMIN_KEY];
     const code = await runProgram(
@@ -226,7 +254,7 @@
       context,
     );
     if (code !== ExitCode.Done)
-      throw new Error(`${words.join(' ')}: ${notes.join(' ')}`);
+      throw new Error(`${words.join(' ')}: ${diagnostics.join(' ')}`);
   }
 
   private runsOf(vms: readonly string[]): number {
@@ -237,7 +265,7 @@
     );
   }
 
-  private async rollOutAgain(): Promise<void> {
+  private async rollOutNextVersion(): Promise<void> {
     const text = kingstonBundle(this.deployment.operator.publicKey);
     await this.rollOut(
       nextVersion(text, 'service.counter-preview', 'queue_limit', '96'),
@@ -248,19 +276,24 @@
     const {daemons} = this.deployment;
     const [leaving] = daemons.splice(0, 1);
     await leaving.daemon.drainAndStop();
-    await this.deployment.startDaemon(leaving.name, 'hall-a', PLAN);
+    await this.deployment.startDaemon(leaving.name, 'hall-a', SETTINGS);
     await sleep(this.deployment.clock, PHASE_MILLISECONDS);
     this.print(`restart: ${leaving.name} stopped gracefully and came back`);
   }
 
   private report(seconds: string): boolean {
-    const {outcomes} = this.ledger;
+    const {outcomes} = this.guaranteeChecker;
     this.print(`callers: ${outcomes.length} requests in ${seconds} s`);
-    for (const [line, count] of this.ledger.summary())
+    for (const [line, count] of this.guaranteeChecker.summary())
       this.print(`  ${count} x ${line}`);
-    const broken = this.ledger.violations(this.deployment.targets.values());
-    const total = Object.values(broken).reduce((sum, count) => sum + count, 0);
-    for (const [name, count] of Object.entries(broken))
+    const violations = this.guaranteeChecker.violations(
+      this.deployment.targets.values(),
+    );
+    const total = Object.values(violations).reduce(
+      (sum, count) => sum + count,
+      0,
+    );
+    for (const [name, count] of Object.entries(violations))
       this.print(`promise ${name}: ${count}`);
     const answered = outcomes.some(outcome => outcome.isComplete);
     this.print(
--- a/packages/bench/src/demo/kingston.ts
+++ b/packages/bench/src/demo/kingston.ts
@@ -2,7 +2,7 @@
 import {fileURLToPath} from 'node:url';
 import {parseBundle, type Bundle} from '@gentiandoor/shared-state';
 
-/** Kingston's sample bundle with another key for its operators. */
+/** Returns the Kingston sample bundle with the public key of all operators replaced. */
 export function kingstonBundle(operatorPublicKey: string): string {
   const url = new URL(
     '../../../../examples/kingston/bundle.ini',
@@ -15,7 +15,7 @@
   );
 }
 
-/** The same bundle as the next version, with one key of a section changed. */
+/** Returns the bundle as its next version with one key of a section changed. */
 export function nextVersion(
   text: string,
   section: string,
@@ -34,7 +34,7 @@
   );
 }
 
-/** Racks of a bundle with their VMs. */
+/** Returns the racks of a bundle with their names and VMs. */
 export function racksOf(bundle: Bundle) {
   return Object.entries(bundle.racks).map(([name, rack]) => ({name, ...rack}));
 }
--- a/packages/bench/src/deployment.ts
+++ b/packages/bench/src/deployment.ts
@@ -34,7 +34,7 @@
   type TaskBehaviour,
 } from '@gentiandoor/stand-ins';
 
-/** Key of the admin ports of a deployment under test. */
+/** Admin key of all daemons of a deployment under test. */
 export const ADMIN_KEY = 'admin-key-for-tests-only';
 const DEFAULT_OPERATOR = 'kerry';
 const TASK_BEHAVIOUR: TaskBehaviour = {
@@ -45,8 +45,8 @@
 const BOOT_MILLISECONDS = 400;
 const PEER_KEY = 'peer-key-for-tests-only';
 const LOOPBACK = '127.0.0.1:0';
-const LONGEST_WAIT_MILLISECONDS = 10_000;
-const WAIT_STEP_MILLISECONDS = 10;
+const WAIT_TIMEOUT_MILLISECONDS = 10_000;
+const POLL_MILLISECONDS = 10;
 
 /** A rack and its VMs. */
 export interface RackPlan {
@@ -55,7 +55,7 @@
   readonly vms: readonly string[];
 }
 
-/** Settings of a daemon that differ from the usual ones. */
+/** Settings of a daemon that differ from the defaults of a deployment. */
 export interface DaemonSettingsOverrides {
   readonly callerListen?: string;
   readonly adminListen?: string;
@@ -64,7 +64,7 @@
   readonly admin?: Readonly<Record<string, number>>;
 }
 
-/** A daemon of a deployment. */
+/** A started daemon of a deployment with its bound addresses. */
 export interface RunningDaemon {
   readonly name: string;
   readonly daemon: Daemon;
@@ -72,7 +72,7 @@
   readonly adminAddress: string;
 }
 
-/** Embedded stand-ins and daemons in one process. */
+/** The platform's stand-ins, targets and daemons in one process. */
 export class Deployment {
   readonly clock = new SystemClock();
   readonly log = new MemoryLog(this.clock);
@@ -89,14 +89,14 @@
     ),
   );
   readonly daemons: RunningDaemon[] = [];
-  /** The operator whose key the daemons trust before the first bundle. */
+  /** Keys of the operator whom the daemons trust before the first bundle. */
   readonly operator: OperatorKeys = generateOperatorKeys();
   private platformAddress = '';
   private isRolledOut = false;
 
   constructor(
     private readonly logger: Logger = new SilentLogger(),
-    /** Name under which the operator signs off; the bundle must name it for the next one. */
+    /** Name under which the operator signs off; a bundle must list it to allow the next sign-off. */
     private readonly operatorName = DEFAULT_OPERATOR,
   ) {}
 
@@ -125,10 +125,10 @@
   async startDaemon(
     name: string,
     dataCentre: string,
-    plan: DaemonSettingsOverrides = {},
+    overrides: DaemonSettingsOverrides = {},
   ): Promise<RunningDaemon> {
     const settings = parseSettings(
-      this.settingsOf(name, dataCentre, plan),
+      this.settingsOf(name, dataCentre, overrides),
       `${name}.ini`,
     );
     const daemon = new Daemon(settings, {logger: this.logger});
@@ -139,13 +139,13 @@
       callerAddress: `127.0.0.1:${daemon.resolve<CallerHttpServer>('callerHttp').port}`,
       adminAddress: `127.0.0.1:${daemon.resolve<AdminServer>('admin').port}`,
     };
-    // As the balancer does: nothing is sent to a daemon before it is ready.
+    // Like the balancer, sends nothing to a daemon before it is ready.
     if (this.isRolledOut) await this.waitUntil(() => isReady(running));
     this.daemons.push(running);
     return running;
   }
 
-  /** Proposes a bundle, signs it off as the trusted operator and waits until all daemons have it. */
+  /** Proposes a bundle, signs it off as the trusted operator and waits until it is in force at all daemons. */
   async rollOut(text: string): Promise<void> {
     const {version} = parseBundle(text);
     const digest = sha256Hex(text);
@@ -171,7 +171,7 @@
     );
   }
 
-  /** Waits until every daemon serves the folded state, with all daemons as members. */
+  /** Waits until every daemon's folded state has all daemons as members. */
   async untilMembers(): Promise<void> {
     const count = this.daemons.length;
     await this.waitUntil(() =>
@@ -187,21 +187,21 @@
     await this.log.append(StreamName.Fleet, [encodeRecord(record)]);
   }
 
-  /** Waits for a condition; rejects when it does not come true in time. */
+  /** Waits until a condition is true; rejects after the timeout. */
   async waitUntil(
     condition: () => boolean,
-    longestMilliseconds = LONGEST_WAIT_MILLISECONDS,
+    timeoutMilliseconds = WAIT_TIMEOUT_MILLISECONDS,
   ): Promise<void> {
     for (
       let waited = 0;
-      waited < longestMilliseconds;
-      waited += WAIT_STEP_MILLISECONDS
+      waited < timeoutMilliseconds;
+      waited += POLL_MILLISECONDS
     ) {
       if (condition()) return;
-      await sleep(this.clock, WAIT_STEP_MILLISECONDS);
+      await sleep(this.clock, POLL_MILLISECONDS);
     }
     throw new Error(
-      `the condition did not come true within ${longestMilliseconds} ms`,
+      `expected the condition to become true within ${timeoutMilliseconds} ms`,
     );
   }
 
@@ -211,11 +211,11 @@
     await this.platform.stop();
   }
 
-  /** Settings of a daemon of this deployment, in INI; also for one in another process. */
+  /** Returns the INI settings of a daemon of this deployment; also valid in another process. */
   settingsOf(
     name: string,
     dataCentre: string,
-    plan: DaemonSettingsOverrides = {},
+    overrides: DaemonSettingsOverrides = {},
   ): string {
     return `
 [daemon]
@@ -236,27 +236,27 @@
 listen = ${LOOPBACK}
 key = ${PEER_KEY}
 [target-http]
-${linesOf(plan.targetHttp)}
+${formatSettings(overrides.targetHttp)}
 [caller-http]
-listen = ${plan.callerListen ?? LOOPBACK}
-${linesOf(plan.callerHttp)}
+listen = ${overrides.callerListen ?? LOOPBACK}
+${formatSettings(overrides.callerHttp)}
 [admin]
-listen = ${plan.adminListen ?? LOOPBACK}
+listen = ${overrides.adminListen ?? LOOPBACK}
 key = ${ADMIN_KEY}
-${linesOf(plan.admin)}
+${formatSettings(overrides.admin)}
 `;
   }
 }
 
-function linesOf(keys: Readonly<Record<string, number>> = {}): string {
+function formatSettings(keys: Readonly<Record<string, number>> = {}): string {
   return Object.entries(keys)
     .map(([key, value]) => `${key} = ${value}`)
     .join('\n');
 }
 
 function isReady({daemon}: RunningDaemon): boolean {
-  const {unreadyParts: waitingFor} = daemon.resolve<AdminServer>('admin');
-  return waitingFor.length === 0;
+  const {unreadyParts} = daemon.resolve<AdminServer>('admin');
+  return unreadyParts.length === 0;
 }
 
 function inForceVersion(running: RunningDaemon): number | undefined {
--- a/packages/bench/src/format-table.ts
+++ b/packages/bench/src/format-table.ts
@@ -1,15 +1,15 @@
 import type {ScenarioRow} from './scenario.js';
 
-const FIGURES = 4;
+const SIGNIFICANT_DIGITS = 4;
 
-/** Rows as an aligned plain-text table. */
+/** Formats rows as an aligned plain-text table. */
 export function formatTable(rows: readonly ScenarioRow[]): string {
   const columns = [...new Set(rows.flatMap(row => Object.keys(row.values)))];
   const lines = [
     ['', ...columns],
     ...rows.map(row => [
       row.label,
-      ...columns.map(name => cell(row.values[name])),
+      ...columns.map(name => formatCell(row.values[name])),
     ]),
   ];
   const widths = lines[0].map((_, column) =>
@@ -25,8 +25,8 @@
     .join('\n');
 }
 
-function cell(value: number | undefined): string {
+function formatCell(value: number | undefined): string {
   if (value === undefined) return '-';
   if (Number.isInteger(value)) return String(value);
-  return String(Number(value.toPrecision(FIGURES)));
+  return String(Number(value.toPrecision(SIGNIFICANT_DIGITS)));
 }
--- a/packages/bench/src/guarantee-checker.ts
+++ b/packages/bench/src/guarantee-checker.ts
@@ -1,35 +1,35 @@
 import type {TargetServer} from '@gentiandoor/stand-ins';
 
-/** What a caller saw of one request. */
+/** The outcome of one request as its caller observed it. */
 export interface CallerOutcome {
   readonly id: string;
   readonly service: string;
   readonly idempotent: boolean;
-  /** 0 when the connection was cut. */
+  /** HTTP status; 0 when the connection was lost. */
   readonly status: number;
-  /** Error kind; empty for a target's own answer. */
+  /** Error kind; empty for a target's own response. */
   readonly reason: string;
-  /** Value of the header `gentiandoor-run`; empty when the connection was cut. */
+  /** Value of the header `gentiandoor-run`; empty when the connection was lost. */
   readonly run: string;
-  /** True when a whole answer came and names this request. */
+  /** True when a complete response arrived that belongs to this request. */
   readonly isComplete: boolean;
-  /** True when an answer came that belongs to another request. */
+  /** True when the response belongs to another request. */
   readonly mixed: boolean;
 }
 
-/** Counts of broken promises; all must be 0. */
+/** Counts of violated guarantees; all must be 0. */
 export interface GuaranteeViolations {
-  /** Non-idempotent requests that targets ran more than once. */
+  /** Non-idempotent requests that targets executed more than once. */
   readonly runMoreThanOnce: number;
-  /** Requests whose caller was told "not run" although a target ran them. */
+  /** Requests reported to the caller as "not run" although a target executed them. */
   readonly falseNotRun: number;
-  /** Answers that were cut after they began, or never came. */
+  /** Responses that were truncated or never arrived. */
   readonly cut: number;
-  /** Answers that belong to another request. */
+  /** Responses that belong to another request. */
   readonly mixed: number;
 }
 
-/** Sets what callers were told against what targets ran. */
+/** Compares the responses that callers received with the requests that targets executed. */
 export class GuaranteeChecker {
   readonly outcomes: CallerOutcome[] = [];
 
@@ -37,7 +37,7 @@
     this.outcomes.push(outcome);
   }
 
-  /** Requests by service and result, most first. */
+  /** Returns counts of requests by service and outcome, in descending order. */
   summary(): Map<string, number> {
     const counts = new Map<string, number>();
     for (const outcome of this.outcomes) {
@@ -54,11 +54,11 @@
     const ids = new Map(
       this.outcomes.map(outcome => [outcome.id, outcome.idempotent]),
     );
-    const doubled = [...ids].filter(
+    const duplicates = [...ids].filter(
       ([id, idempotent]) => !idempotent && (runs.get(id) ?? 0) > 1,
     );
     return {
-      runMoreThanOnce: doubled.length,
+      runMoreThanOnce: duplicates.length,
       falseNotRun: count(
         outcome => outcome.run === 'no' && this.isRunUnexplained(outcome, runs),
       ),
@@ -67,7 +67,7 @@
     };
   }
 
-  /** A run that no other attempt under the same id accounts for. */
+  /** Returns whether a target executed the request and no other attempt with its id explains that. */
   private isRunUnexplained(
     outcome: CallerOutcome,
     runs: ReadonlyMap<string, number>,
@@ -98,7 +98,7 @@
   return runs;
 }
 
-/** The request id that a path ends with. */
+/** Returns the request id, the last segment of a path. */
 export function requestIdOf(path: string): string {
   return path.slice(path.lastIndexOf('/') + 1);
 }
--- a/packages/bench/src/load/balancer.ts
+++ b/packages/bench/src/load/balancer.ts
@@ -4,7 +4,7 @@
 
 const POLL_MILLISECONDS = 50;
 
-/** A balancer as the platform's: sends a connection to any daemon whose health answer says ready. */
+/** A balancer like the platform's: sends a connection to any daemon whose health check reports ready. */
 export class Balancer {
   private ready: readonly string[] = [];
   private running = true;
@@ -15,17 +15,17 @@
     private readonly daemons: () => readonly RunningDaemon[],
   ) {}
 
-  /** Polls the health answers until `stop`. */
+  /** Polls the health checks until `stop`. */
   async run(): Promise<void> {
     while (this.running) {
-      const asked = this.daemons().map(daemon => addressIfReady(daemon));
-      const answers = await Promise.all(asked);
-      this.ready = answers.filter(address => address !== undefined);
+      const checks = this.daemons().map(daemon => addressIfReady(daemon));
+      const addresses = await Promise.all(checks);
+      this.ready = addresses.filter(address => address !== undefined);
       await sleep(this.clock, POLL_MILLISECONDS);
     }
   }
 
-  /** A daemon for a new connection; undefined when none is ready. */
+  /** Returns the address of a random ready daemon; undefined when none is ready. */
   pick(): string | undefined {
     return this.ready[this.random.nextInteger(this.ready.length)];
   }
--- a/packages/bench/src/load/closed-loop.ts
+++ b/packages/bench/src/load/closed-loop.ts
@@ -4,32 +4,32 @@
 
 const MICROSECONDS = 1000;
 const HEAD_END = '\r\n\r\n';
-const LENGTH = /content-length: (\d+)/i;
+const CONTENT_LENGTH = /content-length: (\d+)/i;
 const LAST_CHUNK = '0\r\n\r\n';
 const OK = 'HTTP/1.1 200';
 
-/** What a load measured. */
+/** Measured result of a load. */
 export interface LoadResult {
   readonly requestsPerSecond: number;
   readonly answered: number;
-  /** Answers other than 200, and connections that ended within a request. */
+  /** Responses other than 200, and connections that closed during a request. */
   readonly failed: number;
   /** Latencies in microseconds. */
   readonly latencies: Histogram;
 }
 
-/** What to send, and how long. */
+/** The request to send and the size of the load. */
 export interface LoadPlan {
   readonly address: string;
   readonly connections: number;
-  /** One request as bytes. */
+  /** One serialised request. */
   readonly request: string;
-  /** Requests in all; the load ends with this or with `milliseconds`, whichever is first. */
+  /** Total requests; the load ends at this count or after `milliseconds`, whichever comes first. */
   readonly requests?: number;
   readonly milliseconds?: number;
 }
 
-/** Sends one request after another on each of a number of kept connections. */
+/** Sends requests one after another on each of several keep-alive connections. */
 export async function runClosedLoop(plan: LoadPlan): Promise<LoadResult> {
   const load = new ClosedLoop(plan);
   return load.run();
@@ -41,7 +41,7 @@
     highestTrackableValue: 60_000_000,
     numberOfSignificantValueDigits: 3,
   });
-  private begun = 0;
+  private started = 0;
   private failed = 0;
   private end = Infinity;
 
@@ -51,7 +51,9 @@
     const {connections, milliseconds = Infinity} = this.plan;
     const start = performance.now();
     this.end = start + milliseconds;
-    await Promise.all(Array.from({length: connections}, () => this.caller()));
+    await Promise.all(
+      Array.from({length: connections}, () => this.runConnection()),
+    );
     const seconds = (performance.now() - start) / MICROSECONDS;
     const answered = this.latencies.totalCount;
     return {
@@ -64,11 +66,11 @@
 
   private get isOver(): boolean {
     const {requests = Infinity} = this.plan;
-    return this.begun >= requests || performance.now() >= this.end;
+    return this.started >= requests || performance.now() >= this.end;
   }
 
-  /** Callbacks on a bare socket: the load must cost far less than what it measures. */
-  private caller(): Promise<void> {
+  /** Uses callbacks on a plain socket: the load must cost far less than what it measures. */
+  private runConnection(): Promise<void> {
     return new Promise(resolve => {
       const {host, port} = splitAddress(this.plan.address);
       const socket = net.connect({host, port, noDelay: true});
@@ -80,7 +82,7 @@
           socket.end();
           return;
         }
-        this.begun++;
+        this.started++;
         waiting = true;
         sentAt = performance.now();
         socket.write(this.plan.request, 'latin1');
@@ -88,7 +90,7 @@
       socket.on('connect', next);
       socket.on('data', chunk => {
         unread += chunk.toString('latin1');
-        if (!isWhole(unread)) return;
+        if (!isComplete(unread)) return;
         if (!unread.startsWith(OK)) this.failed++;
         unread = '';
         waiting = false;
@@ -105,11 +107,11 @@
   }
 }
 
-function isWhole(bytes: string): boolean {
+function isComplete(bytes: string): boolean {
   const headEnd = bytes.indexOf(HEAD_END);
   if (headEnd < 0) return false;
   const start = headEnd + HEAD_END.length;
-  const length = LENGTH.exec(bytes.slice(0, start));
+  const length = CONTENT_LENGTH.exec(bytes.slice(0, start));
   if (length) return bytes.length >= start + Number(length[1]);
   return bytes.endsWith(LAST_CHUNK);
 }
--- a/packages/bench/src/load/keep-alive-caller.ts
+++ b/packages/bench/src/load/keep-alive-caller.ts
@@ -5,36 +5,36 @@
 
 const HEAD_END = '\r\n\r\n';
 
-/** What was seen of one request, with the time it took. */
+/** The outcome of a request with its latency. */
 export interface TimedOutcome extends CallerOutcome {
   readonly milliseconds: number;
 }
 
-interface RawAnswer {
+interface RawResponse {
   readonly status: number;
   readonly head: string;
   readonly body: string;
 }
 
 /**
- * A caller on one kept connection at a time. It never sends a request again: what is cut, is
- * counted as cut. A connection that cannot be opened has carried nothing and is not counted.
+ * A caller with one keep-alive connection at a time. It never retries: a lost response is recorded
+ * as cut. A connection that cannot be opened has sent nothing and is not counted.
  */
 export class KeepAliveCaller {
   private socket: net.Socket | undefined;
 
-  /** `pick` gives the address for a new connection. */
-  constructor(private readonly pick: () => string | undefined) {}
+  /** `pick` returns the address for a new connection. */
+  constructor(private readonly pickAddress: () => string | undefined) {}
 
-  /** Undefined when no connection could be opened: nothing was sent. */
+  /** Sends a request; resolves with undefined if no connection could be opened and nothing was sent. */
   async send(request: CallerRequest): Promise<TimedOutcome | undefined> {
-    const socket = await this.connected();
+    const socket = await this.connect();
     if (!socket) return undefined;
     const start = performance.now();
-    const answer = await exchange(socket, bytesOf(request));
+    const answer = await exchange(socket, serializeRequest(request));
     const milliseconds = performance.now() - start;
-    if (!answer || closes(answer)) this.close();
-    return {...judge(request, answer), milliseconds};
+    if (!answer || announcesClose(answer)) this.close();
+    return {...toOutcome(request, answer), milliseconds};
   }
 
   close(): void {
@@ -42,10 +42,10 @@
     this.socket = undefined;
   }
 
-  private async connected(): Promise<net.Socket | undefined> {
+  private async connect(): Promise<net.Socket | undefined> {
     const open = this.socket;
     if (open && !open.destroyed && open.readyState === 'open') return open;
-    const address = this.pick();
+    const address = this.pickAddress();
     if (address === undefined) return undefined;
     const {host, port} = splitAddress(address);
     const socket = net.connect({host, port, noDelay: true});
@@ -59,21 +59,21 @@
   }
 }
 
-/** Resolves with the whole answer, or undefined when the connection ended before. */
+/** Resolves with the complete response, or undefined when the connection closed before. */
 function exchange(
   socket: net.Socket,
   bytes: string,
-): Promise<RawAnswer | undefined> {
+): Promise<RawResponse | undefined> {
   return new Promise(resolve => {
     let unread = '';
-    const finish = (answer: RawAnswer | undefined) => {
+    const finish = (answer: RawResponse | undefined) => {
       socket.off('data', onData);
       socket.off('close', onClose);
       resolve(answer);
     };
     const onData = (chunk: Buffer) => {
       unread += chunk.toString('latin1');
-      const answer = wholeAnswer(unread);
+      const answer = parseResponse(unread);
       if (answer) finish(answer);
     };
     const onClose = () => finish(undefined);
@@ -83,20 +83,20 @@
   });
 }
 
-function wholeAnswer(bytes: string): RawAnswer | undefined {
+function parseResponse(bytes: string): RawResponse | undefined {
   const headEnd = bytes.indexOf(HEAD_END);
   if (headEnd < 0) return undefined;
   const head = bytes.slice(0, headEnd);
   const start = headEnd + HEAD_END.length;
-  const length = Number(headerOf(head, 'content-length') ?? 0);
+  const length = Number(findHeader(head, 'content-length') ?? 0);
   if (bytes.length < start + length) return undefined;
   const body = bytes.slice(start, start + length);
   return {status: Number(head.split(' ', 2)[1]), head, body};
 }
 
-function judge(
+function toOutcome(
   request: CallerRequest,
-  answer: RawAnswer | undefined,
+  answer: RawResponse | undefined,
 ): CallerOutcome {
   const {id, service} = request;
   const idempotent = request.method === 'GET';
@@ -113,23 +113,28 @@
     };
   }
   const {status, head, body} = answer;
-  const reason = headerOf(head, 'gentiandoor-reason') ?? '';
-  const run = headerOf(head, 'gentiandoor-run') ?? '';
-  const own = reason === '' && body.includes(`"/${service}/${id}"`);
-  const mixed = reason === '' && !own;
-  return {...base, status, reason, run, isComplete: own, mixed};
+  const reason = findHeader(head, 'gentiandoor-reason') ?? '';
+  const run = findHeader(head, 'gentiandoor-run') ?? '';
+  const isOwnResponse = reason === '' && body.includes(`"/${service}/${id}"`);
+  const mixed = reason === '' && !isOwnResponse;
+  return {...base, status, reason, run, isComplete: isOwnResponse, mixed};
 }
 
-function bytesOf({id, service, method, body = ''}: CallerRequest): string {
+function serializeRequest({
+  id,
+  service,
+  method,
+  body = '',
+}: CallerRequest): string {
   const lines = [`${method} /${service}/${id} HTTP/1.1`, 'host: desk.example'];
   if (method === 'POST') lines.push(`content-length: ${body.length}`);
   return [...lines, '', body].join('\r\n');
 }
 
-function closes({head}: RawAnswer): boolean {
-  return headerOf(head, 'connection')?.toLowerCase() === 'close';
+function announcesClose({head}: RawResponse): boolean {
+  return findHeader(head, 'connection')?.toLowerCase() === 'close';
 }
 
-function headerOf(head: string, name: string): string | undefined {
+function findHeader(head: string, name: string): string | undefined {
   return new RegExp(`^${name}: (.*)$`, 'im').exec(head)?.[1];
 }
--- a/packages/bench/src/load/steady-load.ts
+++ b/packages/bench/src/load/steady-load.ts
@@ -4,16 +4,16 @@
 
 const RETRY_CONNECT_MILLISECONDS = 20;
 
-/** A steady load of kept connections. */
+/** Parameters of a steady load on keep-alive connections. */
 export interface SteadyLoadPlan {
   readonly service: string;
   readonly callers: number;
-  /** Longest pause of a caller between two requests; each pause is a random part of it. */
+  /** Maximum pause of a caller between two requests; each pause is a random fraction of it. */
   readonly pauseMilliseconds: number;
   readonly pick: () => string | undefined;
 }
 
-/** Callers that send GET and POST in turns, each request with an id of its own, without keys. */
+/** Callers that alternate GET and POST; each request has a unique id and no idempotency key. */
 export class SteadyLoad {
   readonly guaranteeChecker = new GuaranteeChecker();
   readonly outcomes: TimedOutcome[] = [];
@@ -41,7 +41,7 @@
   private async keepSending(): Promise<void> {
     const caller = new KeepAliveCaller(this.plan.pick);
     while (this.running) {
-      const outcome = await caller.send(this.next());
+      const outcome = await caller.send(this.nextRequest());
       if (outcome) {
         this.guaranteeChecker.record(outcome);
         this.outcomes.push(outcome);
@@ -54,7 +54,7 @@
     caller.close();
   }
 
-  private next() {
+  private nextRequest() {
     const id = `r${this.sent++}`;
     const {service} = this.plan;
     return this.sent % 2 === 0
--- a/packages/bench/src/model/deployment-model.ts
+++ b/packages/bench/src/model/deployment-model.ts
@@ -6,16 +6,16 @@
 import type {Policy} from './policies.js';
 import {RequestStatistics} from './request-statistics.js';
 
-/** Requests of one kind that come at random moments. */
+/** Requests of one kind with random arrival times. */
 export interface RequestStream {
   readonly name: string;
-  /** Service that it asks for; its own when undefined. */
+  /** Requested service; the stream's name when undefined. */
   readonly service?: string;
   readonly work: WorkLength;
   readonly meanMilliseconds: number;
-  /** Requests a second at a moment of the run, in milliseconds. */
+  /** Requests per second at a time of the run in milliseconds. */
   readonly perSecond: (now: number) => number;
-  /** Largest value of `perSecond`. */
+  /** Maximum of `perSecond`. */
   readonly peakPerSecond: number;
   readonly team: TeamPolicy;
   readonly callers: number;
@@ -23,54 +23,54 @@
   readonly waitMilliseconds: number;
   readonly callerTimeoutMilliseconds: number;
   readonly queueLimit: number;
-  /** Gives all to the first daemon of one data centre. */
+  /** Sends all requests to the first daemon of this data centre. */
   readonly dataCentre?: number;
-  /** Daemons that get this stream's requests; all when undefined. */
+  /** Number of daemons that receive this stream's requests; all when undefined. */
   readonly daemons?: number;
 }
 
-/** The fleet that a scenario plays on. */
+/** The simulated fleet and load of a scenario. */
 export interface ModelPlan {
   readonly daemons: number;
   readonly targets: number;
   readonly targetsInRack: number;
-  /** Data centres over which racks and daemons are spread in turn. */
+  /** Number of data centres; racks and daemons are assigned to them round-robin. */
   readonly dataCentres: number;
   readonly seed: number;
   readonly warmUpMilliseconds: number;
   readonly milliseconds: number;
   readonly streams: readonly RequestStream[];
-  /** Whether a daemon tells its peers at once when requests begin to wait. */
+  /** Whether a daemon sends its peers a summary early when requests start to wait. */
   readonly sendsEarlySummaries: boolean;
-  /** False: all targets count as near. */
+  /** If false, all targets count as in the daemon's data centre. */
   readonly prefersSameDataCentre?: boolean;
-  /** False: daemons use their own data centre's targets only. */
+  /** If false, daemons use only targets of their own data centre. */
   readonly allowsOtherDataCentres?: boolean;
-  /** Requests that wait inside a target past its slots; it answers busy to more. */
+  /** Requests that wait inside a target when its slots are taken; it answers further ones as busy. */
   readonly backlog?: number;
-  /** Called at the start: schedules faults. */
+  /** Called before the run to schedule faults. */
   readonly script?: (model: DeploymentModel) => void;
 }
 
-/** Slots of a target today. */
+/** Slots of each target. */
 export const SLOTS = 8;
 const CONNECTIONS = 64;
 const SUMMARY_MILLISECONDS = 250;
 const MINIMUM_EARLY_INTERVAL_MILLISECONDS = 100;
-/** Time after the last arrival for what is under way. */
-const DRAIN_MILLISECONDS = 90_000;
+/** Time after the last arrival for requests in flight to end. */
+const COMPLETION_MILLISECONDS = 90_000;
 
-/** Daemons and targets on a virtual clock, under one policy. */
+/** Simulates daemons and targets on a virtual clock under one policy. */
 export class DeploymentModel {
   readonly clock = new EventClock();
   readonly targets = new Map<string, ModelTarget>();
   readonly daemons: ModelDaemon[] = [];
   readonly statisticsByStream = new Map<string, RequestStatistics>();
-  /** Changes of standing of any target at any daemon. */
+  /** Ejection state changes of all targets at all daemons. */
   ejectionStateChanges = 0;
-  /** Milliseconds of work in answers that came in time within the measured time. */
+  /** Milliseconds of work in responses that arrived in time during the measured period. */
   usefulWork = 0;
-  private readonly summarisedAt = new Map<string, number>();
+  private readonly lastSummaryAt = new Map<string, number>();
   private isolatedDataCentre: number | undefined;
   private hasEnded = false;
   private readonly random: RandomSource;
@@ -88,15 +88,17 @@
     plan.script?.(this);
   }
 
-  /** Plays the whole plan. */
+  /** Runs the plan, then lets requests in flight end. */
   run(): void {
     const {warmUpMilliseconds, milliseconds} = this.plan;
     this.clock.runUntil(warmUpMilliseconds + milliseconds);
     this.hasEnded = true;
-    this.clock.runUntil(warmUpMilliseconds + milliseconds + DRAIN_MILLISECONDS);
+    this.clock.runUntil(
+      warmUpMilliseconds + milliseconds + COMPLETION_MILLISECONDS,
+    );
   }
 
-  /** Gives every daemon the same routable targets, near or far. */
+  /** Sets the routable targets of every daemon and which of them are in its data centre. */
   setTargets(ids: readonly string[]): void {
     const routable = ids.flatMap(id => this.targets.get(id)?.routable ?? []);
     for (const daemon of this.daemons) {
@@ -108,19 +110,19 @@
       }));
       daemon.pool.setTargets(
         this.plan.allowsOtherDataCentres === false
-          ? seen.filter(({isSameDataCentre: isNear}) => isNear)
+          ? seen.filter(({isSameDataCentre}) => isSameDataCentre)
           : seen,
       );
     }
   }
 
-  /** Cuts a data centre off from the others, or joins it again. */
+  /** Partitions a data centre from the others; undefined ends the partition. */
   isolate(dataCentre: number | undefined): void {
     for (const daemon of this.daemons) daemon.isolatedDataCentre = dataCentre;
     this.isolatedDataCentre = dataCentre;
   }
 
-  /** Slot-milliseconds that all targets could have run in the measured time. */
+  /** Returns the slot-milliseconds that all targets can execute in the measured period. */
   capacity(): number {
     return this.plan.targets * SLOTS * this.plan.milliseconds;
   }
@@ -158,31 +160,31 @@
     });
     this.daemons.push(daemon);
     const offset = (SUMMARY_MILLISECONDS * index) / this.plan.daemons;
-    this.clock.schedule(offset, () => this.summariseInTurn(daemon, name));
+    this.clock.schedule(offset, () => this.sendPeriodicSummary(daemon, name));
   }
 
   private sendEarlySummary(daemon: ModelDaemon, name: string): void {
     const now = this.clock.monotonicMilliseconds();
-    const last = this.summarisedAt.get(name) ?? -Infinity;
+    const last = this.lastSummaryAt.get(name) ?? -Infinity;
     if (
       !this.plan.sendsEarlySummaries ||
       now - last < MINIMUM_EARLY_INTERVAL_MILLISECONDS
     )
       return;
-    this.summarise(daemon, name);
+    this.sendSummary(daemon, name);
   }
 
-  private summariseInTurn(daemon: ModelDaemon, name: string): void {
-    this.summarise(daemon, name);
+  private sendPeriodicSummary(daemon: ModelDaemon, name: string): void {
+    this.sendSummary(daemon, name);
     this.clock.schedule(SUMMARY_MILLISECONDS, () =>
-      this.summariseInTurn(daemon, name),
+      this.sendPeriodicSummary(daemon, name),
     );
   }
 
-  private summarise(daemon: ModelDaemon, name: string): void {
-    this.summarisedAt.set(name, this.clock.monotonicMilliseconds());
+  private sendSummary(daemon: ModelDaemon, name: string): void {
+    this.lastSummaryAt.set(name, this.clock.monotonicMilliseconds());
     const targets = daemon.pool.usage();
-    const teams = daemon.teamUses();
+    const teams = daemon.teamUsage();
     this.clock.schedule(ONE_WAY_MILLISECONDS, () => {
       for (const peer of this.daemons) {
         const isApart =
@@ -201,15 +203,15 @@
   }
 
   private startStream(stream: RequestStream): void {
-    const tally = new RequestStatistics();
-    this.statisticsByStream.set(stream.name, tally);
-    this.scheduleArrival(stream, tally, new RequestStatistics());
+    const statistics = new RequestStatistics();
+    this.statisticsByStream.set(stream.name, statistics);
+    this.scheduleArrival(stream, statistics, new RequestStatistics());
   }
 
-  /** Arrivals at random moments; a changing rate is had by leaving some out. */
+  /** Schedules Poisson arrivals at the peak rate and drops some of them to follow a changing rate. */
   private scheduleArrival(
     stream: RequestStream,
-    tally: RequestStatistics,
+    statistics: RequestStatistics,
     unmeasured: RequestStatistics,
   ): void {
     const {clock, random, plan} = this;
@@ -218,19 +220,22 @@
       if (this.hasEnded) return;
       const now = clock.monotonicMilliseconds();
       if (random.nextFraction() * stream.peakPerSecond < stream.perSecond(now))
-        this.submit(stream, now < plan.warmUpMilliseconds ? unmeasured : tally);
-      this.scheduleArrival(stream, tally, unmeasured);
+        this.submit(
+          stream,
+          now < plan.warmUpMilliseconds ? unmeasured : statistics,
+        );
+      this.scheduleArrival(stream, statistics, unmeasured);
     });
   }
 
-  private submit(stream: RequestStream, tally: RequestStatistics): void {
+  private submit(stream: RequestStream, statistics: RequestStatistics): void {
     const {random} = this;
     const {team, idempotent, work, queueLimit} = stream;
     const daemons = stream.daemons ?? this.daemons.length;
     const index = stream.dataCentre ?? random.nextInteger(daemons);
-    tally.offered++;
+    statistics.offered++;
     this.daemons[index].submit({
-      tally,
+      statistics,
       startedAt: this.clock.monotonicMilliseconds(),
       service: stream.service ?? stream.name,
       work,
--- a/packages/bench/src/model/event-clock.ts
+++ b/packages/bench/src/model/event-clock.ts
@@ -15,7 +15,7 @@
   }
 }
 
-/** A virtual clock for millions of events: a binary heap, ties in order of scheduling. */
+/** A virtual clock for millions of events, kept in a binary heap; ties run in scheduling order. */
 export class EventClock implements Clock {
   private now = 0;
   private order = 0;
@@ -36,7 +36,7 @@
     return {cancel: () => (event.isCancelled = true)};
   }
 
-  /** Runs all events up to `end`. */
+  /** Runs all events due up to `end` and sets the time to `end`. */
   runUntil(end: number): void {
     while (this.heap.length > 0 && this.heap[0].due <= end) {
       const event = this.pop();
--- a/packages/bench/src/model/model-daemon.ts
+++ b/packages/bench/src/model/model-daemon.ts
@@ -18,19 +18,19 @@
 import type {Policy} from './policies.js';
 import type {RequestStatistics} from './request-statistics.js';
 
-/** One-way time between daemon and target, and between daemons. */
+/** One-way latency between a daemon and a target, and between daemons. */
 export const ONE_WAY_MILLISECONDS = 0.5;
 
 const SUMMARY_EXPIRY_MILLISECONDS = 1000;
 
-/** The same to another data centre: 1 ms between them. */
+/** One-way latency to a target in another data centre, 1 ms more than within one. */
 const CROSS_DATA_CENTRE_ONE_WAY_MILLISECONDS = 1.5;
-/** A connection over a cut path fails after this long. */
+/** Time after which a connection across a partition fails. */
 const CONNECT_MILLISECONDS = 500;
 
-/** A request of the model. */
+/** A simulated request. */
 export interface ModelRequest {
-  readonly tally: RequestStatistics;
+  readonly statistics: RequestStatistics;
   readonly startedAt: number;
   readonly service: string;
   readonly work: WorkLength;
@@ -39,12 +39,12 @@
   readonly caller: string;
   readonly team: TeamPolicy;
   readonly waitMilliseconds: number;
-  /** From the request to the moment when its caller gives up. */
+  /** Time after which the caller gives up. */
   readonly callerTimeoutMilliseconds: number;
   readonly queueLimit: number;
 }
 
-/** What a daemon of the model needs. */
+/** Dependencies and parameters of a simulated daemon. */
 export interface ModelDaemonOptions {
   readonly clock: EventClock;
   readonly random: RandomSource;
@@ -55,24 +55,24 @@
   readonly targets: ReadonlyMap<string, ModelTarget>;
   readonly onWaitingStarted: () => void;
   readonly onEjectionStateChange: () => void;
-  /** An answer came in time: milliseconds of its work. */
+  /** Called with the milliseconds of work of a response that arrived in time. */
   readonly onUseful: (milliseconds: number) => void;
 }
 
-/** One of a request's attempts. */
+/** An attempt of a request; `tried` holds the targets of earlier ones. */
 interface Attempt {
   readonly number: number;
   readonly tried: ReadonlySet<string>;
 }
 
-/** A daemon with the real decisions and no network. */
+/** A daemon with the production decisions on a simulated network. */
 export class ModelDaemon {
   readonly pool: SlotPool;
-  /** Data centre that is cut off from all others. */
+  /** Data centre that is partitioned from all others. */
   isolatedDataCentre: number | undefined;
-  /** Exchanges with targets in other data centres. */
+  /** Number of exchanges with targets in other data centres. */
   crossDataCentreExchanges = 0;
-  /** Busy answers met. */
+  /** Number of busy responses from targets. */
   busyAnswers = 0;
   private readonly retries: RetryPolicy;
   private readonly quotaShare: PeerAwareLimiter;
@@ -99,14 +99,14 @@
     return this.options.dataCentre;
   }
 
-  /** Takes a new request. */
+  /** Starts the first attempt of a new request. */
   submit(request: ModelRequest): void {
     this.retries.onFirstAttempt();
     this.attempt(request, {number: 1, tried: new Set()});
   }
 
-  /** What this daemon uses, for its peers. */
-  teamUses(): PeerUsageByKey {
+  /** Returns the usage by team that this daemon sends to its peers. */
+  teamUsage(): PeerUsageByKey {
     const uses = [...this.quota.usage()].map(
       ([team, inFlight]) => [team, {inFlight, waiting: false}] as const,
     );
@@ -131,9 +131,9 @@
       enqueuedAt: now,
       deadline: request.startedAt + request.waitMilliseconds,
       grant: slot => this.send(request, attempt, slot),
-      refuse: ({reason, isQuotaExhausted: quotaHeld}) => {
-        const text = quotaHeld ? 'quota' : (reason ?? 'no_target');
-        request.tally.recordRefusal(text, this.age(request));
+      refuse: ({reason, isQuotaExhausted}) => {
+        const text = isQuotaExhausted ? 'quota' : (reason ?? 'no_target');
+        request.statistics.recordRefusal(text, this.ageOf(request));
       },
     });
   }
@@ -143,9 +143,9 @@
     const sentAt = clock.monotonicMilliseconds();
     const target = targets.get(slot.target.id);
     if (!target) throw new Error(`no target ${slot.target.id}`);
-    const isFar = target.dataCentre !== this.dataCentre;
-    if (isFar) this.crossDataCentreExchanges++;
-    const way = isFar
+    const isOtherDataCentre = target.dataCentre !== this.dataCentre;
+    if (isOtherDataCentre) this.crossDataCentreExchanges++;
+    const oneWayMilliseconds = isOtherDataCentre
       ? CROSS_DATA_CENTRE_ONE_WAY_MILLISECONDS
       : ONE_WAY_MILLISECONDS;
     const end = (kind: OutcomeKind) => {
@@ -154,16 +154,18 @@
       slot.release();
       this.onEnd(request, attempt, target.routable.id, kind);
     };
-    if (this.isCutFrom(target)) {
+    if (this.isPartitionedFrom(target)) {
       clock.schedule(CONNECT_MILLISECONDS, () => end(OutcomeKind.Unreachable));
       return;
     }
-    clock.schedule(way, () =>
-      target.begin(request, kind => clock.schedule(way, () => end(kind))),
+    clock.schedule(oneWayMilliseconds, () =>
+      target.begin(request, kind =>
+        clock.schedule(oneWayMilliseconds, () => end(kind)),
+      ),
     );
   }
 
-  private isCutFrom({dataCentre}: ModelTarget): boolean {
+  private isPartitionedFrom({dataCentre}: ModelTarget): boolean {
     if (this.isolatedDataCentre === undefined) return false;
     return (
       (dataCentre === this.isolatedDataCentre) !==
@@ -177,45 +179,45 @@
     target: string,
     kind: OutcomeKind,
   ): void {
-    const {tally} = request;
+    const {statistics} = request;
     if (kind === OutcomeKind.Succeeded) {
-      this.onAnswer(request);
+      this.onResponse(request);
       return;
     }
     if (kind === OutcomeKind.Busy) this.busyAnswers++;
-    const verdict = this.retries.decide({
+    const decision = this.retries.decide({
       kind,
       sent: kind === OutcomeKind.ServerError,
       idempotent: request.idempotent,
       attempts: number,
     });
-    if (verdict === RetryDecision.Retry) {
-      tally.recordRetry(kind);
+    if (decision === RetryDecision.Retry) {
+      statistics.recordRetry(kind);
       this.attempt(request, {
         number: number + 1,
         tried: new Set([...tried, target]),
       });
     } else if (kind === OutcomeKind.Busy) {
-      tally.recordRefusal(kind, this.age(request));
+      statistics.recordRefusal(kind, this.ageOf(request));
     } else {
-      tally.failed++;
+      statistics.failed++;
     }
   }
 
-  private onAnswer(request: ModelRequest): void {
-    const {tally} = request;
-    const age = this.age(request);
+  private onResponse(request: ModelRequest): void {
+    const {statistics} = request;
+    const age = this.ageOf(request);
     if (age > request.callerTimeoutMilliseconds) {
-      tally.late++;
+      statistics.late++;
       return;
     }
-    tally.answered++;
-    tally.usefulWork += request.milliseconds;
+    statistics.answered++;
+    statistics.usefulWork += request.milliseconds;
     this.options.onUseful(request.milliseconds);
-    tally.recordLatency(age);
+    statistics.recordLatency(age);
   }
 
-  private age(request: ModelRequest): number {
+  private ageOf(request: ModelRequest): number {
     return this.options.clock.monotonicMilliseconds() - request.startedAt;
   }
 }
--- a/packages/bench/src/model/model-target.ts
+++ b/packages/bench/src/model/model-target.ts
@@ -1,10 +1,10 @@
 import type {Clock, RandomSource} from '@gentiandoor/kernel';
 import {OutcomeKind, type RoutableTarget} from '@gentiandoor/decisions';
 
-/** What a modelled target does with work. */
+/** How a simulated target handles requests. */
 export enum TargetMode {
   Works = 'works',
-  /** Answers every request with an error after a millisecond. */
+  /** Fails every request after a millisecond. */
   FailsEverything = 'fails_everything',
   /** Refuses connections. */
   Unreachable = 'unreachable',
@@ -12,25 +12,25 @@
 
 const FAST_FAILURE_MILLISECONDS = 1;
 
-/** The work of one request. */
+/** The amount of work in a request. */
 export interface Work {
-  /** Milliseconds that a usual target needs. */
+  /** Execution time on a target of normal speed. */
   readonly milliseconds: number;
 }
 
-/** A target: runs up to `slots` at one time and answers busy to more. */
+/** A simulated target: executes up to `slots` requests at a time and answers further ones as busy. */
 export class ModelTarget {
   mode = TargetMode.Works;
-  /** Multiplies the time of all work begun from now on. */
+  /** Multiplier for the execution time of requests that start from now on. */
   slowness = 1;
-  /** Adds this share of a request's time for each other that runs: cold caches contended for. */
+  /** Share of a request's time added for each other running request, as contention for cold caches causes. */
   contention = 0;
-  /** Slot-milliseconds of work ended. */
+  /** Slot-milliseconds of finished requests. */
   slotMillisecondsUsed = 0;
   private running = 0;
   private readonly backlog: Array<() => void> = [];
 
-  /** `backlogLimit` requests wait inside the target when its slots are taken. */
+  /** Up to `backlogLimit` requests wait inside the target when its slots are taken. */
   constructor(
     readonly routable: RoutableTarget,
     private readonly clock: Clock,
@@ -68,7 +68,7 @@
 
 const SIGMA = 0.6;
 
-/** Times with a long tail around a mean: log-normal, the 99th percentile at 3.4 times the mean. */
+/** Draws a log-normal execution time whose 99th percentile is 3.4 times the mean. */
 export function drawWorkMilliseconds(
   random: RandomSource,
   meanMilliseconds: number,
--- a/packages/bench/src/model/policies.ts
+++ b/packages/bench/src/model/policies.ts
@@ -13,37 +13,37 @@
   type SlotPoolDependencies,
 } from '@gentiandoor/decisions';
 
-/** A set of decisions to compare. */
+/** A combination of decision components to compare. */
 export interface Policy {
   readonly label: string;
-  /** Parts in place of the daemon's own. */
+  /** Returns the components that replace the daemon's own. */
   overrides(
     clock: Clock,
     random: RandomSource,
     daemons: number,
   ): Partial<SlotPoolDependencies>;
   retries(clock: Clock): RetryPolicy;
-  /** Whether teams' quotas are kept. */
+  /** Whether team quotas are enforced. */
   readonly hasQuotas: boolean;
 }
 
-/** The decisions as the daemon uses them, with some parts replaced. */
+/** Returns the daemon's decisions with some components replaced. */
 export function variant(
   label: string,
-  parts: Policy['overrides'] = () => ({}),
+  overrides: Policy['overrides'] = () => ({}),
 ): Policy {
   return {
     label,
-    overrides: parts,
+    overrides,
     retries: clock => new RetryBudget(clock),
     hasQuotas: true,
   };
 }
 
-/** The decisions as the daemon uses them. */
+/** The daemon's decisions, unchanged. */
 export const STANDARD = variant('gentiandoor');
 
-/** No limit, first in first out, random choice, unlimited retry, no ejection. */
+/** Baseline: no limit, first-in-first-out queue, random choice, unlimited retries, no ejection. */
 export const NAIVE: Policy = {
   label: 'naive',
   hasQuotas: false,
--- a/packages/bench/src/model/request-statistics.ts
+++ b/packages/bench/src/model/request-statistics.ts
@@ -1,39 +1,39 @@
 import {build, type Histogram} from 'hdr-histogram-js';
 
 const LARGEST_MICROSECONDS = 600_000_000;
-const DIGITS = 3;
+const SIGNIFICANT_DIGITS = 3;
 const MICROSECONDS = 1000;
 
-/** What one group of requests got. */
+/** Outcome counts and latencies of a group of requests. */
 export class RequestStatistics {
   offered = 0;
   answered = 0;
-  /** Answers that came when the caller had given up. */
+  /** Responses that arrived after the caller had given up. */
   late = 0;
   failed = 0;
-  /** Milliseconds of work in answers that were in time. */
+  /** Milliseconds of work in responses that arrived in time. */
   usefulWork = 0;
   readonly refusals = new Map<string, number>();
   readonly retries = new Map<string, number>();
-  /** Microseconds from the request to its whole answer. */
-  readonly latency: Histogram = histogram();
-  /** Microseconds from the request to its refusal. */
-  readonly refusalLatency: Histogram = histogram();
+  /** Microseconds from a request to its complete response. */
+  readonly latency: Histogram = createHistogram();
+  /** Microseconds from a request to its refusal. */
+  readonly refusalLatency: Histogram = createHistogram();
 
   recordLatency(milliseconds: number): void {
     this.latency.recordValue(Math.round(milliseconds * MICROSECONDS));
   }
 
   recordRefusal(reason: string, milliseconds: number): void {
-    count(this.refusals, reason);
+    increment(this.refusals, reason);
     this.refusalLatency.recordValue(Math.round(milliseconds * MICROSECONDS));
   }
 
   recordRetry(reason: string): void {
-    count(this.retries, reason);
+    increment(this.retries, reason);
   }
 
-  /** Milliseconds at a percentile of answered requests. */
+  /** Returns a percentile of the latency of answered requests in milliseconds. */
   percentile(percent: number): number {
     return this.latency.getValueAtPercentile(percent) / MICROSECONDS;
   }
@@ -43,14 +43,14 @@
   }
 }
 
-function histogram(): Histogram {
+function createHistogram(): Histogram {
   return build({
     lowestDiscernibleValue: 1,
     highestTrackableValue: LARGEST_MICROSECONDS,
-    numberOfSignificantValueDigits: DIGITS,
+    numberOfSignificantValueDigits: SIGNIFICANT_DIGITS,
   });
 }
 
-function count(counts: Map<string, number>, name: string): void {
+function increment(counts: Map<string, number>, name: string): void {
   counts.set(name, (counts.get(name) ?? 0) + 1);
 }
--- a/packages/bench/src/model/request-streams.ts
+++ b/packages/bench/src/model/request-streams.ts
@@ -1,15 +1,15 @@
 import {WorkLength, type TeamPolicy} from '@gentiandoor/decisions';
 import {SLOTS, type ModelPlan, type RequestStream} from './deployment-model.js';
 
-/** Mean time of a short request, such as a preview. */
+/** Mean execution time of a short request, such as a preview. */
 export const SHORT_MILLISECONDS = 50;
-/** Mean time of a long request, such as a projection. */
+/** Mean execution time of a long request, such as a projection. */
 export const LONG_MILLISECONDS = 2000;
 const SECOND = 1000;
 const WARM_UP_MILLISECONDS = 5 * SECOND;
 const RUN_MILLISECONDS = 30 * SECOND;
 
-/** A team without a quota. */
+/** Returns a team whose quota is too large to have an effect. */
 export function team(
   name: string,
   terms: Partial<TeamPolicy> = {},
@@ -17,7 +17,7 @@
   return {name, weight: 1, slots: 1_000_000, urgent: false, ...terms};
 }
 
-/** Short requests at a steady rate. */
+/** Returns a stream of short requests at a constant rate. */
 export function shortStream(
   perSecond: number,
   changes: Partial<RequestStream> = {},
@@ -38,7 +38,7 @@
   };
 }
 
-/** Long requests at a steady rate. */
+/** Returns a stream of long requests at a constant rate. */
 export function longStream(
   perSecond: number,
   changes: Partial<RequestStream> = {},
@@ -54,7 +54,7 @@
   });
 }
 
-/** Short requests a second that keep `targets` targets wholly busy. */
+/** Returns the requests per second that fully use `targets` targets. */
 export function saturationRate(
   targets: number,
   meanMilliseconds = SHORT_MILLISECONDS,
@@ -62,7 +62,7 @@
   return (targets * SLOTS * SECOND) / meanMilliseconds;
 }
 
-/** Eight targets in two racks behind seven daemons. */
+/** Returns a plan with eight targets in two racks behind seven daemons. */
 export function plan(
   seed: number,
   scale: number,
--- a/packages/bench/src/one-rack-bundle.ts
+++ b/packages/bench/src/one-rack-bundle.ts
@@ -1,14 +1,14 @@
-/** A bundle of one rack whose VMs carry one service. */
+/** Parameters of a bundle with one rack, one pool and one service. */
 export interface OneRackPlan {
-  /** Public key of the operator kerry, who signs off. */
+  /** Public key of the operator `kerry`, who signs off. */
   readonly publicKey: string;
   /** Name of the service and of its pool. */
   readonly service: string;
-  /** VMs as in a bundle, such as `hall-a-r1-[1-2]`. */
+  /** VMs in bundle syntax, such as `hall-a-r1-[1-2]`. */
   readonly vms: string;
 }
 
-/** The text of a first bundle for small deployments. */
+/** Returns the text of a first bundle for a small deployment. */
 export function oneRackBundle({publicKey, service, vms}: OneRackPlan): string {
   return `
 [bundle]
--- a/packages/bench/src/processes/back-end.ts
+++ b/packages/bench/src/processes/back-end.ts
@@ -2,9 +2,9 @@
 import {freeAddress} from './child-process.js';
 import {oneRackBundle} from '../one-rack-bundle.js';
 
-/** What the back-end process tells its parent. */
+/** Message from the back-end process to its parent. */
 export interface BackEndMessage {
-  /** INI of a daemon that uses this platform and these targets. */
+  /** INI settings of a daemon that uses this platform and these targets. */
   readonly settings: string;
   readonly callerAddress: string;
   readonly adminAddress: string;
@@ -13,7 +13,7 @@
 
 const VMS = Array.from({length: 8}, (_, index) => `hall-a-r1-${index + 1}`);
 
-/** The platform's stand-in and a rack of targets; runs until it is killed. */
+/** Starts the platform's stand-in and a rack of targets; runs until the parent disconnects or kills it. */
 async function main(): Promise<void> {
   const deployment = new Deployment();
   await deployment.startPlatform();
--- a/packages/bench/src/processes/pass-through.ts
+++ b/packages/bench/src/processes/pass-through.ts
@@ -2,22 +2,22 @@
 import {Agent} from 'undici';
 import type {AddressInfo} from 'node:net';
 
-/** What the pass-through tells its parent. */
+/** Message from the pass-through process to its parent. */
 export interface PassThroughMessage {
   readonly address: string;
 }
 
-/** Headers that belong to one connection; all that this pass-through takes care of. */
-const DROPPED = ['connection', 'keep-alive', 'transfer-encoding'];
+/** Hop-by-hop headers, the only ones that this pass-through handles. */
+const HOP_BY_HOP_HEADERS = ['connection', 'keep-alive', 'transfer-encoding'];
 
-/** The baseline: koa and undici as their pages show them, without any decision or safeguard. */
+/** Runs the baseline: koa and undici used as their documentation shows, without decisions or safeguards. */
 function main(target: string): void {
   const agent = new Agent();
   const koa = new Koa();
   koa.use(async context => {
     const {method, url, headers} = context.req;
     const kept = {...headers};
-    for (const name of DROPPED) delete kept[name];
+    for (const name of HOP_BY_HOP_HEADERS) delete kept[name];
     const answer = await agent.request({
       origin: `http://${target}`,
       path: url ?? '/',
@@ -27,7 +27,7 @@
     });
     context.status = answer.statusCode;
     for (const [name, value] of Object.entries(answer.headers)) {
-      if (value !== undefined && !DROPPED.includes(name))
+      if (value !== undefined && !HOP_BY_HOP_HEADERS.includes(name))
         context.set(name, value);
     }
     context.body = answer.body;
--- a/packages/bench/src/processes/program-run.ts
+++ b/packages/bench/src/processes/program-run.ts
@@ -1,7 +1,7 @@
 import {fork, type ChildProcess} from 'node:child_process';
 import {fileURLToPath} from 'node:url';
 
-/** Programs of this project, by package and file name. */
+/** Paths of this project's programs below the packages folder. */
 export enum ProgramPath {
   Cli = 'cli/lib/bin/gentiandoor.js',
   Daemon = 'daemon/lib/bin/gentiandoor-daemon.js',
@@ -10,14 +10,14 @@
 
 const PACKAGES = new URL('../../../', import.meta.url);
 
-/** One of our programs in a process of its own, with what it prints. */
+/** A program of this project in a child process, with its captured output. */
 export class ProgramRun {
   output = '';
   errors = '';
-  /** Exit code; null after a signal. Waits for the end of both outputs. */
+  /** Resolves with the exit code, null after a signal, once both outputs have ended. */
   readonly ended: Promise<number | null>;
   private readonly child: ChildProcess;
-  private wake: () => void = () => undefined;
+  private notifyWaiter: () => void = () => undefined;
   private hasEnded = false;
 
   constructor(
@@ -30,7 +30,7 @@
     this.child = fork(path, args, {silent: true, env});
     this.child.stdout?.on('data', (chunk: Buffer) => {
       this.output += chunk.toString();
-      this.wake();
+      this.notifyWaiter();
     });
     this.child.stderr?.on('data', (chunk: Buffer) => {
       this.errors += chunk.toString();
@@ -38,26 +38,26 @@
     this.ended = new Promise(resolve => {
       this.child.once('close', code => {
         this.hasEnded = true;
-        this.wake();
+        this.notifyWaiter();
         resolve(code);
       });
     });
   }
 
-  /** Resolves with the first whole line that matches; rejects when the program ends without one. */
+  /** Resolves with the first complete line that matches; rejects if the program ends without one. */
   async line(pattern: RegExp): Promise<RegExpExecArray> {
     for (;;) {
-      const whole = this.output.slice(0, this.output.lastIndexOf('\n') + 1);
-      for (const text of whole.split('\n')) {
+      const complete = this.output.slice(0, this.output.lastIndexOf('\n') + 1);
+      for (const text of complete.split('\n')) {
         const match = pattern.exec(text);
         if (match) return match;
       }
       if (this.hasEnded) throw new Error(`ended early: ${this.errors}`);
-      await new Promise<void>(resolve => (this.wake = resolve));
+      await new Promise<void>(resolve => (this.notifyWaiter = resolve));
     }
   }
 
-  /** Lines printed so far that match. */
+  /** Returns the number of matching lines printed so far. */
   count(pattern: RegExp): number {
     return this.output.split('\n').filter(text => pattern.test(text)).length;
   }
--- a/packages/bench/src/scenario.ts
+++ b/packages/bench/src/scenario.ts
@@ -1,34 +1,34 @@
-/** A measured line of a scenario: one policy, size or phase. */
+/** A row of a scenario's result: one policy, size or phase. */
 export interface ScenarioRow {
   readonly label: string;
-  /** Figures by name, units in the name. */
+  /** Measured values by name; the name includes the unit. */
   readonly values: Readonly<Record<string, number>>;
 }
 
-/** A promise or aim that the run was held against. */
+/** A guarantee or target value that a run was checked against. */
 export interface ScenarioCheck {
   readonly name: string;
   readonly passed: boolean;
   readonly detail: string;
 }
 
-/** What a scenario measured. */
+/** Measured rows and checks of a scenario. */
 export interface ScenarioResult {
   readonly rows: readonly ScenarioRow[];
   readonly checks: readonly ScenarioCheck[];
 }
 
-/** What a scenario is given. */
+/** Parameters of a scenario run. */
 export interface ScenarioContext {
   readonly seed: number;
-  /** Multiplies lengths of load; 1 is the documented run. */
+  /** Multiplier for the duration of the load; 1 is the documented run. */
   readonly scale: number;
 }
 
-/** A repeatable measurement, by name. */
+/** A named, repeatable measurement. */
 export interface Scenario {
   readonly name: string;
-  /** What it plays and what it compares. */
+  /** The simulated load and what is compared. */
   readonly description: string;
   run(context: ScenarioContext): Promise<ScenarioResult>;
 }
--- a/packages/bench/src/scenarios/request-path-silence.ts
+++ b/packages/bench/src/scenarios/request-path-silence.ts
@@ -129,7 +129,7 @@
         headers: [],
         body: null,
         idempotent: true,
-        responseHeadTimeoutMilliseconds: responseHeadTimeoutMilliseconds,
+        responseHeadTimeoutMilliseconds,
       },
       {onHead() {}, onData: () => true, onEnd() {}},
     );
--- a/packages/soak/src/soak.ts
+++ b/packages/soak/src/soak.ts
@@ -94,7 +94,7 @@
     const violations = guaranteeViolations(this.callers.jobs, runs);
     await this.stop();
     return {
-      violations: violations,
+      violations,
       jobs: this.callers.jobs.length,
       runs: runs.length,
       faults: this.faults,
