--- a/packages/bench/src/deployment.ts
+++ b/packages/bench/src/deployment.ts
@@ -96,7 +96,9 @@
 
   constructor(
     private readonly logger: Logger = new SilentLogger(),
-    /** Name under which the operator signs off; a bundle must list it to allow the next sign-off. */
+    /**
+     * Name under which the operator signs off; a bundle must list it to allow the next sign-off.
+     */
     private readonly operatorName = DEFAULT_OPERATOR,
   ) {}
 
@@ -145,7 +147,10 @@
     return running;
   }
 
-  /** Proposes a bundle, signs it off as the trusted operator and waits until it is in force at all daemons. */
+  /**
+   * Proposes a bundle, signs it off as the trusted operator and waits until it is in force at all
+   * daemons.
+   */
   async rollOut(text: string): Promise<void> {
     const {version} = parseBundle(text);
     const digest = sha256Hex(text);
--- a/packages/bench/src/guarantee-checker.ts
+++ b/packages/bench/src/guarantee-checker.ts
@@ -67,7 +67,9 @@
     };
   }
 
-  /** Returns whether a target executed the request and no other attempt with its id explains that. */
+  /**
+   * Returns whether a target executed the request and no other attempt with its id explains that.
+   */
   private isRunUnexplained(
     outcome: CallerOutcome,
     runs: ReadonlyMap<string, number>,
--- a/packages/bench/src/load/balancer.ts
+++ b/packages/bench/src/load/balancer.ts
@@ -4,7 +4,10 @@
 
 const POLL_MILLISECONDS = 50;
 
-/** A balancer like the platform's: sends a connection to any daemon whose health check reports ready. */
+/**
+ * A balancer like the platform's: sends a connection to any daemon whose health check reports
+ * ready.
+ */
 export class Balancer {
   private ready: readonly string[] = [];
   private running = true;
--- a/packages/bench/src/load/keep-alive-caller.ts
+++ b/packages/bench/src/load/keep-alive-caller.ts
@@ -26,7 +26,9 @@
   /** `pick` returns the address for a new connection. */
   constructor(private readonly pickAddress: () => string | undefined) {}
 
-  /** Sends a request; resolves with undefined if no connection could be opened and nothing was sent. */
+  /**
+   * Sends a request; resolves with undefined if no connection could be opened and nothing was sent.
+   */
   async send(request: CallerRequest): Promise<TimedOutcome | undefined> {
     const socket = await this.connect();
     if (!socket) return undefined;
--- a/packages/bench/src/model/deployment-model.ts
+++ b/packages/bench/src/model/deployment-model.ts
@@ -46,7 +46,9 @@
   readonly prefersSameDataCentre?: boolean;
   /** If false, daemons use only targets of their own data centre. */
   readonly allowsOtherDataCentres?: boolean;
-  /** Requests that wait inside a target when its slots are taken; it answers further ones as busy. */
+  /**
+   * Requests that wait inside a target when its slots are taken; it answers further ones as busy.
+   */
   readonly backlog?: number;
   /** Called before the run to schedule faults. */
   readonly script?: (model: DeploymentModel) => void;
@@ -208,7 +210,9 @@
     this.scheduleArrival(stream, statistics, new RequestStatistics());
   }
 
-  /** Schedules Poisson arrivals at the peak rate and drops some of them to follow a changing rate. */
+  /**
+   * Schedules Poisson arrivals at the peak rate and drops some of them to follow a changing rate.
+   */
   private scheduleArrival(
     stream: RequestStream,
     statistics: RequestStatistics,
--- a/packages/bench/src/model/model-target.ts
+++ b/packages/bench/src/model/model-target.ts
@@ -18,12 +18,17 @@
   readonly milliseconds: number;
 }
 
-/** A simulated target: executes up to `slots` requests at a time and answers further ones as busy. */
+/**
+ * A simulated target: executes up to `slots` requests at a time and answers further ones as busy.
+ */
 export class ModelTarget {
   mode = TargetMode.Works;
   /** Multiplier for the execution time of requests that start from now on. */
   slowness = 1;
-  /** Share of a request's time added for each other running request, as contention for cold caches causes. */
+  /**
+   * Share of a request's time added for each other running request, as contention for cold caches
+   * causes.
+   */
   contention = 0;
   /** Slot-milliseconds of finished requests. */
   slotMillisecondsUsed = 0;
--- a/packages/bench/src/processes/back-end.ts
+++ b/packages/bench/src/processes/back-end.ts
@@ -13,7 +13,10 @@
 
 const VMS = Array.from({length: 8}, (_, index) => `hall-a-r1-${index + 1}`);
 
-/** Starts the platform's stand-in and a rack of targets; runs until the parent disconnects or kills it. */
+/**
+ * Starts the platform's stand-in and a rack of targets; runs until the parent disconnects or kills
+ * it.
+ */
 async function main(): Promise<void> {
   const deployment = new Deployment();
   await deployment.startPlatform();
--- a/packages/bench/src/processes/child-process.ts
+++ b/packages/bench/src/processes/child-process.ts
@@ -9,7 +9,9 @@
 export class BenchProcess {
   private constructor(private readonly child: ChildProcess) {}
 
-  /** Starts a built program; resolves with its first message, or immediately when `hello` is false. */
+  /**
+   * Starts a built program; resolves with its first message, or immediately when `hello` is false.
+   */
   static async start(
     program: string,
     args: readonly string[] = [],
--- a/packages/bench/src/processes/pass-through.ts
+++ b/packages/bench/src/processes/pass-through.ts
@@ -10,7 +10,10 @@
 /** Hop-by-hop headers, the only ones that this pass-through handles. */
 const HOP_BY_HOP_HEADERS = ['connection', 'keep-alive', 'transfer-encoding'];
 
-/** Runs the baseline: koa and undici used as their documentation shows, without decisions or safeguards. */
+/**
+ * Runs the baseline: koa and undici used as their documentation shows, without decisions or
+ * safeguards.
+ */
 function main(target: string): void {
   const agent = new Agent();
   const koa = new Koa();
--- a/packages/bench/src/processes/program-run.ts
+++ b/packages/bench/src/processes/program-run.ts
@@ -44,7 +44,9 @@
     });
   }
 
-  /** Resolves with the first complete line that matches; rejects if the program ends without one. */
+  /**
+   * Resolves with the first complete line that matches; rejects if the program ends without one.
+   */
   async line(pattern: RegExp): Promise<RegExpExecArray> {
     for (;;) {
       const complete = this.output.slice(0, this.output.lastIndexOf('\n') + 1);
--- a/packages/documentation/src/describe-option.ts
+++ b/packages/documentation/src/describe-option.ts
@@ -1,6 +1,8 @@
 import type {z} from 'zod';
 
-/** Returns a row of the settings table: key, default, meaning. Throws if the key has no description. */
+/**
+ * Returns a row of the settings table: key, default, meaning. Throws if the key has no description.
+ */
 export function describeOption(
   key: string,
   schema: z.ZodType,
--- a/packages/soak/src/daemon-process.ts
+++ b/packages/soak/src/daemon-process.ts
@@ -47,7 +47,9 @@
     this.child?.kill(name);
   }
 
-  /** Sends a signal, after SIGCONT for a paused process, and resolves when the process has exited. */
+  /**
+   * Sends a signal, after SIGCONT for a paused process, and resolves when the process has exited.
+   */
   async end(name: NodeJS.Signals): Promise<void> {
     const {child} = this;
     if (!child) return;
--- a/packages/stand-ins/src/silent-drop-proxy.ts
+++ b/packages/stand-ins/src/silent-drop-proxy.ts
@@ -60,7 +60,10 @@
     });
   }
 
-  /** Delays an action. Timers of equal length fire in the order they were set, so bytes stay in order. */
+  /**
+   * Delays an action. Timers of equal length fire in the order they were set, so bytes stay in
+   * order.
+   */
   private afterDelay(action: () => void): void {
     if (this.delayMilliseconds === 0) action();
     else setTimeout(action, this.delayMilliseconds);
--- a/packages/stand-ins/src/vm-list-history.ts
+++ b/packages/stand-ins/src/vm-list-history.ts
@@ -20,7 +20,10 @@
   private readonly changedAt = new Map<string, number>();
   private oldestVersion = 0;
 
-  /** Returns the changes after version `since`, or the whole list when `since` is undefined or unknown. */
+  /**
+   * Returns the changes after version `since`, or the whole list when `since` is undefined or
+   * unknown.
+   */
   changesSince(
     visible: readonly ListedVm[],
     since: number | undefined,
