--- a/packages/bench/src/__tests__/admin-input.test.ts
+++ b/packages/bench/src/__tests__/admin-input.test.ts
@@ -69,20 +69,20 @@
     body: string | Buffer,
     headers: Record<string, string> = AUTHORIZED,
   ): Promise<{status: number; text: string}> {
-    const answer = await request(`http://${daemon.adminAddress}${path}`, {
+    const response = await request(`http://${daemon.adminAddress}${path}`, {
       method: 'POST',
       body,
       headers,
     });
-    return {status: answer.statusCode, text: await answer.body.text()};
+    return {status: response.statusCode, text: await response.body.text()};
   }
 
   async function get(address: string, path: string): Promise<number> {
-    const answer = await request(`http://${address}${path}`, {
+    const response = await request(`http://${address}${path}`, {
       headers: AUTHORIZED,
     });
-    await answer.body.dump();
-    return answer.statusCode;
+    await response.body.dump();
+    return response.statusCode;
   }
 
   it('responds with 400 to a body that is not JSON on each path', async () => {
@@ -160,9 +160,9 @@
   it('responds with 401 on any path without the key and reads no body', async () => {
     for (const path of [...posts, '/nothing']) {
       for (const key of ['', 'Bearer ', `Bearer ${ADMIN_KEY}x`, ADMIN_KEY]) {
-        const answer = await post(path, '{', {authorization: key});
-        assert.equal(answer.status, 401, path);
-        assert.doesNotMatch(answer.text, new RegExp(ADMIN_KEY));
+        const response = await post(path, '{', {authorization: key});
+        assert.equal(response.status, 401, path);
+        assert.doesNotMatch(response.text, new RegExp(ADMIN_KEY));
       }
     }
     assert.equal(await get(daemon.adminAddress, '/nothing'), 404);
--- a/packages/bench/src/__tests__/daemon-signals.test.ts
+++ b/packages/bench/src/__tests__/daemon-signals.test.ts
@@ -82,11 +82,11 @@
     it('exits with 1 and logs the requests that it aborted', async () => {
       target.faults.add(TargetFault.Silent);
       const {child, output, callerAddress, adminAddress} = await startDaemon();
-      const answer = request(`http://${callerAddress}/desk/x`, {
+      const response = request(`http://${callerAddress}/desk/x`, {
         method: 'POST',
         body: 'crest',
       });
-      const cut = assert.rejects(answer);
+      const cut = assert.rejects(response);
       await waitUntil(() => target.executedRequests.length === 1);
       child.kill('SIGTERM');
       await waitUntilStatus(adminAddress, 503);
@@ -117,9 +117,9 @@
 async function waitUntilStatus(address: string, status: number): Promise<void> {
   for (;;) {
     try {
-      const answer = await request(`http://${address}/health/ready`);
-      await answer.body.dump();
-      if (answer.statusCode === status) return;
+      const response = await request(`http://${address}/health/ready`);
+      await response.body.dump();
+      if (response.statusCode === status) return;
     } catch {
       // The daemon is not listening yet.
     }
--- a/packages/bench/src/__tests__/once-only-path.test.ts
+++ b/packages/bench/src/__tests__/once-only-path.test.ts
@@ -39,12 +39,15 @@
   it('returns the first response to a retry through another daemon', async () => {
     const send = async (place: number) => {
       const {callerAddress} = deployment.daemons[place];
-      const answer = await request(`http://${callerAddress}/ledger-room/bill`, {
-        method: 'POST',
-        headers: {'idempotency-key': 'bill-2026-12'},
-        body: 'a billing entry',
-      });
-      return {status: answer.statusCode, body: await answer.body.text()};
+      const response = await request(
+        `http://${callerAddress}/ledger-room/bill`,
+        {
+          method: 'POST',
+          headers: {'idempotency-key': 'bill-2026-12'},
+          body: 'a billing entry',
+        },
+      );
+      return {status: response.statusCode, body: await response.body.text()};
     };
     const first = await send(0);
     const second = await send(1);
--- a/packages/bench/src/__tests__/separate-processes.test.ts
+++ b/packages/bench/src/__tests__/separate-processes.test.ts
@@ -218,22 +218,22 @@
   path: string,
   key?: string,
 ) {
-  const answer = await request(`http://${daemon.caller}/desk/${path}`, {
+  const response = await request(`http://${daemon.caller}/desk/${path}`, {
     method,
     headers: key === undefined ? {} : {'idempotency-key': key},
     body: method === 'POST' ? 'crest' : undefined,
   });
-  await answer.body.dump();
-  const {headers, statusCode: status} = answer;
+  await response.body.dump();
+  const {headers, statusCode: status} = response;
   const run = String(headers['gentiandoor-run']);
   return {status, run, reason: String(headers['gentiandoor-reason'])};
 }
 
 async function waitUntilReady({admin}: RunningDaemon): Promise<void> {
   for (let step = 0; step < MAXIMUM_STEPS; step++) {
-    const answer = await request(`http://${admin}/health/ready`);
-    await answer.body.dump();
-    if (answer.statusCode === 200) return;
+    const response = await request(`http://${admin}/health/ready`);
+    await response.body.dump();
+    if (response.statusCode === 200) return;
     await pause(STEP_MILLISECONDS);
   }
   assert.fail('expected the daemon to become ready');
@@ -244,10 +244,10 @@
   count: number,
 ): Promise<void> {
   for (let step = 0; step < MAXIMUM_STEPS; step++) {
-    const answer = await request(`http://${admin}/status`, {
+    const response = await request(`http://${admin}/status`, {
       headers: {authorization: `Bearer ${ADMIN_KEY}`},
     });
-    const {members} = (await answer.body.json()) as {members: unknown[]};
+    const {members} = (await response.body.json()) as {members: unknown[]};
     if (members.length === count) return;
     await pause(STEP_MILLISECONDS);
   }
--- a/packages/bench/src/__tests__/whole-path.test.ts
+++ b/packages/bench/src/__tests__/whole-path.test.ts
@@ -22,14 +22,14 @@
 
   describe('before a bundle is in force', () => {
     it('responds with "not run" and a retry time', async () => {
-      const answer = await request(
+      const response = await request(
         `http://${deployment.daemons[0].callerAddress}/counter-preview/x`,
       );
-      assert.equal(answer.statusCode, 503);
-      assert.equal(answer.headers['gentiandoor-run'], 'no');
-      assert.equal(answer.headers['gentiandoor-reason'], 'no_bundle');
-      assert.equal(answer.headers['retry-after'], '2');
-      await answer.body.dump();
+      assert.equal(response.statusCode, 503);
+      assert.equal(response.headers['gentiandoor-run'], 'no');
+      assert.equal(response.headers['gentiandoor-reason'], 'no_bundle');
+      assert.equal(response.headers['retry-after'], '2');
+      await response.body.dump();
     });
   });
 
@@ -45,25 +45,25 @@
     );
 
     it('forwards a request to a target and returns the complete response', async () => {
-      const answer = await request(
+      const response = await request(
         `http://${deployment.daemons[0].callerAddress}/counter-preview/x`,
       );
-      assert.equal(answer.statusCode, 200);
-      assert.equal(answer.headers['gentiandoor-run'], 'yes');
-      const body = (await answer.body.json()) as {path: string};
+      assert.equal(response.statusCode, 200);
+      assert.equal(response.headers['gentiandoor-run'], 'yes');
+      const body = (await response.body.json()) as {path: string};
       assert.equal(body.path, '/counter-preview/x');
     });
 
     it('forwards a request body', async () => {
-      const answer = await request(
+      const response = await request(
         `http://${deployment.daemons[0].callerAddress}/counter-preview/y`,
         {
           method: 'POST',
           body: 'a crest',
         },
       );
-      assert.equal(answer.statusCode, 200);
-      await answer.body.dump();
+      assert.equal(response.statusCode, 200);
+      await response.body.dump();
       const ran = [...deployment.targets.values()].flatMap(
         target => target.executedRequests,
       );
@@ -71,11 +71,11 @@
     });
 
     it('refuses an unknown service', async () => {
-      const answer = await request(
+      const response = await request(
         `http://${deployment.daemons[0].callerAddress}/nothing`,
       );
-      assert.equal(answer.statusCode, 404);
-      await answer.body.dump();
+      assert.equal(response.statusCode, 404);
+      await response.body.dump();
     });
 
     it('shows the version in force on the command line', async () => {
--- a/packages/bench/src/caller.ts
+++ b/packages/bench/src/caller.ts
@@ -34,7 +34,7 @@
     const {id, service} = request;
     const idempotent = request.method === 'GET';
     try {
-      const answer = await this.agent.request({
+      const response = await this.agent.request({
         origin: `http://${address}`,
         path: `/${service}/${id}`,
         method: request.method,
@@ -45,7 +45,7 @@
         id,
         service,
         idempotent,
-        ...(await parseOutcome(answer, request)),
+        ...(await parseOutcome(response, request)),
       };
     } catch (error) {
       void toError(error);
@@ -59,16 +59,16 @@
 }
 
 async function parseOutcome(
-  answer: Dispatcher.ResponseData,
+  response: Dispatcher.ResponseData,
   request: CallerRequest,
 ) {
-  const text = await answer.body.text();
-  const reason = String(answer.headers['gentiandoor-reason'] ?? '');
-  const run = String(answer.headers['gentiandoor-run'] ?? '');
+  const text = await response.body.text();
+  const reason = String(response.headers['gentiandoor-reason'] ?? '');
+  const run = String(response.headers['gentiandoor-run'] ?? '');
   const path = reason === '' ? parsePath(text) : undefined;
   const isOwnResponse = path === `/${request.service}/${request.id}`;
   return {
-    status: answer.statusCode,
+    status: response.statusCode,
     reason,
     run,
     isComplete: isOwnResponse,
--- a/packages/bench/src/capacity/list-measurements.ts
+++ b/packages/bench/src/capacity/list-measurements.ts
@@ -28,8 +28,8 @@
   traffic.start();
   const pool = new Pool(`http://${address}`, {connections: 1, pipelining: 1});
   const poll = async (path: string) => {
-    const answer = await pool.request({path, method: 'GET'});
-    return (await answer.body.json()) as {
+    const response = await pool.request({path, method: 'GET'});
+    return (await response.body.json()) as {
       readonly version: number;
       readonly vms: readonly unknown[];
     };
--- a/packages/bench/src/load/balancer.ts
+++ b/packages/bench/src/load/balancer.ts
@@ -42,9 +42,11 @@
   daemon: RunningDaemon,
 ): Promise<string | undefined> {
   try {
-    const answer = await request(`http://${daemon.adminAddress}/health/ready`);
-    await answer.body.dump();
-    return answer.statusCode === 200 ? daemon.callerAddress : undefined;
+    const response = await request(
+      `http://${daemon.adminAddress}/health/ready`,
+    );
+    await response.body.dump();
+    return response.statusCode === 200 ? daemon.callerAddress : undefined;
   } catch {
     return undefined;
   }
--- a/packages/bench/src/load/keep-alive-caller.ts
+++ b/packages/bench/src/load/keep-alive-caller.ts
@@ -33,10 +33,10 @@
     const socket = await this.connect();
     if (!socket) return undefined;
     const start = performance.now();
-    const answer = await exchange(socket, serializeRequest(request));
+    const response = await exchange(socket, serializeRequest(request));
     const milliseconds = performance.now() - start;
-    if (!answer || announcesClose(answer)) this.close();
-    return {...toOutcome(request, answer), milliseconds};
+    if (!response || announcesClose(response)) this.close();
+    return {...toOutcome(request, response), milliseconds};
   }
 
   close(): void {
@@ -68,15 +68,15 @@
 ): Promise<RawResponse | undefined> {
   return new Promise(resolve => {
     let unread = '';
-    const finish = (answer: RawResponse | undefined) => {
+    const finish = (response: RawResponse | undefined) => {
       socket.off('data', onData);
       socket.off('close', onClose);
-      resolve(answer);
+      resolve(response);
     };
     const onData = (chunk: Buffer) => {
       unread += chunk.toString('latin1');
-      const answer = parseResponse(unread);
-      if (answer) finish(answer);
+      const response = parseResponse(unread);
+      if (response) finish(response);
     };
     const onClose = () => finish(undefined);
     socket.on('data', onData);
@@ -98,12 +98,12 @@
 
 function toOutcome(
   request: CallerRequest,
-  answer: RawResponse | undefined,
+  response: RawResponse | undefined,
 ): CallerOutcome {
   const {id, service} = request;
   const idempotent = request.method === 'GET';
   const base = {id, service, idempotent};
-  if (!answer) {
+  if (!response) {
     const reason = 'cut';
     return {
       ...base,
@@ -114,7 +114,7 @@
       mixed: false,
     };
   }
-  const {status, head, body} = answer;
+  const {status, head, body} = response;
   const reason = findHeader(head, 'gentiandoor-reason') ?? '';
   const run = findHeader(head, 'gentiandoor-run') ?? '';
   const isOwnResponse = reason === '' && body.includes(`"/${service}/${id}"`);
--- a/packages/bench/src/processes/pass-through.ts
+++ b/packages/bench/src/processes/pass-through.ts
@@ -21,19 +21,19 @@
     const {method, url, headers} = context.req;
     const kept = {...headers};
     for (const name of HOP_BY_HOP_HEADERS) delete kept[name];
-    const answer = await agent.request({
+    const response = await agent.request({
       origin: `http://${target}`,
       path: url ?? '/',
       method: method as 'GET',
       headers: kept,
       body: method === 'GET' ? undefined : context.req,
     });
-    context.status = answer.statusCode;
-    for (const [name, value] of Object.entries(answer.headers)) {
+    context.status = response.statusCode;
+    for (const [name, value] of Object.entries(response.headers)) {
       if (value !== undefined && !HOP_BY_HOP_HEADERS.includes(name))
         context.set(name, value);
     }
-    context.body = answer.body;
+    context.body = response.body;
   });
   const server = koa.listen(0, '127.0.0.1', () => {
     const {port} = server.address() as AddressInfo;
--- a/packages/bench/src/scenarios/request-path-overhead.ts
+++ b/packages/bench/src/scenarios/request-path-overhead.ts
@@ -89,9 +89,9 @@
   const clock = new SystemClock();
   for (let attempt = 0; attempt < READY_ATTEMPTS; attempt++) {
     try {
-      const answer = await request(`http://${adminAddress}/health/ready`);
-      await answer.body.dump();
-      if (answer.statusCode === 200) return;
+      const response = await request(`http://${adminAddress}/health/ready`);
+      await response.body.dump();
+      if (response.statusCode === 200) return;
     } catch {
       // The daemon is not listening yet.
     }
--- a/packages/soak/src/soak-callers.ts
+++ b/packages/soak/src/soak-callers.ts
@@ -43,15 +43,15 @@
 
   async cancel(job: ObservedJob): Promise<void> {
     job.cancelTried = true;
-    const answer = await this.call('DELETE', job);
-    if (answer?.code === 200) job.cancelled = true;
+    const response = await this.call('DELETE', job);
+    if (response?.code === 200) job.cancelled = true;
   }
 
   /** Queries the state at any daemon; 410 for an accepted job is recorded as `absent`. */
   async queryState(job: ObservedJob): Promise<void> {
-    const answer = await this.call('GET', job);
-    if (answer?.code === 410) job.state = 'absent';
-    if (answer?.code === 200) job.state = answer.state;
+    const response = await this.call('GET', job);
+    if (response?.code === 410) job.state = 'absent';
+    if (response?.code === 200) job.state = response.state;
   }
 
   async stop(): Promise<void> {
@@ -64,7 +64,7 @@
     body?: object,
   ): Promise<{code: number; state: string | undefined} | undefined> {
     try {
-      const answer = await request(
+      const response = await request(
         `http://${this.pickAddress()}/${job.service}/${job.id}`,
         {
           method,
@@ -77,9 +77,9 @@
           signal: AbortSignal.timeout(REQUEST_TIMEOUT_MILLISECONDS),
         },
       );
-      const text = await answer.body.text();
+      const text = await response.body.text();
       const {state} = JSON.parse(text || '{}') as {state?: string};
-      return {code: answer.statusCode, state};
+      return {code: response.statusCode, state};
     } catch {
       // A missing response is an outcome that the check counts.
       return undefined;
--- a/packages/stand-ins/src/__tests__/vm-list-history.test.ts
+++ b/packages/stand-ins/src/__tests__/vm-list-history.test.ts
@@ -9,12 +9,12 @@
 
 describe('VmListHistory', () => {
   it('returns the whole list to a reader without a version', () => {
-    const answer = new VmListHistory().changesSince(
+    const response = new VmListHistory().changesSince(
       [vm('a'), vm('b')],
       undefined,
     );
-    assert.equal(answer.whole, true);
-    assert.equal(answer.vms.length, 2);
+    assert.equal(response.whole, true);
+    assert.equal(response.vms.length, 2);
   });
 
   it('returns only the changes since the version that a reader knows', () => {
--- a/packages/stand-ins/src/faulty-log.ts
+++ b/packages/stand-ins/src/faulty-log.ts
@@ -60,9 +60,9 @@
     signal?: AbortSignal,
   ): Promise<Answer> {
     await this.applyFaults(signal);
-    const answer = await action();
+    const response = await action();
     await this.applyFaults(signal);
-    if (!this.faults.has(LogConnectionFault.LostResponses)) return answer;
+    if (!this.faults.has(LogConnectionFault.LostResponses)) return response;
     throw new PlatformLogError(
       PlatformLogFailure.NoResponse,
       'the response was lost',
