--- a/packages/soak/src/soak-callers.ts
+++ b/packages/soak/src/soak-callers.ts
@@ -1,57 +1,57 @@
 import {QUEUE_HOST} from '@gentiandoor/platform/stand-ins';
 import {Agent, request} from 'undici';
 
-/** What callers were told of a job. */
+/** The responses that callers received about a job. */
 export interface ObservedJob {
   readonly id: string;
   readonly service: string;
   readonly tasks: number;
   readonly statuses: number[];
-  /** Tries without a whole answer. */
+  /** Attempts without a complete response. */
   unanswered: number;
   cancelled: boolean;
-  /** A cancellation was sent, whatever was heard of it. */
+  /** Whether a cancellation was sent, with or without a response. */
   cancelTried: boolean;
   state: string | undefined;
 }
 
 const REQUEST_TIMEOUT_MILLISECONDS = 3_000;
-const TRIES = 4;
-const PAUSE_MILLISECONDS = 400;
+const MAXIMUM_ATTEMPTS = 4;
+const RETRY_PAUSE_MILLISECONDS = 400;
 
-/** Callers that keep their connections open and ask again elsewhere. */
+/** Callers with keep-alive connections that retry at another daemon. */
 export class SoakCallers {
   private readonly agent = new Agent({keepAliveTimeout: 30_000});
   readonly jobs: ObservedJob[] = [];
 
   constructor(private readonly pickAddress: () => string) {}
 
-  /** Hands a job in, up to four tries at any daemon. */
+  /** Submits a job with up to four attempts, each at any daemon. */
   async submit(job: ObservedJob): Promise<void> {
     this.jobs.push(job);
     const steps = [
       {count: job.tasks, cpu: 1_000, mem_mb: 10, estimated_ms: 300},
     ];
-    for (let attempt = 0; attempt < TRIES; attempt++) {
+    for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
       const status = await this.call('POST', job, {spec: 'soak', steps});
       if (status === undefined) job.unanswered++;
       else job.statuses.push(status.code);
       if (status?.code === 200) return;
-      await pause(PAUSE_MILLISECONDS);
+      await pause(RETRY_PAUSE_MILLISECONDS);
     }
   }
 
   async cancel(job: ObservedJob): Promise<void> {
     job.cancelTried = true;
-    const answer = await this.call('DELETE', job);
-    if (answer?.code === 200) job.cancelled = true;
+    const response = await this.call('DELETE', job);
+    if (response?.code === 200) job.cancelled = true;
   }
 
-  /** Asks for the state at any daemon; 410 for a job that was taken is kept as `absent`. */
+  /** Queries the state at any daemon; 410 for an accepted job is recorded as `absent`. */
   async queryState(job: ObservedJob): Promise<void> {
-    const answer = await this.call('GET', job);
-    if (answer?.code === 410) job.state = 'absent';
-    if (answer?.code === 200) job.state = answer.state;
+    const response = await this.call('GET', job);
+    if (response?.code === 410) job.state = 'absent';
+    if (response?.code === 200) job.state = response.state;
   }
 
   async stop(): Promise<void> {
@@ -64,7 +64,7 @@
     body?: object,
   ): Promise<{code: number; state: string | undefined} | undefined> {
     try {
-      const answer = await request(
+      const response = await request(
         `http://${this.pickAddress()}/${job.service}/${job.id}`,
         {
           method,
@@ -77,17 +77,17 @@
           signal: AbortSignal.timeout(REQUEST_TIMEOUT_MILLISECONDS),
         },
       );
-      const text = await answer.body.text();
+      const text = await response.body.text();
       const {state} = JSON.parse(text || '{}') as {state?: string};
-      return {code: answer.statusCode, state};
+      return {code: response.statusCode, state};
     } catch {
-      // No whole answer is itself an outcome that the check counts.
+      // A missing response is an outcome that the check counts.
       return undefined;
     }
   }
 }
 
-/** Waits in real time. */
+/** Resolves after a time of the system clock. */
 export function pause(milliseconds: number): Promise<void> {
   return new Promise(resolve => {
     setTimeout(resolve, milliseconds);
