--- a/packages/coordinator/src/__tests__/at-most-once.test.ts
+++ b/packages/coordinator/src/__tests__/at-most-once.test.ts
@@ -194,9 +194,8 @@
   });
 
   describe('during an outage that resets connections', () => {
-    // Many callers submit while each append is reset. Only the one that probes whether
-    // the store is back may be in doubt; all others are told for certain that their job
-    // was not accepted.
+    // Many callers submit while each append is reset. Only the submission that probes
+    // whether the store is back may be left in doubt; all others get a definite refusal.
     it('leaves one caller in doubt and refuses the others', async () => {
       const deployment = new TestDeployment(1);
       const daemon = await deployment.startDaemon('one');
@@ -216,8 +215,8 @@
   });
 
   describe('whose append gets no response', () => {
-    // The append is carried out seconds later. A caller that had been told that the job
-    // was not accepted would submit it again under another name.
+    // The append is carried out seconds later. If the job were reported as refused, its
+    // caller would submit it again under another name.
     it('is reported as in doubt, not as refused', async () => {
       const deployment = new TestDeployment(1);
       const daemon = await deployment.startDaemon('one');
@@ -228,8 +227,8 @@
     });
 
     // The store does not respond: each append hangs for longer than the caller still
-    // waits. The caller must be told in time that the outcome is unknown, or it finds out
-    // only by its own timeout.
+    // waits. The response that the outcome is unknown must arrive in time; otherwise the
+    // caller notices only through its own timeout.
     it('is answered before the caller stops waiting', async () => {
       const deployment = new TestDeployment(1);
       const daemon = await deployment.startDaemon('one');
--- a/packages/coordinator/src/__tests__/cancelled-jobs.test.ts
+++ b/packages/coordinator/src/__tests__/cancelled-jobs.test.ts
@@ -9,8 +9,8 @@
   describe('while the worker of one of its runs has no entry', () => {
     // The worker is unreachable, its entry has expired and the coordinator has changed,
     // so the run is known but there is no session that could send orders. The
-    // cancellation arrives; only then does the worker's entry return. The caller is told
-    // that the job is cancelled, and the task runs on forever.
+    // cancellation arrives; only then does the worker's entry return. The caller
+    // sees the job as cancelled, but without a stop the task runs forever.
     it('has its run stopped once the worker is back', async () => {
       const deployment = new TestDeployment(1);
       const first = await deployment.startDaemon('one');
--- a/packages/coordinator/src/__tests__/coordinator-election.test.ts
+++ b/packages/coordinator/src/__tests__/coordinator-election.test.ts
@@ -9,7 +9,7 @@
 } from '../stand-ins/index.js';
 
 interface Candidate {
-  readonly keeper: CoordinatorElection;
+  readonly election: CoordinatorElection;
   readonly store: StoreConnection;
   readonly began: number[];
 }
@@ -23,7 +23,7 @@
   add(node: string, strength: number, isFirstStart = false): Candidate {
     const began: number[] = [];
     const store = this.store.connect();
-    const keeper = new CoordinatorElection(
+    const election = new CoordinatorElection(
       store,
       {node, incarnation: `${node}/${this.seed}`, strength, isFirstStart},
       this.clock,
@@ -34,8 +34,8 @@
         onTermEnded: () => undefined,
       },
     );
-    keeper.start();
-    return {keeper, store, began};
+    election.start();
+    return {election, store, began};
   }
 }
 
@@ -188,7 +188,7 @@
       let invalid = 0;
       for (let step = 0; step < 400; step++) {
         await all.clock.advanceAsync(10);
-        if (!holder.keeper.isValid) invalid++;
+        if (!holder.election.isValid) invalid++;
       }
       assert.equal(invalid, 0);
       assert.deepEqual(other.began, []);
--- a/packages/coordinator/src/__tests__/daemon-readiness.test.ts
+++ b/packages/coordinator/src/__tests__/daemon-readiness.test.ts
@@ -26,7 +26,7 @@
 
   // Callers of a data centre that is cut off from the store are refused by its daemons,
   // retry a second later and reach the next daemon in the same data centre. The load
-  // balancer can send them elsewhere once it is told.
+  // balancer can send them elsewhere once these daemons report that they are not ready.
   it('becomes unready once its store does not respond, and ready again afterwards', async () => {
     const {deployment, daemon, readiness} = await readyDaemon();
     daemon.store.setFault(StoreFault.Silent);
--- a/packages/coordinator/src/__tests__/random-faults.ts
+++ b/packages/coordinator/src/__tests__/random-faults.ts
@@ -297,8 +297,8 @@
   }
 
   /**
-   * Returns whether the run's worker still exists: an end that was lost with its worker
-   * tells nothing.
+   * Returns whether the run's worker still exists. If not, the end of the run may have
+   * been lost with it, so the coordinator cannot be expected to know it.
    */
   private outlived(run: StartedRun): boolean {
     return !(this.deployment.worker(run.worker)?.isDead ?? true);
--- a/packages/coordinator/src/__tests__/stream-follower.test.ts
+++ b/packages/coordinator/src/__tests__/stream-follower.test.ts
@@ -65,7 +65,7 @@
 
   // Versions of a large configuration arrive faster than the daemon's slow link transfers
   // them. Read one after the other, the newest took effect many seconds after it was
-  // signed off, and callers of new queues were told that there was no such queue.
+  // signed off, and callers of new queues got the response that the queue did not exist.
   it('skips to the newest where only that counts and it has fallen behind', async () => {
     const clock = new VirtualClock();
     const store = new MemoryStore(clock);
--- a/packages/coordinator/src/batching-appender.ts
+++ b/packages/coordinator/src/batching-appender.ts
@@ -81,8 +81,8 @@
   }
 
   /**
-   * Rejects a record queued behind a hanging append: it was never sent, so its caller can be told
-   * at once.
+   * Rejects a record queued behind a hanging append: it was never sent, so its caller can get
+   * a definite refusal at once.
    */
   private rejectUnsent(waiting: WaitingRecord): void {
     const index = this.queue.indexOf(waiting);
@@ -139,7 +139,7 @@
 
   private takeBatch(isProbe: boolean): WaitingRecord[] {
     // While the store fails, a single record is enough to probe it. The others stay unsent, so
-    // that their callers can be told for certain that they were not appended.
+    // that it is certain that they were not appended and their callers get a definite refusal.
     if (isProbe) return this.queue.splice(0, 1);
     let bytes = 0;
     let count = 0;
--- a/packages/coordinator/src/coordinator-election.ts
+++ b/packages/coordinator/src/coordinator-election.ts
@@ -266,7 +266,7 @@
       return true;
     }
     // A lost response may hide a success, and a moved end of the stream another daemon's term:
-    // reading the stream tells which.
+    // reading the stream shows which.
     if (result.outcome !== AppendOutcome.Refused)
       await this.resolveFailedWrite(sentAt);
     return false;
--- a/packages/coordinator/src/dispatcher.ts
+++ b/packages/coordinator/src/dispatcher.ts
@@ -270,9 +270,9 @@
       return;
     }
     const pool = sumResources(sessions.map(({entry}) => entry.capacity));
-    const claims = this.host.poolShares(service, waiting, pool);
+    const shares = this.host.poolShares(service, waiting, pool);
     for (const jobs of groupBy(ordered, ({rank}) => rank).values())
-      yield* this.sharePolicy.order(jobs, claims);
+      yield* this.sharePolicy.order(jobs, shares);
   }
 
   /**
--- a/packages/coordinator/src/job-intake.ts
+++ b/packages/coordinator/src/job-intake.ts
@@ -53,8 +53,8 @@
 /** Time reserved for sending the response before the caller's deadline. */
 const ANSWER_MARGIN_MILLISECONDS = 250;
 /**
- * An outage of the store counts as lasting after this; rejected callers are then told to wait
- * longer.
+ * An outage of the store counts as lasting after this; the retry delay sent to rejected callers is
+ * longer from then on.
  */
 const LASTING_OUTAGE_MILLISECONDS = 1_000;
 /** Maximum age of a job state that is returned without reading the store. */
--- a/packages/coordinator/src/learned-demand-store.ts
+++ b/packages/coordinator/src/learned-demand-store.ts
@@ -81,8 +81,8 @@
 }
 
 /**
- * Parses stored figures; throws if one is null, i.e. not a number: it would spread and make every
- * run time unknown.
+ * Parses stored figures; throws if one is null, which is how JSON stores NaN: a NaN would propagate
+ * and make every run time unknown.
  */
 function parseLearned(text: string): LearnedDemand {
   return JSON.parse(text, (key, value: unknown) => {
--- a/packages/coordinator/src/submission-log.ts
+++ b/packages/coordinator/src/submission-log.ts
@@ -52,10 +52,14 @@
   append(
     jobId: string,
     record: KeyedRecord,
-    patienceMilliseconds: number,
-    boundMilliseconds: number,
+    unsentTimeoutMilliseconds: number,
+    outcomeTimeoutMilliseconds: number,
   ): Promise<BatchedAppendOutcome> {
     const appender = this.appenders[submissionPartition(jobId)];
-    return appender.append(record, patienceMilliseconds, boundMilliseconds);
+    return appender.append(
+      record,
+      unsentTimeoutMilliseconds,
+      outcomeTimeoutMilliseconds,
+    );
   }
 }
--- a/packages/coordinator/src/waiting-jobs.ts
+++ b/packages/coordinator/src/waiting-jobs.ts
@@ -162,8 +162,8 @@
     };
     const feasibility = feasibilityOf(waiting, now);
     const {longRunning} = ready[0].specification;
-    // A long-running job is always older than its objective. Its tasks are few and run
-    // for long, and their absence is noticed at once.
+    // A long-running job is always older than its objective. It has few tasks, which
+    // run for a long time, and their absence is noticed at once.
     const goesFirst =
       longRunning ||
       (feasibility === DeadlineFeasibility.AboutToExpire &&
--- a/packages/jobs/src/job-execution.ts
+++ b/packages/jobs/src/job-execution.ts
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Records that a run has survived for long; returns true if that cleared crashes of
-   * its task.
+   * Clears the crash count of a task after a run of it has survived for
+   * `CRASH_RESET_MILLISECONDS`; returns false if there were no crashes to clear.
    */
   clearCrashes({progress}: ExecutableTask): boolean {
     if (progress.crashes.total === 0) return false;
--- a/packages/organisations/src/limit-fit.ts
+++ b/packages/organisations/src/limit-fit.ts
@@ -9,10 +9,10 @@
 }
 
 /**
- * Whether each step of a job can ever run within a limit.
+ * Returns whether each step of a job can ever run within a limit.
  * Load: a job whose single task or whose gang needs more than its organisation may ever
  * have. Without this check, the job is accepted and waits for capacity that never
- * becomes available; rejecting it immediately tells its caller.
+ * becomes available. An immediate rejection informs its caller instead.
  */
 export function canEverRun(
   steps: readonly StepResources[],
--- a/packages/scheduling/src/pool-plan.ts
+++ b/packages/scheduling/src/pool-plan.ts
@@ -310,14 +310,21 @@
     ...options,
     spareVms: options.spareVmsUnderPressure,
   };
-  const taken = new Set(moves.map(move => move.vm));
+  const assignedVmNames = new Set(moves.map(move => move.vm));
   const spares = pools
     .filter(pool => !pool.standby && pool.waitingMillicores === 0)
     .flatMap(pool => {
-      const given = pool.vms.filter(vm => taken.has(vm.name)).length;
+      const assignedCount = pool.vms.filter(vm =>
+        assignedVmNames.has(vm.name),
+      ).length;
       return pool.vms
-        .filter(vm => !taken.has(vm.name) && isIdleEnough(vm, options))
-        .slice(0, Math.max(0, surplusVms(pool, optionsUnderPressure) - given))
+        .filter(
+          vm => !assignedVmNames.has(vm.name) && isIdleEnough(vm, options),
+        )
+        .slice(
+          0,
+          Math.max(0, surplusVms(pool, optionsUnderPressure) - assignedCount),
+        )
         .map(vm => ({...vm, from: pool}));
     });
   return assignOneByOne(pressing, spares);
@@ -340,8 +347,13 @@
   const chosen: string[] = [];
   for (const pool of pools) {
     if (pool.standby) continue;
-    const given = moves.filter(move => move.from === pool.service).length;
-    const maximum = Math.min(remaining, surplusVms(pool, options) - given);
+    const assignedCount = moves.filter(
+      move => move.from === pool.service,
+    ).length;
+    const maximum = Math.min(
+      remaining,
+      surplusVms(pool, options) - assignedCount,
+    );
     const busy = pool.vms
       .filter(vm => vm.idleMilliseconds === undefined)
       .sort(
