--- a/packages/cli/src/account/time-breakdown.ts
+++ b/packages/cli/src/account/time-breakdown.ts
@@ -157,10 +157,10 @@
 }
 
 function sizeLabel(tasks: number): string {
-  const bound = SIZE_BOUNDS_TASKS.find(size => tasks <= size);
-  return bound === undefined
+  const upperBound = SIZE_BOUNDS_TASKS.find(size => tasks <= size);
+  return upperBound === undefined
     ? `over ${SIZE_BOUNDS_TASKS[SIZE_BOUNDS_TASKS.length - 1]} tasks`
-    : `${bound} tasks at most`;
+    : `${upperBound} tasks at most`;
 }
 
 function dataCentresOf(lines: readonly LogLine[]): Map<string, string> {
--- a/packages/cli/src/commands/account.ts
+++ b/packages/cli/src/commands/account.ts
@@ -40,7 +40,7 @@
   if (breakdown.byQueue.length === 0)
     throw new CommandError(
       ExitCode.Failed,
-      `no line in ${path} tells of a job from its intake to its end`,
+      `${path} has no job with both its intake and its end`,
     );
   if (options.page !== undefined) {
     writeFileSync(
--- a/packages/cli/src/job-timeline.ts
+++ b/packages/cli/src/job-timeline.ts
@@ -71,7 +71,7 @@
   refused: 'refused: the store had done nothing, the job never runs',
   unknown: 'answered as in doubt: the store may have taken it',
   over_limit:
-    'refused: it asks for more at once than its organisation may ever have',
+    'refused: it needs more at once than the limit of its organisation allows',
   id_in_use: 'refused: its id is that of another job',
 };
 
@@ -224,7 +224,7 @@
   RunOrdered: 'it waited for room, an earlier step or a coordinator',
   RunEnded: 'a task ran, or its worker was not heard of',
   RunStalled: 'a task stood still on its worker',
-  RunRefused: 'an order was under way',
+  RunRefused: 'an order was on its way to the worker',
   JobEnded: 'the last end was on its way to the store',
 };
 
--- a/packages/cli/src/report/report-page.ts
+++ b/packages/cli/src/report/report-page.ts
@@ -101,8 +101,8 @@
 
 function renderChecks(checks: ReportScenario['checks']): string {
   const items = checks.map(check => {
-    const word = check.passed ? 'held' : '<span class="broken">BROKEN</span>';
-    return `<li>${word}: ${escapeHtml(check.name)}: ${escapeHtml(check.detail)}</li>`;
+    const result = check.passed ? 'held' : '<span class="broken">BROKEN</span>';
+    return `<li>${result}: ${escapeHtml(check.name)}: ${escapeHtml(check.detail)}</li>`;
   });
   return `<ul>${items.join('')}</ul>`;
 }
--- a/packages/decisions/src/fair-queue.ts
+++ b/packages/decisions/src/fair-queue.ts
@@ -34,8 +34,8 @@
  * and short and long work separately.
  * Load: one caller or team sends most of the requests. Without fair queueing, in a single queue,
  * everyone waits behind it. A request that would be served too late is rejected on entry, based on
- * the position in its own flow and the release rate: the heavy caller is told at once and the wait
- * of the others stays short. When the queue is full, the newest request of the longest flow is
+ * the position in its own flow and the release rate: the heavy caller is refused at once and the
+ * wait of the others stays short. When the queue is full, the newest request of the longest flow is
  * evicted.
  */
 export class FairQueue<
--- a/packages/decisions/src/routable-targets.ts
+++ b/packages/decisions/src/routable-targets.ts
@@ -35,7 +35,7 @@
  * the 3 s allowed for leaving.
  */
 const MISSING_GRACE_MILLISECONDS = 2000;
-/** The same if more than half of the pool is missing at one time. */
+/** The grace period if more than half of the pool is missing at one time. */
 const MASS_MISSING_GRACE_MILLISECONDS = 60_000;
 /** A response this recent shows that a VM is serving. */
 const RECENT_ANSWER_MILLISECONDS = 10_000;
--- a/packages/decisions/src/slot-limiter.ts
+++ b/packages/decisions/src/slot-limiter.ts
@@ -222,9 +222,9 @@
     const cached = this.cache.get(key);
     if (cached?.version === this.version && cached.slots === slots)
       return cached;
-    const fresh = this.compute(key, slots);
-    this.cache.set(key, fresh);
-    return fresh;
+    const computed = this.compute(key, slots);
+    this.cache.set(key, computed);
+    return computed;
   }
 
   private compute(key: string, slots: number): CachedLimit {
--- a/packages/fleet/src/move-planner.ts
+++ b/packages/fleet/src/move-planner.ts
@@ -51,13 +51,13 @@
   }
 
   private startMoves(state: FleetState): ProposedRecord[] {
-    const taken = new Set<string>();
+    const usedPools = new Set<string>();
     const proposals: ProposedRecord[] = [];
     for (const [id, toPool] of this.misplaced) {
       const vm = state.vms.get(id);
-      if (!vm || state.work.has(id) || taken.has(vm.pool)) continue;
+      if (!vm || state.work.has(id) || usedPools.has(vm.pool)) continue;
       if (checkPlannedStop(state, id, toPool)) continue;
-      taken.add(vm.pool);
+      usedPools.add(vm.pool);
       proposals.push(startMove(vm, toPool));
     }
     return proposals;
--- a/packages/fleet/src/planner-election.ts
+++ b/packages/fleet/src/planner-election.ts
@@ -31,13 +31,14 @@
  * Decides when a daemon tries to become the planner.
  * Load: a planner that stops, hangs or is unreachable. Without an election planned work would end
  * with its daemon. Times only decide when to try: the log decides who plans, so a wrong clock costs
- * a change of planner and nothing else. Silence is measured on this daemon's own monotonic clock,
- * and not while the log is unreachable, when no planner could be heard.
+ * a change of planner and nothing else. The time without records of the planner is measured on this
+ * daemon's own monotonic clock; it does not run while the log is unreachable, since no records can
+ * be read then.
  */
 export class PlannerElection {
-  private heardAt = -1;
-  private heardTerm = -1;
-  private lastHeardMilliseconds = 0;
+  private lastRecordOffset = -1;
+  private lastTerm = -1;
+  private timeoutStartedAt = 0;
   private takeoverDelayMilliseconds: number;
 
   constructor(
@@ -57,31 +58,32 @@
     isLogReachable: boolean,
   ): ElectionAction {
     const planner = plannerOf(state);
-    const wasHeard =
-      planner.heardAt !== this.heardAt || planner.term !== this.heardTerm;
-    if (wasHeard || !isLogReachable) this.restartTimeout(planner, now);
+    const hasNewRecord =
+      planner.heardAt !== this.lastRecordOffset ||
+      planner.term !== this.lastTerm;
+    if (hasNewRecord || !isLogReachable) this.restartTimeout(planner, now);
     if (!state.members.has(this.incarnation)) return ElectionAction.Wait;
     if (planner.holder === this.incarnation) return ElectionAction.Plan;
     const limit = state.members.has(planner.holder)
       ? this.options.failoverMilliseconds + this.takeoverDelayMilliseconds
       : this.takeoverDelayMilliseconds;
-    if (now - this.lastHeardMilliseconds < limit) return ElectionAction.Wait;
+    if (now - this.timeoutStartedAt < limit) return ElectionAction.Wait;
     this.restartTimeout(planner, now);
     return ElectionAction.TakeOver;
   }
 
   /** Whether the planner should write a record only to show that it is alive. */
   shouldRenew(now: number): boolean {
-    return now - this.lastHeardMilliseconds >= this.options.renewMilliseconds;
+    return now - this.timeoutStartedAt >= this.options.renewMilliseconds;
   }
 
   private restartTimeout(
     planner: {readonly heardAt: number; readonly term: number},
     now: number,
   ): void {
-    this.heardAt = planner.heardAt;
-    this.heardTerm = planner.term;
-    this.lastHeardMilliseconds = now;
+    this.lastRecordOffset = planner.heardAt;
+    this.lastTerm = planner.term;
+    this.timeoutStartedAt = now;
     this.takeoverDelayMilliseconds = jitter(
       this.random,
       2 * this.options.takeoverDelayMilliseconds,
--- a/packages/fleet/src/rebalance-options.ts
+++ b/packages/fleet/src/rebalance-options.ts
@@ -2,7 +2,7 @@
 export interface RebalanceOptions {
   /** How long a shortage must last, with equal weights, before a VM is lent. */
   readonly lendAfterMilliseconds: number;
-  /** The same for a budget that is already broken. */
+  /** How long a shortage must last if a budget is already broken. */
   readonly brokenAfterMilliseconds: number;
   /**
    * A lent VM returns after its old pool has had a shortage, or its new pool a surplus, for this
--- a/packages/fleet/src/rebalancer.ts
+++ b/packages/fleet/src/rebalancer.ts
@@ -82,14 +82,14 @@
       const vm = state.vms.get(id);
       if (since === undefined || now - since < returnDelayMilliseconds || !vm)
         continue;
-      const home = listedPoolOf(state, id);
-      if (home === undefined || usedPools.has(vm.pool)) continue;
+      const listedPool = listedPoolOf(state, id);
+      if (listedPool === undefined || usedPools.has(vm.pool)) continue;
       usedPools.add(vm.pool);
       proposals.push(
         planMove(
           state,
           id,
-          home,
+          listedPool,
           `pool ${vm.pool} can do without it again`,
           [],
         ),
--- a/packages/fleet/src/vm-observer.ts
+++ b/packages/fleet/src/vm-observer.ts
@@ -53,8 +53,8 @@
       input.vmListAgeMilliseconds <= this.options.maximumListAgeMilliseconds;
     for (const vm of input.state.vms.keys()) {
       const condition = this.conditionOf(input, vm, isFresh);
-      const known = input.state.conditions.get(vm) ?? VmCondition.Up;
-      if (condition !== known) reports.push({vm, condition});
+      const reported = input.state.conditions.get(vm) ?? VmCondition.Up;
+      if (condition !== reported) reports.push({vm, condition});
     }
     return proposals(reports);
   }
@@ -64,28 +64,28 @@
     vm: string,
     isFresh: boolean,
   ): VmCondition {
-    const known = input.state.conditions.get(vm) ?? VmCondition.Up;
+    const reported = input.state.conditions.get(vm) ?? VmCondition.Up;
     // A VM for which a reboot was requested is expected to be away; it counts as planned.
     const work = input.state.work.get(vm);
     const isExpected = work?.step === PlannedWorkStep.Asked;
-    const observed = this.observedCondition(input, vm, known, isFresh);
-    if (observed === VmCondition.Up && known === VmCondition.Up) {
+    const observed = this.observedCondition(input, vm, reported, isFresh);
+    if (observed === VmCondition.Up && reported === VmCondition.Up) {
       this.observations.delete(vm);
-      return known;
+      return reported;
     }
-    if (isExpected && observed !== VmCondition.Up) return known;
+    if (isExpected && observed !== VmCondition.Up) return reported;
     const since = this.since(vm, observed, input.now);
-    return this.debounce(known, observed, input.now - since);
+    return this.debounce(reported, observed, input.now - since);
   }
 
   private observedCondition(
     input: PlannerInput,
     vm: string,
-    known: VmCondition,
+    reported: VmCondition,
     isFresh: boolean,
   ): VmCondition {
     const isSuspected = input.suspectedVms.has(vm);
-    if (!isFresh) return isSuspected ? VmCondition.Suspected : known;
+    if (!isFresh) return isSuspected ? VmCondition.Suspected : reported;
     const listed = input.vmList.get(vm);
     if (!listed) return VmCondition.Down;
     if (listed.state === ListedState.Leaving) return VmCondition.Leaving;
@@ -100,17 +100,17 @@
   }
 
   private debounce(
-    known: VmCondition,
+    reported: VmCondition,
     observed: VmCondition,
     lastedMilliseconds: number,
   ): VmCondition {
     const {upAfterMilliseconds, downAfterMilliseconds} = this.options;
     if (observed === VmCondition.Up)
-      return lastedMilliseconds >= upAfterMilliseconds ? observed : known;
+      return lastedMilliseconds >= upAfterMilliseconds ? observed : reported;
     if (observed !== VmCondition.Down) return observed;
     if (
       lastedMilliseconds >= downAfterMilliseconds ||
-      known === VmCondition.Down
+      reported === VmCondition.Down
     )
       return observed;
     return VmCondition.Suspected;
--- a/packages/fleet/src/wave-planner.ts
+++ b/packages/fleet/src/wave-planner.ts
@@ -83,7 +83,7 @@
   }
 }
 
-/** Returns the work of waves that is under way, by wave. */
+/** Returns the maintenance in progress, by wave. */
 export function activeWork(state: FleetState): Map<string, PlannedWork[]> {
   const byWave = new Map<string, PlannedWork[]>();
   for (const work of state.work.values()) {
--- a/packages/fleet/src/wave-preview.ts
+++ b/packages/fleet/src/wave-preview.ts
@@ -27,7 +27,7 @@
 export interface WavePreview {
   /** VMs that it still has to take. */
   readonly left: number;
-  /** VMs under way now. */
+  /** VMs under maintenance now. */
   readonly active: number;
   /** Maximum VMs at one time that its pace allows now. */
   readonly limit: number;
--- a/packages/fleet/src/wave-vm-selection.ts
+++ b/packages/fleet/src/wave-vm-selection.ts
@@ -31,7 +31,7 @@
   readonly turnedDown: readonly RejectedAlternative[];
 }
 
-/** Returns the data centre of the VMs under way. */
+/** Returns the data centre of the VMs under maintenance; undefined if there are none. */
 export function currentDataCentreOf(
   state: FleetState,
   active: readonly PlannedWork[],
--- a/packages/plugin-caller-http/src/__tests__/graceful-stop.test.ts
+++ b/packages/plugin-caller-http/src/__tests__/graceful-stop.test.ts
@@ -55,8 +55,9 @@
   });
 
   describe('with a connection that is idle when the stop begins', () => {
-    // The caller was told that its connection is kept alive, and sends its next request just as
-    // the stop begins. If the idle connection were closed, the request would be lost.
+    // An earlier response announced that the connection is kept alive, and the caller sends its
+    // next request just as the stop begins. If the idle connection were closed, the request would
+    // be lost.
     it('responds to a request that arrives within the keep-alive time', async () => {
       const caller = new RawCaller(edge.address);
       caller.send(...GET);
--- a/packages/plugin-caller-http/src/caller-response-writer.ts
+++ b/packages/plugin-caller-http/src/caller-response-writer.ts
@@ -82,7 +82,7 @@
     this.response.end();
   }
 
-  /** Aborts the response if the caller stops reading: it would hold a target's slot for good. */
+  /** Aborts the response if the caller stops reading: it would hold a target's slot indefinitely. */
   private startUnreadTimeout(): void {
     if (this.unreadTimeout) return;
     const {clock, progressTimeoutMilliseconds} = this.dependencies;
--- a/packages/plugin-caller-http/src/vm-exchange-counter.ts
+++ b/packages/plugin-caller-http/src/vm-exchange-counter.ts
@@ -7,8 +7,8 @@
   }
 
   end(vm: string): void {
-    const left = this.countOf(vm) - 1;
-    if (left > 0) this.counts.set(vm, left);
+    const remaining = this.countOf(vm) - 1;
+    if (remaining > 0) this.counts.set(vm, remaining);
     else this.counts.delete(vm);
   }
 
--- a/packages/plugin-fleet/src/member-routes.ts
+++ b/packages/plugin-fleet/src/member-routes.ts
@@ -29,8 +29,8 @@
 /**
  * Admin paths for the entry daemons themselves. A crashed daemon whose VM the platform still lists
  * blocks every move that waits for its acknowledgement, and only an operator can know that it has
- * really stopped. Removal relies on that one assumption: a daemon that still runs could send a request to a
- * VM that already belongs to another pool.
+ * really stopped. Removal relies on that one assumption: a daemon that still runs could send a
+ * request to a VM that already belongs to another pool.
  */
 export class MemberRoutes {
   constructor(private readonly dependencies: MemberRoutesDependencies) {
--- a/packages/plugin-fleet/src/vm-action-tracker.ts
+++ b/packages/plugin-fleet/src/vm-action-tracker.ts
@@ -25,8 +25,11 @@
         continue;
       const id = actionId(work);
       requestedIds.add(id);
-      const known = this.states.get(id);
-      if (known === VmActionState.Done || known === VmActionState.Failed)
+      const actionState = this.states.get(id);
+      if (
+        actionState === VmActionState.Done ||
+        actionState === VmActionState.Failed
+      )
         continue;
       requests.push(this.request(id, work.vm, work.lastAction, signal));
     }
--- a/packages/plugin-once-only/src/claim-status-lookup.ts
+++ b/packages/plugin-once-only/src/claim-status-lookup.ts
@@ -98,10 +98,11 @@
           answer: heldOutcome.answer,
         };
       if (reference.holder !== holder) return {standing: ClaimStatus.Unknown};
-      const standing = ownClaims.statusOf(reference);
-      if (standing !== ClaimStatus.Running) return {standing};
+      const status = ownClaims.statusOf(reference);
+      if (status !== ClaimStatus.Running) return {standing: status};
       const remainingMilliseconds = deadline - clock.monotonicMilliseconds();
-      if (remainingMilliseconds <= 0 || signal?.aborted) return {standing};
+      if (remainingMilliseconds <= 0 || signal?.aborted)
+        return {standing: status};
       await keyWaiters.wait(reference.key, remainingMilliseconds, signal);
     }
   }
--- a/packages/plugin-once-only/src/claim-writer.ts
+++ b/packages/plugin-once-only/src/claim-writer.ts
@@ -224,8 +224,10 @@
     this.mustAppend = false;
   }
 
-  // The items of a failed append may still be applied hours later. A later append, even an
-  // empty one, rules that out, and also shows whether the log accepts appends again.
+  /**
+   * Backs off after a failed append. Its items may still be applied hours later. A later append,
+   * even an empty one, rules that out, and also shows whether the log accepts appends again.
+   */
   private noteFailure(): void {
     this.mustAppend = true;
     this.failingSince ??= this.now();
--- a/packages/plugin-once-only/src/held-answers.ts
+++ b/packages/plugin-once-only/src/held-answers.ts
@@ -67,8 +67,8 @@
 
   private exceedsLimits(): boolean {
     if (this.outcomes.size === 0) return false;
-    const {maximumEntries: entries, maximumBytes: bytes} = this.limits;
-    return this.outcomes.size > entries || this.heldBytes > bytes;
+    const {maximumEntries, maximumBytes} = this.limits;
+    return this.outcomes.size > maximumEntries || this.heldBytes > maximumBytes;
   }
 
   private remove(key: string): void {
@@ -81,8 +81,11 @@
 
 /** Returns the size of the headers and body of an answer. */
 export function answerSizeBytes(answer: HeldAnswer): number {
-  const text = answer.headers.reduce((sum, word) => sum + word.length, 0);
-  return text + answer.body.byteLength;
+  const headerBytes = answer.headers.reduce(
+    (sum, item) => sum + item.length,
+    0,
+  );
+  return headerBytes + answer.body.byteLength;
 }
 
 function entrySizeBytes({answer}: HeldOutcome): number {
--- a/packages/plugin-peers/src/__tests__/peer-links.test.ts
+++ b/packages/plugin-peers/src/__tests__/peer-links.test.ts
@@ -251,8 +251,8 @@
     await new Promise<void>(resolve =>
       listener.listen(0, '127.0.0.1', resolve),
     );
-    const bound = listener.address();
-    const port = typeof bound === 'object' && bound ? bound.port : 0;
+    const address = listener.address();
+    const port = typeof address === 'object' && address ? address.port : 0;
     const relay = new Relay(listener, `127.0.0.1:${port}`);
     listener.on('connection', client => relay.join(client, target));
     return relay;
--- a/packages/plugin-peers/src/web-socket-peer-links.ts
+++ b/packages/plugin-peers/src/web-socket-peer-links.ts
@@ -83,9 +83,9 @@
   }
 
   get boundAddress(): string | undefined {
-    const bound = this.server?.address();
-    if (typeof bound !== 'object' || bound === null) return undefined;
-    return `${bound.address}:${bound.port}`;
+    const address = this.server?.address();
+    if (typeof address !== 'object' || address === null) return undefined;
+    return `${address.address}:${address.port}`;
   }
 
   async start(): Promise<void> {
--- a/packages/plugin-target-http/src/target-connections.ts
+++ b/packages/plugin-target-http/src/target-connections.ts
@@ -4,7 +4,7 @@
 /**
  * This daemon's connections to one target.
  *
- * Load pattern: a steady mix of idempotent and non-idempotent requests with pauses. Without these
+ * Load: a steady mix of idempotent and non-idempotent requests with pauses. Without these
  * rules a request is written to a connection that the target is closing or whose state the network
  * has dropped; the outcome of a non-idempotent one is then unknown.
  */
@@ -78,13 +78,21 @@
     idempotent: boolean,
     now: number,
   ): TargetConnection | undefined {
-    const {idle_milliseconds: idle, proven_milliseconds: proven} = this.options;
-    const maximumIdle = idempotent ? idle : Math.min(idle, proven);
+    const {
+      idle_milliseconds: idleMilliseconds,
+      proven_milliseconds: provenMilliseconds,
+    } = this.options;
+    const maximumIdleMilliseconds = idempotent
+      ? idleMilliseconds
+      : Math.min(idleMilliseconds, provenMilliseconds);
     for (;;) {
       const connection = this.idleConnections.at(-1);
       if (!connection) return undefined;
       // The last one is the most recently used: when it is too old, all are.
-      if (connection.isUsable && now - connection.idleSince >= maximumIdle) {
+      if (
+        connection.isUsable &&
+        now - connection.idleSince >= maximumIdleMilliseconds
+      ) {
         return undefined;
       }
       this.idleConnections.pop();
--- a/packages/shared-state/src/append-rate-limiter.ts
+++ b/packages/shared-state/src/append-rate-limiter.ts
@@ -6,8 +6,8 @@
  * Limits the appends that one daemon sends to one stream with a token bucket.
  *
  * Load: bursts of records. The platform accepts a few hundred appends per second from all
- * daemons together. Without it: one busy stream would use up the share of the others. The
- * burst is the number of appends that an idle daemon may send at once.
+ * daemons together. Without the limit one busy stream would use up the share of the others.
+ * The burst is the number of appends that an idle daemon may send at once.
  */
 export class AppendRateLimiter {
   private tokens: number;
--- a/packages/shared-state/src/budget-check.ts
+++ b/packages/shared-state/src/budget-check.ts
@@ -72,10 +72,11 @@
 
 /**
  * Returns why a VM may not be taken out of service for planned work at this offset; undefined
- * if it may. The check runs in the fold: two planners or operators that each saw room for one
- * more VM cannot take two, because the second record is checked against the counters that the
- * first one changed. A VM that is already unavailable is always allowed. `relievedPool` is the
- * pool that the VM moves to: a broken budget of that pool does not stop the move.
+ * if it may. The check runs in the fold: two planners or operators that each saw capacity to stop
+ * one more VM cannot stop two, because the second record is checked against the counters that the
+ * first one changed. A VM that is already unavailable is always allowed, since stopping it costs
+ * no capacity. `relievedPool` is the pool that the VM moves to: a broken budget of that pool does
+ * not stop the move.
  */
 export function checkPlannedStop(
   state: FleetState,
--- a/packages/shared-state/src/bundle-sections.ts
+++ b/packages/shared-state/src/bundle-sections.ts
@@ -191,7 +191,7 @@
 function expandRanges(names: readonly string[]): string[] | undefined {
   const expanded: string[] = [];
   for (const name of names) {
-    for (const one of expandRange(name)) expanded.push(one);
+    for (const vm of expandRange(name)) expanded.push(vm);
     if (expanded.length > MAXIMUM_VMS_PER_LIST) return undefined;
   }
   return expanded;
--- a/packages/shared-state/src/bundle-validation.ts
+++ b/packages/shared-state/src/bundle-validation.ts
@@ -120,8 +120,8 @@
  * services that each iterated over 31,000 VMs would block the event loop for seconds.
  */
 export function rackByVm(bundle: Bundle): ReadonlyMap<string, string> {
-  const known = racksByBundle.get(bundle.racks);
-  if (known) return known;
+  const cached = racksByBundle.get(bundle.racks);
+  if (cached) return cached;
   const racks = new Map<string, string>();
   for (const [rack, entry] of Object.entries(bundle.racks)) {
     for (const vm of entry.vms) racks.set(vm, rack);
--- a/packages/shared-state/src/capacity-index.ts
+++ b/packages/shared-state/src/capacity-index.ts
@@ -65,9 +65,9 @@
   }
 
   pool(name: string): PoolCapacity {
-    const known = this.pools.get(name);
-    if (known) return known;
-    const fresh: PoolCapacity = {
+    const existing = this.pools.get(name);
+    if (existing) return existing;
+    const created: PoolCapacity = {
       vms: new Set(),
       owned: 0,
       available: 0,
@@ -75,8 +75,8 @@
       availableByRack: new Map(),
       availableByDataCentre: new Map(),
     };
-    this.pools.set(name, fresh);
-    return fresh;
+    this.pools.set(name, created);
+    return created;
   }
 
   /** Returns the names of the services that a pool runs. */
--- a/packages/shared-state/src/fold-jobs.ts
+++ b/packages/shared-state/src/fold-jobs.ts
@@ -32,8 +32,8 @@
   state: FleetState,
   record: JobSubmitted,
 ): Rejection | undefined {
-  const known = state.jobs.get(record.key);
-  if (known) return checkSameJob(known, record);
+  const existing = state.jobs.get(record.key);
+  if (existing) return checkSameJob(existing, record);
   const refusal = checkSubmission(state, record);
   if (refusal) return refusal;
   const {key, team, pool, jobClass, idempotent, size, payload} = record;
--- a/packages/shared-state/src/fold-maintenance.ts
+++ b/packages/shared-state/src/fold-maintenance.ts
@@ -65,8 +65,8 @@
 }
 
 /**
- * Records that the platform is asked for an action; a reboot before the drain is complete would
- * abort requests.
+ * Records that an action is requested from the platform; rejected before the drain is complete,
+ * since a reboot would then abort requests.
  */
 export function applyMaintenanceAsked(
   state: FleetState,
--- a/packages/shared-state/src/planning-state.ts
+++ b/packages/shared-state/src/planning-state.ts
@@ -20,7 +20,7 @@
 export enum PlannedWorkStep {
   /** Daemons finish their exchanges on the VM and then acknowledge. */
   Draining = 'draining',
-  /** The platform was asked to reboot or replace the VM. */
+  /** A reboot or replacement of the VM was requested from the platform. */
   Asked = 'asked',
   /** The VM is back, accepts work and is monitored for a while. */
   Trial = 'trial',
--- a/packages/shared-state/src/record-enums.ts
+++ b/packages/shared-state/src/record-enums.ts
@@ -25,7 +25,7 @@
   Finish = 'finish',
 }
 
-/** Actions on a VM that the platform is asked for. */
+/** Actions on a VM that are requested from the platform. */
 export enum VmAction {
   Reboot = 'reboot',
   Replace = 'replace',
@@ -38,7 +38,7 @@
   Failed = 'failed',
   /** All attempts were used up; the VM was handed over to operators. */
   HandedOver = 'handed_over',
-  /** Stopped before the platform was asked. */
+  /** Ended before any action was requested from the platform. */
   Abandoned = 'abandoned',
 }
 
--- a/packages/shared-state/src/record-publisher.ts
+++ b/packages/shared-state/src/record-publisher.ts
@@ -108,8 +108,12 @@
       // While the stream cannot be read, appending again would only duplicate the record and its
       // outcome would stay unknown.
       if (mayBeAppended && !this.isStreamReadable()) {
-        const seen = await this.waitForOutcome(read, retryMilliseconds, signal);
-        if (seen) return seen.outcome;
+        const published = await this.waitForOutcome(
+          read,
+          retryMilliseconds,
+          signal,
+        );
+        if (published) return published.outcome;
         continue;
       }
       const result = await this.appendOnce(payload, read, signal);
@@ -120,8 +124,8 @@
         ? MAXIMUM_TIMER_MILLISECONDS
         : retryMilliseconds;
       retryMilliseconds *= 2;
-      const seen = await this.waitForOutcome(read, wait, signal);
-      if (seen) return seen.outcome;
+      const published = await this.waitForOutcome(read, wait, signal);
+      if (published) return published.outcome;
     }
     throw mayBeAppended
       ? new PlatformLogError(
--- a/packages/shared-state/src/snapshot-chunks.ts
+++ b/packages/shared-state/src/snapshot-chunks.ts
@@ -104,8 +104,8 @@
     key: string,
     chunks: number,
   ): Array<Uint8Array | undefined> {
-    const known = this.partialSnapshots.get(key);
-    if (known) return known;
+    const existing = this.partialSnapshots.get(key);
+    if (existing) return existing;
     const parts = new Array<Uint8Array | undefined>(chunks).fill(undefined);
     this.partialSnapshots.set(key, parts);
     if (this.partialSnapshots.size > MAXIMUM_PARTIAL_SNAPSHOTS) {
