--- a/packages/coordinator/src/worker-gateway.ts
+++ b/packages/coordinator/src/worker-gateway.ts
@@ -1,4 +1,7 @@
 import type {RunEnd} from '@gentiandoor/jobs';
+import type {Resources} from '@gentiandoor/organisations';
+
+export type {Resources} from '@gentiandoor/organisations';
 
 /** State that a worker reports. */
 export enum WorkerState {
@@ -6,13 +9,6 @@
   Draining = 'draining',
 }
 
-/** Capacity of a worker, or the part of it that a task takes. */
-export interface Resources {
-  readonly processorMillicores: number;
-  readonly memoryMegabytes: number;
-  readonly accelerators: number;
-}
-
 /** Entry that a worker publishes about itself. */
 export interface WorkerEntry {
   /** Identifies one incarnation of the worker. */
--- a/packages/organisations/src/organisation.ts
+++ b/packages/organisations/src/organisation.ts
@@ -1,7 +1,8 @@
 import type {KeyDigest} from './key-digest.js';
 
 /**
- * Resources on workers: of a task, of an organisation's running work, or of its limit.
+ * Amounts of the resources that workers have: the capacity of a worker, what a task takes of it,
+ * an organisation's running work, or its limit.
  */
 export interface Resources {
   readonly processorMillicores: number;
